--- a/core/budget.go
+++ b/core/budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// budgetSlots divides a window; counts fall out of it one slot at a time.
-const budgetSlots = 20
+// windowSlots divides a window; counts fall out of it one slot at a time.
+const windowSlots = 20
 
 // BudgetRules bound the sends after the first of each request, summed over all
 // boxes, in any window.
@@ -17,32 +17,32 @@
 // SharedBudget is one box's part of the budget of one service. A box spends by
 // the requests that it sees itself and by its share of the slack.
 type SharedBudget struct {
-	rules    BudgetRules
-	start    time.Time
-	requests window
-	spent    window
-	amnesia  bool // it may have spent before its process began
-	borrowed int
-	lentAt   time.Time // when the last of the borrowed came
+	rules         BudgetRules
+	start         time.Time
+	requests      slidingWindow
+	spent         slidingWindow
+	restarted     bool // it may have spent before its process began
+	transferred   int
+	transferredAt time.Time // when the last of the borrowed came
 }
 
-// borrowedLife is how long borrowed sends may be used: the lender counts them
+// transferTTL is how long borrowed sends may be used: the lender counts them
 // from when it gave them.
-const borrowedLife = time.Second
+const transferTTL = time.Second
 
 // NewSharedBudget builds a budget. One that isn't new begins without slack: the
 // process before it on the same box may have spent it a moment ago.
 func NewSharedBudget(now time.Time, rules BudgetRules, fresh bool) *SharedBudget {
 	return &SharedBudget{
-		rules:   rules,
-		start:   now,
-		amnesia: !fresh,
+		rules:     rules,
+		start:     now,
+		restarted: !fresh,
 	}
 }
 
 // slot numbers the slots by time since the start, never by time of day.
 func (b *SharedBudget) slot(now time.Time) int64 {
-	return int64(now.Sub(b.start) / (b.rules.Window / budgetSlots))
+	return int64(now.Sub(b.start) / (b.rules.Window / windowSlots))
 }
 
 // CountRequest counts a request's first send.
@@ -55,7 +55,7 @@
 func (b *SharedBudget) Remaining(now time.Time, boxes int) int {
 	requests := float64(b.requests.sum(b.slot(now)))
 	share := float64(b.rules.Slack) / float64(max(boxes, 1))
-	if b.amnesia && now.Sub(b.start) < b.rules.Window {
+	if b.restarted && now.Sub(b.start) < b.rules.Window {
 		share = 0
 	}
 	return int(b.rules.Safety*(b.rules.Ratio*requests+share)) - b.spent.sum(b.slot(now))
@@ -63,11 +63,11 @@
 
 // Allow takes one more send from the budget, if it has room.
 func (b *SharedBudget) Allow(now time.Time, boxes int) bool {
-	if b.borrowed > 0 && now.Sub(b.lentAt) < borrowedLife {
-		b.borrowed--
+	if b.transferred > 0 && now.Sub(b.transferredAt) < transferTTL {
+		b.transferred--
 		return true
 	}
-	b.borrowed = 0
+	b.transferred = 0
 	if b.Remaining(now, boxes) < 1 {
 		return false
 	}
@@ -77,59 +77,59 @@
 
 // TransferOut gives up to some sends to another box, and keeps some for itself.
 func (b *SharedBudget) TransferOut(now time.Time, boxes, sends, keep int) int {
-	given := max(0, min(sends, b.Remaining(now, boxes)-keep))
-	for range given {
+	transferred := max(0, min(sends, b.Remaining(now, boxes)-keep))
+	for range transferred {
 		b.spent.add(b.slot(now))
 	}
-	return given
+	return transferred
 }
 
 // TransferIn takes sends that another box gave.
 func (b *SharedBudget) TransferIn(now time.Time, sends int) {
-	if now.Sub(b.lentAt) >= borrowedLife {
-		b.borrowed = 0
+	if now.Sub(b.transferredAt) >= transferTTL {
+		b.transferred = 0
 	}
-	b.borrowed += sends
-	b.lentAt = now
+	b.transferred += sends
+	b.transferredAt = now
 }
 
 // Suspended gives up what other boxes lent: the machine stood still, and they may have
 // counted it as spent longer ago than a window.
-func (b *SharedBudget) Suspended() { b.borrowed = 0 }
+func (b *SharedBudget) Suspended() { b.transferred = 0 }
 
 // Available gives how many sends the box may make now, borrowed ones included.
 func (b *SharedBudget) Available(now time.Time, boxes int) int {
-	if now.Sub(b.lentAt) < borrowedLife {
-		return b.borrowed + b.Remaining(now, boxes)
+	if now.Sub(b.transferredAt) < transferTTL {
+		return b.transferred + b.Remaining(now, boxes)
 	}
 	return b.Remaining(now, boxes)
 }
 
-// window counts in slots of a sliding window; it holds one slot more than the
+// slidingWindow counts in slots of a sliding window; it holds one slot more than the
 // window, so that a count never falls out early.
-type window struct {
-	counts [budgetSlots + 1]int
+type slidingWindow struct {
+	counts [windowSlots + 1]int
 	slot   int64
 }
 
-func (w *window) advance(slot int64) {
-	if slot-w.slot > budgetSlots {
-		w.counts = [budgetSlots + 1]int{}
+func (w *slidingWindow) advance(slot int64) {
+	if slot-w.slot > windowSlots {
+		w.counts = [windowSlots + 1]int{}
 		w.slot = slot
 		return
 	}
 	for w.slot < slot {
 		w.slot++
-		w.counts[w.slot%(budgetSlots+1)] = 0
+		w.counts[w.slot%(windowSlots+1)] = 0
 	}
 }
 
-func (w *window) add(slot int64) {
+func (w *slidingWindow) add(slot int64) {
 	w.advance(slot)
-	w.counts[w.slot%(budgetSlots+1)]++
+	w.counts[w.slot%(windowSlots+1)]++
 }
 
-func (w *window) sum(slot int64) int {
+func (w *slidingWindow) sum(slot int64) int {
 	w.advance(slot)
 	total := 0
 	for _, n := range w.counts {
--- a/core/call.go
+++ b/core/call.go
@@ -50,12 +50,12 @@
 // what is known about its sends: a request has not run if no byte of it left or
 // if the endpoint said so; after anything else it may have run.
 type Call struct {
-	guards Guards
-	rules  CallRules
-	allow  func() bool // whether the retry budget has room for one more send
-	state  CallState
-	sends  int
-	ran    int // sends that ran or may have run
+	guards       Guards
+	rules        CallRules
+	allow        func() bool // whether the retry budget has room for one more send
+	state        CallState
+	sends        int
+	possibleRuns int // sends that ran or may have run
 }
 
 // NewCall builds a call. Allow is asked before each send after the first one
@@ -82,37 +82,37 @@
 func (c *Call) Sends() int { return c.sends }
 
 // MayHaveRun tells whether an endpoint ran the request or may have.
-func (c *Call) MayHaveRun() bool { return c.ran > 0 }
+func (c *Call) MayHaveRun() bool { return c.possibleRuns > 0 }
 
 // Step applies an event and gives what is to be done.
 func (c *Call) Step(_ time.Time, ev Event) []Command {
 	if c.state == CallEnded {
 		return nil
 	}
-	if c.state == CallStreaming && c.guards.on(GuardCallPartial) {
+	if c.state == CallStreaming && c.guards.enabled(GuardCallPartial) {
 		return c.stepStream(ev)
 	}
 	switch e := ev.(type) {
 	case CallPlaced:
-		return c.placed()
+		return c.handlePlaced()
 	case CallUnplaced:
-		return c.end(c.giveUp(ReasonNoEndpoint))
+		return c.end(c.refusal(ReasonNoEndpoint))
 	case CallQuarantined:
-		return c.end(c.giveUp(ReasonQuarantined))
+		return c.end(c.refusal(ReasonQuarantined))
 	case CallUnsent:
-		return c.unsent()
+		return c.handleUnsent()
 	case CallRefused:
-		return c.refused()
+		return c.handleRefused()
 	case CallAnswered:
-		return c.answered(e)
+		return c.handleAnswered(e)
 	case CallBroken:
-		return c.broken()
+		return c.handleBroken()
 	case CallProgressed:
 		c.fire(callStream)
 	case CallCompleted:
 		return c.end(nil)
 	case CallExpired:
-		return c.end(c.giveUp(ReasonExpired))
+		return c.end(c.refusal(ReasonExpired))
 	case CallAbandoned:
 		return c.end(CancelCall{})
 	}
@@ -137,17 +137,17 @@
 		if e.Copy {
 			reason = ReasonBudget
 		}
-		if !e.Copy && c.resumes() {
+		if !e.Copy && c.allowResume() {
 			return c.resume()
 		}
 	case CallUnsent:
 		reason = ReasonUnreachable
-		if c.resumes() {
+		if c.allowResume() {
 			return c.resume()
 		}
 	case CallRefused:
 		reason = ReasonRefused
-		if c.resumes() {
+		if c.allowResume() {
 			return c.resume()
 		}
 	case CallExpired:
@@ -158,15 +158,15 @@
 	return c.end(CutAnswer{Reason: reason})
 }
 
-// resumes tells whether a stream may go on in another run, and takes that send from
+// allowResume tells whether a stream may go on in another run, and takes that send from
 // the budget.
-func (c *Call) resumes() bool {
+func (c *Call) allowResume() bool {
 	return c.rules.Resumable && c.withinEndpoints() && c.sends < c.rules.MaxSends && c.allow()
 }
 
 func (c *Call) resume() []Command {
 	c.sends++
-	c.ran++
+	c.possibleRuns++
 	return []Command{ResumeCall{}}
 }
 
@@ -176,68 +176,68 @@
 	return c.mayRunAgain() && c.withinEndpoints() && c.sends < c.rules.MaxSends
 }
 
-func (c *Call) placed() []Command {
+func (c *Call) handlePlaced() []Command {
 	c.fire(callSend)
 	c.sends++
-	c.ran++ // until the endpoint says otherwise
+	c.possibleRuns++ // until the endpoint says otherwise
 	return []Command{SendCall{}}
 }
 
-// unsent takes back a send of which no byte left the box.
-func (c *Call) unsent() []Command {
-	c.ran--
+// handleUnsent takes back a send of which no byte left the box.
+func (c *Call) handleUnsent() []Command {
+	c.possibleRuns--
 	c.sends--
-	return c.again(ReasonUnreachable, false)
+	return c.retry(ReasonUnreachable, false)
 }
 
-func (c *Call) refused() []Command {
-	c.ran--
-	return c.again(ReasonRefused, true)
+func (c *Call) handleRefused() []Command {
+	c.possibleRuns--
+	return c.retry(ReasonRefused, true)
 }
 
-// answered takes a whole answer, or the head of a stream.
-func (c *Call) answered(e CallAnswered) []Command {
-	if e.Failed && c.rules.Repeatable && c.ran < c.rules.MaxEndpoints && c.sends < c.rules.MaxSends && c.allow() {
+// handleAnswered takes a whole answer, or the head of a stream.
+func (c *Call) handleAnswered(e CallAnswered) []Command {
+	if e.Failed && c.rules.Repeatable && c.possibleRuns < c.rules.MaxEndpoints && c.sends < c.rules.MaxSends && c.allow() {
 		c.fire(callReturn)
 		return []Command{PlaceCall{}}
 	}
 	return c.end(PassAnswer{})
 }
 
-// broken takes a connection that ended before the answer did.
-func (c *Call) broken() []Command {
+// handleBroken takes a connection that ended before the answer did.
+func (c *Call) handleBroken() []Command {
 	if c.mayRunAgain() && c.withinEndpoints() && c.sends < c.rules.MaxSends && c.allow() {
 		c.fire(callReturn)
 		return []Command{PlaceCall{}}
 	}
-	return c.end(c.giveUp(ReasonBroken))
+	return c.end(c.refusal(ReasonBroken))
 }
 
-// again places the call once more, or gives it up. A send that reached an
+// retry places the call once more, or gives it up. A send that reached an
 // endpoint and was refused there counts against the budget.
-func (c *Call) again(reason Reason, arrived bool) []Command {
-	if c.mayRunAgain() || c.ran == 0 {
+func (c *Call) retry(reason Reason, arrived bool) []Command {
+	if c.mayRunAgain() || c.possibleRuns == 0 {
 		if c.sends < c.rules.MaxSends && (!arrived || c.allow()) {
 			c.fire(callReturn)
 			return []Command{PlaceCall{}}
 		}
 	}
-	return c.end(c.giveUp(reason))
+	return c.end(c.refusal(reason))
 }
 
 // withinEndpoints tells whether another endpoint may run the call.
 func (c *Call) withinEndpoints() bool {
-	return c.ran < c.rules.MaxEndpoints || !c.guards.on(GuardCallOnce)
+	return c.possibleRuns < c.rules.MaxEndpoints || !c.guards.enabled(GuardCallOnce)
 }
 
 // mayRunAgain tells whether a call that may have run may be sent again.
 func (c *Call) mayRunAgain() bool {
-	return c.rules.Repeatable || !c.guards.on(GuardCallOnce)
+	return c.rules.Repeatable || !c.guards.enabled(GuardCallOnce)
 }
 
-func (c *Call) giveUp(reason Reason) Command {
+func (c *Call) refusal(reason Reason) Command {
 	outcome := NotRun
-	if c.ran > 0 && c.guards.on(GuardCallOutcome) {
+	if c.possibleRuns > 0 && c.guards.enabled(GuardCallOutcome) {
 		outcome = Unknown
 	}
 	return RefuseCall{
--- a/core/claim.go
+++ b/core/claim.go
@@ -42,14 +42,14 @@
 
 // ClaimRecord is what a home knows of one key.
 type ClaimRecord struct {
-	Key      ClaimKey
-	State    ClaimState
-	Attempt  string
-	Asker    Box
-	Status   int
-	Response []byte
-	SettleAt time.Duration // age of the record since its last change
-	changed  time.Time
+	Key       ClaimKey
+	State     ClaimState
+	Attempt   string
+	Asker     Box
+	Status    int
+	Response  []byte
+	SettleAt  time.Duration // age of the record since its last change
+	changedAt time.Time
 }
 
 // ClaimVerdict is a home's answer to a claim.
@@ -70,8 +70,8 @@
 	self      Box
 	rules     ClaimRules
 	started   time.Time
-	reading   Reading
-	take      takeover
+	snapshot  Reading
+	takeover  takeoverState
 	records   map[ClaimKey]*ClaimRecord
 	retired   bool
 	guards    Guards
@@ -81,52 +81,52 @@
 // NewClaimOwner starts with empty memory.
 func NewClaimOwner(self Box, rules ClaimRules, now time.Time, options ...Option) *ClaimOwner {
 	return &ClaimOwner{
-		self:    self,
-		rules:   rules,
-		started: now,
-		take:    newTakeover(),
-		records: make(map[ClaimKey]*ClaimRecord),
-		guards:  newGuards(options),
+		self:     self,
+		rules:    rules,
+		started:  now,
+		takeover: newTakeoverState(),
+		records:  make(map[ClaimKey]*ClaimRecord),
+		guards:   newGuards(options),
 	}
 }
 
 // Step applies one event.
-func (h *ClaimOwner) Step(now time.Time, ev Event) []Command {
+func (o *ClaimOwner) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case ListAdopted:
-		return h.adopted(now, e)
+		return o.handleListAdopted(now, e)
 	case ListConfirmed:
-		h.confirmed(e)
+		o.handleListConfirmed(e)
 	case ClaimAsked:
-		return h.asked(now, e)
+		return o.handleClaim(now, e)
 	case ClaimSettled:
-		h.settled(now, e)
+		o.handleSettled(now, e)
 	case BoxLost:
-		h.boxLost(now, e)
+		o.handleBoxLost(now, e)
 	case ClaimGuardSet:
-		h.rules.Guard = max(e.Guard, h.rules.leastGuard())
+		o.rules.Guard = max(e.Guard, o.rules.minGuard())
 	case HandoverAsked:
-		return h.handoverAsked(now, e)
+		return o.handleHandoverAsked(now, e)
 	case HandoverArrived:
-		h.handoverArrived(now, e)
+		o.handleHandoverArrived(now, e)
 	case HandoverDue:
-		return h.handoverDue(now)
+		return o.requestHandovers(now)
 	case Retire:
-		return h.retire(now)
+		return o.handOverAll(now)
 	}
 	return nil
 }
 
 // Self gives the life of the box that this home is on.
-func (h *ClaimOwner) Self() Box { return h.self }
+func (o *ClaimOwner) Self() Box { return o.self }
 
 // Len gives the number of records held.
-func (h *ClaimOwner) Len() int { return len(h.records) }
+func (o *ClaimOwner) Len() int { return len(o.records) }
 
 // Open counts the claims that were granted and not settled.
-func (h *ClaimOwner) Open() int {
+func (o *ClaimOwner) Open() int {
 	open := 0
-	for _, r := range h.records {
+	for _, r := range o.records {
 		if r.State == ClaimGranted {
 			open++
 		}
@@ -134,83 +134,83 @@
 	return open
 }
 
-func (h *ClaimOwner) confirmed(e ListConfirmed) {
-	if h.reading.List != nil && e.Version == h.reading.List.Version && e.At.After(h.reading.ConfirmedAt) {
-		h.reading.ConfirmedAt = e.At
+func (o *ClaimOwner) handleListConfirmed(e ListConfirmed) {
+	if o.snapshot.List != nil && e.Version == o.snapshot.List.Version && e.At.After(o.snapshot.ConfirmedAt) {
+		o.snapshot.ConfirmedAt = e.At
 	}
 }
 
-func (h *ClaimOwner) asked(now time.Time, e ClaimAsked) []Command {
-	if h.reading.List == nil {
-		return h.answer(e, VerdictNotYet, nil)
+func (o *ClaimOwner) handleClaim(now time.Time, e ClaimAsked) []Command {
+	if o.snapshot.List == nil {
+		return o.reply(e, VerdictNotYet, nil)
 	}
-	if e.ListVersion > h.reading.List.Version {
-		return append(h.answer(e, VerdictNotYet, nil), ListWanted{Version: e.ListVersion})
+	if e.ListVersion > o.snapshot.List.Version {
+		return append(o.reply(e, VerdictNotYet, nil), ListWanted{Version: e.ListVersion})
 	}
-	if e.HomeKnown != 0 && e.HomeKnown != h.self.Incarnation {
-		h.restartSeen()
+	if e.HomeKnown != 0 && e.HomeKnown != o.self.Incarnation {
+		o.markRestarted()
 	}
-	if r := h.records[e.Key]; r != nil && r.State != ClaimNotRun {
-		return h.answerKnown(e, r)
+	if r := o.records[e.Key]; r != nil && r.State != ClaimNotRun {
+		return o.replyFromRecord(e, r)
 	}
-	if h.retired || h.reading.List.ClaimOwner(ClaimScope(e.Key), nil) != h.self.Name {
-		return h.answer(e, VerdictNotOwner, nil)
+	if o.retired || o.snapshot.List.ClaimOwner(ClaimScope(e.Key), nil) != o.self.Name {
+		return o.reply(e, VerdictNotOwner, nil)
 	}
-	if !h.reading.Fresh(now, h.rules.Fresh) && h.guards.on(GuardClaimFresh) {
-		return h.answer(e, VerdictNotYet, nil)
+	if !o.snapshot.Fresh(now, o.rules.Fresh) && o.guards.enabled(GuardClaimFresh) {
+		return o.reply(e, VerdictNotYet, nil)
 	}
-	switch h.provable(now, &e) {
-	case proofMissing:
-		return h.answer(e, VerdictUnknown, nil)
-	case proofPending:
-		return h.answer(e, VerdictNotYet, nil)
+	switch o.checkPriorGrants(now, &e) {
+	case priorGrantsPossible:
+		return o.reply(e, VerdictUnknown, nil)
+	case priorGrantsPending:
+		return o.reply(e, VerdictNotYet, nil)
 	}
-	return h.grant(now, e)
+	return o.grant(now, e)
 }
 
 // ClaimScope is the text by which a key's home is found.
 func ClaimScope(key ClaimKey) string { return key.Customer + "\x00" + key.Key }
 
-func (h *ClaimOwner) answerKnown(e ClaimAsked, r *ClaimRecord) []Command {
-	if !h.guards.on(GuardClaimRecord) {
-		return h.answer(e, VerdictGranted, nil)
+func (o *ClaimOwner) replyFromRecord(e ClaimAsked, r *ClaimRecord) []Command {
+	if !o.guards.enabled(GuardClaimRecord) {
+		return o.reply(e, VerdictGranted, nil)
 	}
 	switch r.State {
 	case ClaimRan:
-		return h.answer(e, VerdictRan, r)
+		return o.reply(e, VerdictRan, r)
 	case ClaimUnknown:
-		return h.answer(e, VerdictUnknown, nil)
+		return o.reply(e, VerdictUnknown, nil)
 	}
 	if r.Attempt == e.Attempt {
-		return h.answer(e, VerdictGranted, nil) // its first answer was lost; an attempt sends once
+		return o.reply(e, VerdictGranted, nil) // its first answer was lost; an attempt sends once
 	}
-	return h.answer(e, VerdictInFlight, nil)
+	return o.reply(e, VerdictInFlight, nil)
 }
 
-func (h *ClaimOwner) grant(now time.Time, e ClaimAsked) []Command {
-	r := h.records[e.Key]
+func (o *ClaimOwner) grant(now time.Time, e ClaimAsked) []Command {
+	r := o.records[e.Key]
 	if r == nil {
 		r = &ClaimRecord{
 			Key:   e.Key,
 			State: ClaimNotRun,
 		}
-		h.records[e.Key] = r
+		o.records[e.Key] = r
 	}
 	_ = claimLifecycle.Fire(&r.State, claimGrant)
 	r.Attempt = e.Attempt
 	r.Asker = e.Asker
-	r.changed = now
-	return h.answer(e, VerdictGranted, nil)
+	r.changedAt = now
+	return o.reply(e, VerdictGranted, nil)
 }
 
-func (h *ClaimOwner) answer(e ClaimAsked, verdict ClaimVerdict, r *ClaimRecord) []Command {
+func (o *ClaimOwner) reply(e ClaimAsked, verdict ClaimVerdict, r *ClaimRecord) []Command {
 	a := ClaimAnswered{
 		Attempt:    e.Attempt,
 		Verdict:    verdict,
-		ClaimOwner: h.self,
+		ClaimOwner: o.self,
 	}
 	if verdict == VerdictGranted {
-		a.ValidFor = h.rules.GrantTTL
+		a.ValidFor = o.rules.GrantTTL
 	}
 	if r != nil {
 		a.Status = r.Status
@@ -219,8 +219,8 @@
 	return []Command{a}
 }
 
-func (h *ClaimOwner) settled(now time.Time, e ClaimSettled) {
-	r := h.records[e.Key]
+func (o *ClaimOwner) handleSettled(now time.Time, e ClaimSettled) {
+	r := o.records[e.Key]
 	if r == nil || r.Attempt != e.Attempt {
 		return
 	}
@@ -236,28 +236,28 @@
 	}
 	r.Status = e.Status
 	r.Response = e.Response
-	r.changed = now
+	r.changedAt = now
 }
 
-// boxLost turns what a lost entry held into unknown: it may have sent.
-func (h *ClaimOwner) boxLost(now time.Time, e BoxLost) {
-	for _, r := range h.records {
+// handleBoxLost turns what a lost entry held into unknown: it may have sent.
+func (o *ClaimOwner) handleBoxLost(now time.Time, e BoxLost) {
+	for _, r := range o.records {
 		if r.State == ClaimGranted && r.Asker.Name == e.Box.Name && r.Asker.Incarnation <= e.Box.Incarnation {
 			_ = claimLifecycle.Fire(&r.State, claimLose)
-			r.changed = now
+			r.changedAt = now
 		}
 	}
 }
 
 // sweep forgets records older than the retention time; a granted one stays.
-func (h *ClaimOwner) sweep(now time.Time) {
-	if now.Sub(h.lastSweep) < h.rules.Retention/60 {
+func (o *ClaimOwner) sweep(now time.Time) {
+	if now.Sub(o.lastSweep) < o.rules.Retention/60 {
 		return
 	}
-	h.lastSweep = now
-	for key, r := range h.records {
-		if r.State != ClaimGranted && now.Sub(r.changed) > h.rules.Retention {
-			delete(h.records, key)
+	o.lastSweep = now
+	for key, r := range o.records {
+		if r.State != ClaimGranted && now.Sub(r.changedAt) > o.rules.Retention {
+			delete(o.records, key)
 		}
 	}
 }
--- a/core/claim_rules.go
+++ b/core/claim_rules.go
@@ -35,5 +35,5 @@
 	}
 }
 
-// leastGuard is what a guard time must exceed for its purpose.
-func (r *ClaimRules) leastGuard() time.Duration { return r.Fresh + r.GrantTTL + r.Skew }
+// minGuard is what a guard time must exceed for its purpose.
+func (r *ClaimRules) minGuard() time.Duration { return r.Fresh + r.GrantTTL + r.Skew }
--- a/core/drain.go
+++ b/core/drain.go
@@ -74,7 +74,7 @@
 func (d *Drain) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case StopRequested:
-		return d.stop(now)
+		return d.handleStopRequested(now)
 	case WorkChanged:
 		d.work = e
 		return d.leaveIfEmpty()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (d *Drain) stop(now time.Time) []Command {
+func (d *Drain) handleStopRequested(now time.Time) []Command {
 	if d.State != DrainServing {
 		return nil
 	}
@@ -95,7 +95,7 @@
 	if d.State != DrainDraining {
 		return nil
 	}
-	if d.work.Streams+d.work.Pending > 0 && d.guards.on(GuardDrain) {
+	if d.work.Streams+d.work.Pending > 0 && d.guards.enabled(GuardDrain) {
 		return nil
 	}
 	_ = drainLifecycle.Fire(&d.State, drainEmpty)
--- a/core/evacuation.go
+++ b/core/evacuation.go
@@ -69,25 +69,25 @@
 // what the boxes tell each other. A box that hears nothing, or tells nothing, only
 // lets its turn pass.
 type Evacuation struct {
-	rules  EvacuationRules
-	begun  time.Time
-	runs   map[string]*evacuated
-	turn   *evacuated // whose move is under way
-	turnAt time.Time
+	rules        EvacuationRules
+	startedAt    time.Time
+	runs         map[string]*plannedRun
+	current      *plannedRun // whose move is under way
+	currentSince time.Time
 }
 
-type evacuated struct {
+type plannedRun struct {
 	EvacuatedRun
-	own    bool
-	closed bool // its turn passed, or it is over
+	own  bool
+	done bool // its turn passed, or it is over
 }
 
 // NewEvacuation begins a plan when the box learns that the engine leaves.
 func NewEvacuation(now time.Time, rules EvacuationRules) *Evacuation {
 	return &Evacuation{
-		rules: rules,
-		begun: now,
-		runs:  make(map[string]*evacuated),
+		rules:     rules,
+		startedAt: now,
+		runs:      make(map[string]*plannedRun),
 	}
 }
 
@@ -96,89 +96,89 @@
 	switch e := ev.(type) {
 	case RunsAdded:
 		for _, r := range e.Runs {
-			v.find(r, e.Own)
+			v.addRun(r, e.Own)
 		}
 	case RunFinished:
-		v.over(e.ID)
+		v.finishRun(e.ID)
 	}
-	return v.next(now)
+	return v.startNext(now)
 }
 
-// find takes a run. One that was over is in the plan again when its own box says
+// addRun takes a run. One that was over is in the plan again when its own box says
 // so: its move may be tried once more.
-func (v *Evacuation) find(r EvacuatedRun, own bool) {
+func (v *Evacuation) addRun(r EvacuatedRun, own bool) {
 	known := v.runs[r.ID]
-	if known != nil && (known == v.turn || !known.closed) {
+	if known != nil && (known == v.current || !known.done) {
 		return
 	}
-	v.runs[r.ID] = &evacuated{
+	v.runs[r.ID] = &plannedRun{
 		EvacuatedRun: r,
 		own:          own,
 	}
 }
 
-// over closes a run's part, also before it was heard of.
-func (v *Evacuation) over(id string) {
+// finishRun closes a run's part, also before it was heard of.
+func (v *Evacuation) finishRun(id string) {
 	r := v.runs[id]
 	if r == nil {
 		return
 	}
-	r.closed = true
-	if v.turn == r {
-		v.turn = nil
+	r.done = true
+	if v.current == r {
+		v.current = nil
 	}
 }
 
-// next gives the turn to the first run that waits, if nobody has it.
-func (v *Evacuation) next(now time.Time) []Command {
-	if settled := v.begun.Add(v.rules.Settle); now.Before(settled) {
+// startNext gives the turn to the first run that waits, if nobody has it.
+func (v *Evacuation) startNext(now time.Time) []Command {
+	if settled := v.startedAt.Add(v.rules.Settle); now.Before(settled) {
 		return []Command{WakeAt{At: settled}}
 	}
 	for {
-		if v.turn != nil && !now.Before(v.turnEnds()) {
-			v.turn.closed = true
-			v.turn = nil
+		if v.current != nil && !now.Before(v.currentDeadline()) {
+			v.current.done = true
+			v.current = nil
 		}
-		if v.turn != nil {
-			return []Command{WakeAt{At: v.turnEnds()}}
+		if v.current != nil {
+			return []Command{WakeAt{At: v.currentDeadline()}}
 		}
-		r := v.first()
+		r := v.nextRun()
 		if r == nil {
 			return nil
 		}
-		v.turn = r
-		v.turnAt = now
+		v.current = r
+		v.currentSince = now
 		if r.own {
-			return []Command{MoveRun{ID: r.ID}, WakeAt{At: v.turnEnds()}}
+			return []Command{MoveRun{ID: r.ID}, WakeAt{At: v.currentDeadline()}}
 		}
 	}
 }
 
-// turnEnds gives when the next run goes on although the one before isn't over.
-func (v *Evacuation) turnEnds() time.Time {
-	return v.turnAt.Add(2*v.turn.CopyTime + v.rules.Slack)
+// currentDeadline gives when the next run goes on although the one before isn't over.
+func (v *Evacuation) currentDeadline() time.Time {
+	return v.currentSince.Add(2*v.current.CopyTime + v.rules.Slack)
 }
 
-// first gives the run that goes next: by rank, then by what a second of the link
+// nextRun gives the run that goes next: by rank, then by what a second of the link
 // saves.
-func (v *Evacuation) first() *evacuated {
-	var best *evacuated
+func (v *Evacuation) nextRun() *plannedRun {
+	var best *plannedRun
 	for _, r := range v.runs {
-		if !r.closed && (best == nil || r.before(best)) {
+		if !r.done && (best == nil || r.before(best)) {
 			best = r
 		}
 	}
 	return best
 }
 
-func (r *evacuated) before(o *evacuated) bool {
+func (r *plannedRun) before(o *plannedRun) bool {
 	return cmp.Or(
 		cmp.Compare(r.Rank, o.Rank),
-		cmp.Compare(o.density(), r.density()),
+		cmp.Compare(o.valuePerSecond(), r.valuePerSecond()),
 		cmp.Compare(r.ID, o.ID),
 	) < 0
 }
 
-func (r *evacuated) density() float64 {
+func (r *plannedRun) valuePerSecond() float64 {
 	return r.Value / max(r.CopyTime, time.Millisecond).Seconds()
 }
--- a/core/fence.go
+++ b/core/fence.go
@@ -35,7 +35,7 @@
 
 // Admit reports whether an order with a fence is taken.
 func (g *FenceCheck) Admit(f Fence) bool {
-	if f.Compare(g.Highest) < 0 && g.guards.on(GuardFence) {
+	if f.Compare(g.Highest) < 0 && g.guards.enabled(GuardFence) {
 		return false
 	}
 	if f.Compare(g.Highest) > 0 {
@@ -51,11 +51,11 @@
 
 // OrderPermission says when the owner of one endpoint may send it orders.
 type OrderPermission struct {
-	takenAt time.Time
-	owner   bool
-	reading time.Time
-	rules   OrderRules
-	guards  Guards
+	takenAt     time.Time
+	isOwner     bool
+	confirmedAt time.Time
+	rules       OrderRules
+	guards      Guards
 }
 
 // NewOrderPermission starts as no owner.
@@ -70,17 +70,17 @@
 func (o *OrderPermission) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
-		if !o.owner {
+		if !o.isOwner {
 			o.takenAt = now
 		}
 		if e.Fresh {
 			o.takenAt = time.Time{}
 		}
-		o.owner = true
+		o.isOwner = true
 	case HoldLost:
-		o.owner = false
+		o.isOwner = false
 	case ListConfirmed:
-		o.reading = e.At
+		o.confirmedAt = e.At
 	}
 	return nil
 }
@@ -89,14 +89,14 @@
 // doesn't check, an owner with an old reading stops, and a new owner waits
 // until the old one has stopped.
 func (o *OrderPermission) Permitted(now time.Time, checks bool) bool {
-	if !o.owner {
+	if !o.isOwner {
 		return false
 	}
 	if checks {
 		return true
 	}
-	if now.Sub(o.reading) > o.rules.Fresh {
+	if now.Sub(o.confirmedAt) > o.rules.Fresh {
 		return false
 	}
-	return !o.guards.on(GuardFenceWait) || now.Sub(o.takenAt) > 2*o.rules.Fresh
+	return !o.guards.enabled(GuardFenceWait) || now.Sub(o.takenAt) > 2*o.rules.Fresh
 }
--- a/core/generation.go
+++ b/core/generation.go
@@ -91,19 +91,19 @@
 
 // Generation assembles one caller's stream from one engine generation.
 type Generation struct {
-	State      GenerationState
-	Repeatable bool
-	Attempt    int
-	Origin     Origin
-	NextOffset uint64
-	BytesSent  bool
-	MayHaveRun bool
-	Outcome    Outcome
-	Code       EndCode
-	cutAt      time.Time
-	lastEnd    uint64
-	rules      GenerationRules
-	guards     Guards
+	State             GenerationState
+	Repeatable        bool
+	Attempt           int
+	Origin            Origin
+	NextOffset        uint64
+	BytesSent         bool
+	MayHaveRun        bool
+	Outcome           Outcome
+	Code              EndCode
+	interruptedAt     time.Time
+	interruptedOffset uint64
+	rules             GenerationRules
+	guards            Guards
 }
 
 // NewGeneration starts a stream that waits for its first placement.
@@ -117,11 +117,11 @@
 }
 
 // ContinueGeneration takes a stream over at an offset, on any box.
-func ContinueGeneration(origin Origin, next uint64, rules GenerationRules, options ...Option) *Generation {
+func ContinueGeneration(origin Origin, nextOffset uint64, rules GenerationRules, options ...Option) *Generation {
 	g := NewGeneration(true, rules, options...)
 	g.State = GenerationResuming
 	g.Origin = origin
-	g.NextOffset = next
+	g.NextOffset = nextOffset
 	g.Attempt = 1
 	g.BytesSent = true
 	return g
@@ -134,29 +134,29 @@
 	}
 	switch e := ev.(type) {
 	case Placed:
-		return g.placed(e)
+		return g.handlePlaced(e)
 	case Sending:
 		g.BytesSent = g.BytesSent || e.Attempt == g.Attempt
 		return nil
 	case Refused:
-		return g.refused(e)
+		return g.handleRefused(e)
 	case FrameArrived:
-		return g.arrived(e)
+		return g.handleFrame(e)
 	case LinkLost:
-		return g.lost(now, e.Attempt)
+		return g.handleLinkLost(now, e.Attempt)
 	case GenerationGone:
-		return g.gone(e)
+		return g.handleGenerationGone(e)
 	case CallerGone:
-		return g.callerGone()
+		return g.cancelForCaller()
 	case CallerLeft:
-		return g.callerLeft(EndCancelled)
+		return g.releaseForCaller(EndCancelled)
 	case CallerSlow:
-		return g.callerLeft(EndSlowCaller)
+		return g.releaseForCaller(EndSlowCaller)
 	}
 	return nil
 }
 
-func (g *Generation) placed(e Placed) []Command {
+func (g *Generation) handlePlaced(e Placed) []Command {
 	if generationLifecycle.Fire(&g.State, generationPlace) != nil {
 		return nil
 	}
@@ -172,29 +172,29 @@
 	}}
 }
 
-// refused is the one way back from a byte that left: the endpoint itself says
+// handleRefused is the one way back from a byte that left: the endpoint itself says
 // that it did not start.
-func (g *Generation) refused(e Refused) []Command {
+func (g *Generation) handleRefused(e Refused) []Command {
 	if e.Attempt != g.Attempt || g.State != GenerationPlaced {
 		return nil
 	}
 	g.BytesSent = false
 	if g.Attempt >= g.rules.Attempts {
-		return g.end(g.unstarted(), EndRefused)
+		return g.end(g.unstartedOutcome(), EndRefused)
 	}
-	return g.again()
+	return g.retryPlacement()
 }
 
-// unstarted is the outcome when no attempt is running now: an earlier one that
+// unstartedOutcome is the outcome when no attempt is running now: an earlier one that
 // was given up on may still have run.
-func (g *Generation) unstarted() Outcome {
-	if g.MayHaveRun && g.guards.on(GuardBytesSent) {
+func (g *Generation) unstartedOutcome() Outcome {
+	if g.MayHaveRun && g.guards.enabled(GuardBytesSent) {
 		return Unknown
 	}
 	return NotRun
 }
 
-func (g *Generation) again() []Command {
+func (g *Generation) retryPlacement() []Command {
 	avoid := g.Origin.Endpoint
 	_ = generationLifecycle.Fire(&g.State, generationReturn)
 	return []Command{PlaceAgain{Avoid: avoid}}
@@ -209,10 +209,10 @@
 	if !g.sameOrigin(origin) {
 		return DropForeign
 	}
-	if offset < g.NextOffset && g.guards.on(GuardOffset) {
+	if offset < g.NextOffset && g.guards.enabled(GuardOffset) {
 		return DropDuplicate
 	}
-	if offset > g.NextOffset && g.guards.on(GuardOffset) {
+	if offset > g.NextOffset && g.guards.enabled(GuardOffset) {
 		return DropGap
 	}
 	if g.State != GenerationStreaming {
@@ -223,7 +223,7 @@
 }
 
 func (g *Generation) sameOrigin(origin Origin) bool {
-	if !g.guards.on(GuardOrigin) {
+	if !g.guards.enabled(GuardOrigin) {
 		return true
 	}
 	if origin.Endpoint != g.Origin.Endpoint || origin.Generation != g.Origin.Generation {
@@ -235,14 +235,14 @@
 // CountForwarded counts the frame that Accept let through.
 func (g *Generation) CountForwarded() { g.NextOffset++ }
 
-func (g *Generation) arrived(e FrameArrived) []Command {
+func (g *Generation) handleFrame(e FrameArrived) []Command {
 	if e.Final && e.Attempt == g.Attempt && e.Offset+1 == g.NextOffset && g.sameOrigin(e.Origin) {
 		return g.end(Ran, EndDone) // the caller had the end already and asked again
 	}
 	reason := g.CheckFrame(e.Attempt, e.Origin, e.Offset)
 	if reason == DropGap {
 		g.Origin = e.Origin // a resume must find this life of the endpoint
-		return append([]Command{DropFrame{Reason: reason}}, g.resumeAt(0)...)
+		return append([]Command{DropFrame{Reason: reason}}, g.resumeAfter(0)...)
 	}
 	if reason != DropNone {
 		return []Command{DropFrame{Reason: reason}}
--- a/core/generation_loss.go
+++ b/core/generation_loss.go
@@ -4,40 +4,40 @@
 	"time"
 )
 
-func (g *Generation) lost(now time.Time, attempt int) []Command {
+func (g *Generation) handleLinkLost(now time.Time, attempt int) []Command {
 	if attempt != g.Attempt {
 		return nil
 	}
 	if g.State == GenerationPlaced {
-		return g.lostBeforeToken()
+		return g.handleLossBeforeToken()
 	}
 	if g.State == GenerationWaiting {
 		return nil
 	}
-	if g.cutAt.IsZero() || g.NextOffset > g.lastEnd {
-		g.cutAt = now
-		g.lastEnd = g.NextOffset
+	if g.interruptedAt.IsZero() || g.NextOffset > g.interruptedOffset {
+		g.interruptedAt = now
+		g.interruptedOffset = g.NextOffset
 	}
-	if now.Sub(g.cutAt) > g.rules.ResumeWindow {
+	if now.Sub(g.interruptedAt) > g.rules.ResumeWindow {
 		return append([]Command{CancelAttempt{Origin: g.Origin}}, g.end(Ran, EndLost)...)
 	}
-	if !g.guards.on(GuardNoSplice) && g.Repeatable {
+	if !g.guards.enabled(GuardNoSplice) && g.Repeatable {
 		g.State = GenerationWaiting
 		g.MayHaveRun = true
 		g.Origin = Origin{}
 		return []Command{PlaceAgain{Avoid: g.Origin.Endpoint}}
 	}
-	return g.resumeAt(g.rules.ResumeDelay)
+	return g.resumeAfter(g.rules.ResumeDelay)
 }
 
-func (g *Generation) lostBeforeToken() []Command {
+func (g *Generation) handleLossBeforeToken() []Command {
 	if !g.BytesSent {
-		return g.again()
+		return g.retryPlacement()
 	}
 	g.MayHaveRun = true
 	cancel := CancelAttempt{Origin: g.Origin}
 	if !g.Repeatable {
-		if !g.guards.on(GuardBytesSent) {
+		if !g.guards.enabled(GuardBytesSent) {
 			return append([]Command{cancel}, g.end(NotRun, EndLost)...)
 		}
 		return append([]Command{cancel}, g.end(Unknown, EndNotRepeatable)...)
@@ -45,10 +45,10 @@
 	if g.Attempt >= g.rules.Attempts {
 		return append([]Command{cancel}, g.end(Unknown, EndRetriesSpent)...)
 	}
-	return append([]Command{cancel}, g.again()...)
+	return append([]Command{cancel}, g.retryPlacement()...)
 }
 
-func (g *Generation) resumeAt(delay time.Duration) []Command {
+func (g *Generation) resumeAfter(delay time.Duration) []Command {
 	_ = generationLifecycle.Fire(&g.State, generationCut)
 	g.Attempt++
 	return []Command{Resume{
@@ -59,22 +59,22 @@
 	}}
 }
 
-func (g *Generation) gone(e GenerationGone) []Command {
+func (g *Generation) handleGenerationGone(e GenerationGone) []Command {
 	if e.Attempt != g.Attempt {
 		return nil
 	}
 	if g.State == GenerationPlaced {
-		return g.lostBeforeToken()
+		return g.handleLossBeforeToken()
 	}
-	if !g.guards.on(GuardCompleteAnswer) {
+	if !g.guards.enabled(GuardCompleteAnswer) {
 		return g.end(Ran, EndDone)
 	}
 	return g.end(Ran, EndLost)
 }
 
-func (g *Generation) callerGone() []Command {
+func (g *Generation) cancelForCaller() []Command {
 	if g.State == GenerationWaiting {
-		return g.end(g.unstarted(), EndCancelled)
+		return g.end(g.unstartedOutcome(), EndCancelled)
 	}
 	outcome := Ran
 	if g.NextOffset == 0 {
@@ -83,9 +83,9 @@
 	return append([]Command{CancelAttempt{Origin: g.Origin}}, g.end(outcome, EndCancelled)...)
 }
 
-func (g *Generation) callerLeft(code EndCode) []Command {
+func (g *Generation) releaseForCaller(code EndCode) []Command {
 	if g.State != GenerationStreaming && g.State != GenerationResuming {
-		return g.callerGone()
+		return g.cancelForCaller()
 	}
 	return append([]Command{ReleaseStream{Origin: g.Origin}}, g.end(Ran, code)...)
 }
--- a/core/guard.go
+++ b/core/guard.go
@@ -34,18 +34,18 @@
 	off map[Guard]bool
 }
 
-func (g Guards) on(one Guard) bool { return !g.off[one] }
+func (g Guards) enabled(guard Guard) bool { return !g.off[guard] }
 
 // Option changes how an aggregate is built.
 type Option func(*Guards)
 
 // WithoutGuard switches one rule off; only proofs use it.
-func WithoutGuard(one Guard) Option {
+func WithoutGuard(guard Guard) Option {
 	return func(g *Guards) {
 		if g.off == nil {
 			g.off = make(map[Guard]bool)
 		}
-		g.off[one] = true
+		g.off[guard] = true
 	}
 }
 
--- a/core/handover.go
+++ b/core/handover.go
@@ -8,10 +8,10 @@
 
 // ReplacedList is a list that was replaced, kept while its homes may still matter.
 type ReplacedList struct {
-	List *List
-	Next uint64        // version of the list that replaced it
-	Age  time.Duration // since it was replaced, in a message
-	at   time.Time
+	List       *List
+	Next       uint64        // version of the list that replaced it
+	Age        time.Duration // since it was replaced, in a message
+	replacedAt time.Time
 }
 
 // Handover is what one home tells its successor.
@@ -60,117 +60,117 @@
 	ListVersion uint64
 }
 
-func (h *ClaimOwner) handoverAsked(now time.Time, e HandoverAsked) []Command {
-	earlier := h.meet(now, e.From)
-	if h.reading.List == nil {
+func (o *ClaimOwner) handleHandoverAsked(now time.Time, e HandoverAsked) []Command {
+	earlier := o.recordPeer(now, e.From)
+	if o.snapshot.List == nil {
 		return nil
 	}
-	if e.ListVersion > h.reading.List.Version {
+	if e.ListVersion > o.snapshot.List.Version {
 		return []Command{ListWanted{Version: e.ListVersion}}
 	}
-	if e.ListVersion < h.reading.List.Version {
+	if e.ListVersion < o.snapshot.List.Version {
 		return nil // what is the asker's by its list may not be by this one
 	}
-	return []Command{HandoverSent{Handover: h.handover(now, e.From.Name, earlier)}}
+	return []Command{HandoverSent{Handover: o.buildHandover(now, e.From.Name, earlier)}}
 }
 
-func (h *ClaimOwner) handover(now time.Time, to string, earlier bool) Handover {
+func (o *ClaimOwner) buildHandover(now time.Time, to string, earlier bool) Handover {
 	out := Handover{
-		From:        h.self,
+		From:        o.self,
 		To:          to,
-		ListVersion: h.reading.List.Version,
-		Final:       h.retired,
-		Settled:     h.take.settled,
+		ListVersion: o.snapshot.List.Version,
+		Final:       o.retired,
+		Settled:     o.takeover.historyKnown,
 		Earlier:     earlier,
 	}
-	if !h.take.blindSince.IsZero() {
+	if !o.takeover.recordsLostAt.IsZero() {
 		out.Blind = true
-		out.BlindAge = now.Sub(h.take.blindSince)
+		out.BlindAge = now.Sub(o.takeover.recordsLostAt)
 	}
-	for _, key := range h.sortedKeys() {
-		r := h.records[key]
-		if h.successor(key) == to {
+	for _, key := range o.sortedKeys() {
+		r := o.records[key]
+		if o.successor(key) == to {
 			copied := *r
-			copied.SettleAt = now.Sub(r.changed)
+			copied.SettleAt = now.Sub(r.changedAt)
 			out.Records = append(out.Records, copied)
 		}
 	}
-	for _, ep := range h.take.epochs {
-		ep.Age = now.Sub(ep.at)
+	for _, ep := range o.takeover.replacedLists {
+		ep.Age = now.Sub(ep.replacedAt)
 		out.Epochs = append(out.Epochs, ep)
 	}
 	return out
 }
 
-func (h *ClaimOwner) successor(key ClaimKey) string {
-	return h.reading.List.ClaimOwner(ClaimScope(key), func(box string) bool {
-		return h.retired && box == h.self.Name
+func (o *ClaimOwner) successor(key ClaimKey) string {
+	return o.snapshot.List.ClaimOwner(ClaimScope(key), func(box string) bool {
+		return o.retired && box == o.self.Name
 	})
 }
 
-func (h *ClaimOwner) sortedKeys() []ClaimKey {
-	keys := make([]ClaimKey, 0, len(h.records))
-	for key := range h.records {
+func (o *ClaimOwner) sortedKeys() []ClaimKey {
+	keys := make([]ClaimKey, 0, len(o.records))
+	for key := range o.records {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b ClaimKey) int { return strings.Compare(ClaimScope(a), ClaimScope(b)) })
 	return keys
 }
 
-func (h *ClaimOwner) handoverArrived(now time.Time, e HandoverArrived) {
+func (o *ClaimOwner) handleHandoverArrived(now time.Time, e HandoverArrived) {
 	in := e.Handover
-	h.meet(now, in.From)
-	if h.reading.List == nil || h.take.known[in.From.Name].incarnation != in.From.Incarnation {
+	o.recordPeer(now, in.From)
+	if o.snapshot.List == nil || o.takeover.peers[in.From.Name].incarnation != in.From.Incarnation {
 		return
 	}
 	if in.Earlier {
-		h.restartSeen()
+		o.markRestarted()
 	}
 	for _, r := range in.Records {
-		h.learn(now, r)
+		o.mergeRecord(now, r)
 	}
 	for _, ep := range in.Epochs {
-		h.learnEpoch(now, ep)
+		o.mergeReplacedList(now, ep)
 	}
-	h.settle(in)
-	if in.Settled && in.ListVersion == h.reading.List.Version {
-		h.inherit(now, in)
+	o.mergeHistory(in)
+	if in.Settled && in.ListVersion == o.snapshot.List.Version {
+		o.recordHandover(now, in)
 	}
 }
 
-func (h *ClaimOwner) learn(now time.Time, r ClaimRecord) {
-	mine := h.records[r.Key]
-	ended := mine != nil && mine.Attempt == r.Attempt && mine.State == ClaimGranted
-	if mine != nil && mine.State != ClaimNotRun && !ended {
+func (o *ClaimOwner) mergeRecord(now time.Time, r ClaimRecord) {
+	existing := o.records[r.Key]
+	ended := existing != nil && existing.Attempt == r.Attempt && existing.State == ClaimGranted
+	if existing != nil && existing.State != ClaimNotRun && !ended {
 		return
 	}
-	r.changed = now.Add(-r.SettleAt)
-	h.records[r.Key] = &r
+	r.changedAt = now.Add(-r.SettleAt)
+	o.records[r.Key] = &r
 }
 
-func (h *ClaimOwner) learnEpoch(now time.Time, ep ReplacedList) {
-	for _, known := range h.take.epochs {
+func (o *ClaimOwner) mergeReplacedList(now time.Time, ep ReplacedList) {
+	for _, known := range o.takeover.replacedLists {
 		if known.Next == ep.Next && known.List.Version == ep.List.Version {
 			return
 		}
 	}
-	ep.at = now.Add(-ep.Age)
-	h.take.epochs = append(h.take.epochs, ep)
+	ep.replacedAt = now.Add(-ep.Age)
+	o.takeover.replacedLists = append(o.takeover.replacedLists, ep)
 }
 
-// retire hands everything to the successors and grants nothing more.
-func (h *ClaimOwner) retire(now time.Time) []Command {
-	h.retired = true
-	if h.reading.List == nil {
+// handOverAll hands everything to the successors and grants nothing more.
+func (o *ClaimOwner) handOverAll(now time.Time) []Command {
+	o.retired = true
+	if o.snapshot.List == nil {
 		return nil
 	}
 	var commands []Command
-	for i := range h.reading.List.Boxes {
-		name := h.reading.List.Boxes[i].Name
-		if name == h.self.Name {
+	for i := range o.snapshot.List.Boxes {
+		name := o.snapshot.List.Boxes[i].Name
+		if name == o.self.Name {
 			continue
 		}
-		commands = append(commands, HandoverSent{Handover: h.handover(now, name, false)})
+		commands = append(commands, HandoverSent{Handover: o.buildHandover(now, name, false)})
 	}
 	return commands
 }
--- a/core/join.go
+++ b/core/join.go
@@ -50,12 +50,12 @@
 // Join decides when a starting box may serve: after its peers said what they
 // have in force, since the platform may be down or show an older state.
 type Join struct {
-	State   JoinState
-	started time.Time
-	waiting map[string]bool
-	named   bool
-	rules   JoinRules
-	guards  Guards
+	State       JoinState
+	started     time.Time
+	pending     map[string]bool
+	peersListed bool
+	rules       JoinRules
+	guards      Guards
 }
 
 // NewJoin starts to ask.
@@ -63,7 +63,7 @@
 	return &Join{
 		State:   JoinQuerying,
 		started: now,
-		waiting: make(map[string]bool),
+		pending: make(map[string]bool),
 		rules:   rules,
 		guards:  newGuards(options),
 	}
@@ -73,17 +73,17 @@
 func (j *Join) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case PeersListed:
-		j.named = true
+		j.peersListed = true
 		for _, box := range e.Boxes {
-			j.waiting[box] = true
+			j.pending[box] = true
 		}
 	case PeerAnswered:
-		delete(j.waiting, e.Box)
+		delete(j.pending, e.Box)
 	case PeerUnreachable:
-		delete(j.waiting, e.Box)
+		delete(j.pending, e.Box)
 	}
 	patient := now.Sub(j.started) < j.rules.Timeout
-	if patient && j.guards.on(GuardVersionQuery) && (!j.named || len(j.waiting) > 0) {
+	if patient && j.guards.enabled(GuardVersionQuery) && (!j.peersListed || len(j.pending) > 0) {
 		return nil
 	}
 	_ = joinLifecycle.Fire(&j.State, joinAnswered)
@@ -93,9 +93,9 @@
 // Clone copies the state.
 func (j *Join) Clone() *Join {
 	copied := *j
-	copied.waiting = make(map[string]bool, len(j.waiting))
-	for box := range j.waiting {
-		copied.waiting[box] = true
+	copied.pending = make(map[string]bool, len(j.pending))
+	for box := range j.pending {
+		copied.pending[box] = true
 	}
 	return &copied
 }
--- a/core/lease.go
+++ b/core/lease.go
@@ -64,17 +64,17 @@
 // in use at once. The hold says how much may be leased; who gets how much is
 // the matter of admission.Shares.
 type Ownership struct {
-	State     LeaseState
-	Endpoint  string
-	leaving   bool
-	cleared   bool
-	clearAt   time.Time
-	waitUntil time.Time
-	tickedAt  time.Time
-	wokeAt    time.Time // after a pause, until a reading is confirmed anew
-	reading   time.Time
-	rules     LeaseRules
-	guards    Guards
+	State           LeaseState
+	Endpoint        string
+	leaving         bool
+	predecessorGone bool
+	predecessorEnd  time.Time
+	waitUntil       time.Time
+	lastTick        time.Time
+	resumedAt       time.Time // after a pause, until a reading is confirmed anew
+	confirmedAt     time.Time
+	rules           LeaseRules
+	guards          Guards
 }
 
 // HoldTaken tells that the list makes this box the owner. Fresh means that
@@ -112,63 +112,63 @@
 }
 
 // Step applies one event.
-func (h *Ownership) Step(now time.Time, ev Event) []Command {
+func (o *Ownership) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
-		h.taken(now, e)
+		o.handleTaken(now, e)
 	case HoldLost:
-		_ = leaseLifecycle.Fire(&h.State, leaseClose)
+		_ = leaseLifecycle.Fire(&o.State, leaseClose)
 	case EndpointLeaving:
-		h.leaving = e.Leaving
+		o.leaving = e.Leaving
 	case ListConfirmed:
-		h.confirmed(e)
+		o.handleListConfirmed(e)
 	case PredecessorGone:
-		h.clear(now)
+		o.clear(now)
 	case HoldTicked:
-		h.ticked(now)
+		o.handleTick(now)
 	}
 	return nil
 }
 
-func (h *Ownership) taken(now time.Time, e HoldTaken) {
-	if leaseLifecycle.Fire(&h.State, leaseOpen) != nil {
+func (o *Ownership) handleTaken(now time.Time, e HoldTaken) {
+	if leaseLifecycle.Fire(&o.State, leaseOpen) != nil {
 		return
 	}
-	h.waitUntil = now.Add(h.rules.Fresh + h.rules.TTL)
-	h.cleared = false
-	if e.Fresh || !h.guards.on(GuardLeaseTakeover) {
-		_ = leaseLifecycle.Fire(&h.State, leaseClear)
+	o.waitUntil = now.Add(o.rules.Fresh + o.rules.TTL)
+	o.predecessorGone = false
+	if e.Fresh || !o.guards.enabled(GuardLeaseTakeover) {
+		_ = leaseLifecycle.Fire(&o.State, leaseClear)
 	}
 }
 
 // clear lets the hold grant all when the predecessor's last leases have ended.
-func (h *Ownership) clear(now time.Time) {
-	if h.cleared || h.State == LeaseFull {
+func (o *Ownership) clear(now time.Time) {
+	if o.predecessorGone || o.State == LeaseFull {
 		return
 	}
-	h.cleared = true
-	h.clearAt = now.Add(h.rules.TTL)
-	if h.clearAt.Before(h.waitUntil) {
-		h.waitUntil = h.clearAt
+	o.predecessorGone = true
+	o.predecessorEnd = now.Add(o.rules.TTL)
+	if o.predecessorEnd.Before(o.waitUntil) {
+		o.waitUntil = o.predecessorEnd
 	}
 }
 
-// ticked notices a pause: who wakes from one may believe in what changed in the
+// handleTick notices a pause: who wakes from one may believe in what changed in the
 // meantime, and grants nothing until a reading is confirmed anew. An outage of
 // the platform alone is no pause.
-func (h *Ownership) ticked(now time.Time) {
-	if !h.tickedAt.IsZero() && now.Sub(h.tickedAt) > h.rules.Fresh && h.guards.on(GuardLeasePause) {
-		h.wokeAt = now
+func (o *Ownership) handleTick(now time.Time) {
+	if !o.lastTick.IsZero() && now.Sub(o.lastTick) > o.rules.Fresh && o.guards.enabled(GuardLeasePause) {
+		o.resumedAt = now
 	}
-	h.tickedAt = now
+	o.lastTick = now
 }
 
-func (h *Ownership) confirmed(e ListConfirmed) {
-	if e.At.After(h.reading) {
-		h.reading = e.At
+func (o *Ownership) handleListConfirmed(e ListConfirmed) {
+	if e.At.After(o.confirmedAt) {
+		o.confirmedAt = e.At
 	}
-	if !e.At.Before(h.wokeAt) {
-		h.wokeAt = time.Time{}
+	if !e.At.Before(o.resumedAt) {
+		o.resumedAt = time.Time{}
 	}
 }
 
@@ -178,28 +178,28 @@
 
 // Grantable gives how many of an endpoint's units may be leased now, and until
 // when at the longest.
-func (h *Ownership) Grantable(now time.Time, capacity int) (int, time.Duration) {
-	if h.State == LeaseClosed || h.leaving && h.guards.on(GuardLeaseLeaving) {
+func (o *Ownership) Grantable(now time.Time, capacity int) (int, time.Duration) {
+	if o.State == LeaseClosed || o.leaving && o.guards.enabled(GuardLeaseLeaving) {
 		return 0, 0
 	}
-	h.ticked(now)
-	h.advance(now)
-	if h.State == LeaseWaiting || !h.wokeAt.IsZero() {
+	o.handleTick(now)
+	o.advance(now)
+	if o.State == LeaseWaiting || !o.resumedAt.IsZero() {
 		return 0, 0
 	}
-	if h.State == LeaseSafe || now.Sub(h.reading) > h.rules.Fresh {
-		return capacity / safeDivisor, h.rules.TTL
+	if o.State == LeaseSafe || now.Sub(o.confirmedAt) > o.rules.Fresh {
+		return capacity / safeDivisor, o.rules.TTL
 	}
-	return capacity, h.rules.TTL
+	return capacity, o.rules.TTL
 }
 
 // advance moves on when the predecessor's leases have ended.
-func (h *Ownership) advance(now time.Time) {
-	if h.cleared && !now.Before(h.clearAt) && h.State != LeaseFull {
-		_ = leaseLifecycle.Fire(&h.State, leaseClear)
+func (o *Ownership) advance(now time.Time) {
+	if o.predecessorGone && !now.Before(o.predecessorEnd) && o.State != LeaseFull {
+		_ = leaseLifecycle.Fire(&o.State, leaseClear)
 	}
-	if h.State == LeaseWaiting && !now.Before(h.waitUntil) {
-		_ = leaseLifecycle.Fire(&h.State, leaseWaited)
+	if o.State == LeaseWaiting && !now.Before(o.waitUntil) {
+		_ = leaseLifecycle.Fire(&o.State, leaseWaited)
 	}
 }
 
@@ -214,19 +214,19 @@
 }
 
 // NewLease builds a lease that was asked for at a moment.
-func NewLease(endpoint string, askedAt time.Time, ttl time.Duration, tokens, slots int, options ...Option) Lease {
+func NewLease(endpoint string, requestedAt time.Time, ttl time.Duration, tokens, slots int, options ...Option) Lease {
 	return Lease{
 		Endpoint: endpoint,
 		Tokens:   tokens,
 		Slots:    slots,
-		Until:    askedAt.Add(ttl),
+		Until:    requestedAt.Add(ttl),
 		guards:   newGuards(options),
 	}
 }
 
 // Usable reports whether new work may be sent on the lease.
 func (l *Lease) Usable(now time.Time) bool {
-	if !l.guards.on(GuardLeaseExpiry) {
+	if !l.guards.enabled(GuardLeaseExpiry) {
 		return l.Tokens > 0
 	}
 	return l.Tokens > 0 && now.Before(l.Until)
--- a/core/owner.go
+++ b/core/owner.go
@@ -40,13 +40,13 @@
 	if len(candidates) == 0 {
 		candidates = o.all
 	}
-	first := highest("endpoint/0/"+endpoint, candidates, nil)
+	first := highestScoring("endpoint/0/"+endpoint, candidates, nil)
 	if slot == 0 || first == nil {
 		return nameOf(first)
 	}
-	second := highest("endpoint/1/"+endpoint, candidates, func(m *Member) bool { return m.Zone == first.Zone })
+	second := highestScoring("endpoint/1/"+endpoint, candidates, func(m *Member) bool { return m.Zone == first.Zone })
 	if second == nil {
-		second = highest("endpoint/1/"+endpoint, candidates, func(m *Member) bool { return m == first })
+		second = highestScoring("endpoint/1/"+endpoint, candidates, func(m *Member) bool { return m == first })
 	}
 	if second == nil {
 		return first.Name
@@ -61,18 +61,18 @@
 	return m.Name
 }
 
-// highest gives the member with the highest rendezvous score for a key.
-func highest(key string, members []*Member, skip func(*Member) bool) *Member {
+// highestScoring gives the member with the highest rendezvous score for a key.
+func highestScoring(key string, members []*Member, skip func(*Member) bool) *Member {
 	var best *Member
-	var high uint64
-	hashed := xxhash.Sum64String(key)
+	var bestScore uint64
+	keyHash := xxhash.Sum64String(key)
 	for _, m := range members {
 		if skip != nil && skip(m) {
 			continue
 		}
-		score := mix(hashed, m.Name)
-		if best == nil || score > high || score == high && m.Name < best.Name {
-			best, high = m, score
+		score := mix(keyHash, m.Name)
+		if best == nil || score > bestScore || score == bestScore && m.Name < best.Name {
+			best, bestScore = m, score
 		}
 	}
 	return best
--- a/core/retry.go
+++ b/core/retry.go
@@ -9,22 +9,22 @@
 // return is met by no storm.
 type RetryBudget struct {
 	ratio  float64
-	most   float64
+	burst  float64
 	tokens float64
 }
 
 // NewRetryBudget allows ratio retries for each first try, and a burst of most.
-func NewRetryBudget(ratio, most float64) *RetryBudget {
+func NewRetryBudget(ratio, burst float64) *RetryBudget {
 	return &RetryBudget{
 		ratio:  ratio,
-		most:   most,
-		tokens: most,
+		burst:  burst,
+		tokens: burst,
 	}
 }
 
 // CountFirstAttempt earns a part of a retry.
 func (b *RetryBudget) CountFirstAttempt() {
-	b.tokens = min(b.most, b.tokens+b.ratio)
+	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
 // TakeRetry takes one retry if the budget holds it.
@@ -38,8 +38,8 @@
 
 // Backoff gives the pause before a retry: exponential from base up to most,
 // with the shell's jitter in [0, 1) spread over its upper half.
-func Backoff(attempt int, base, most time.Duration, jitter float64) time.Duration {
-	full := float64(base) * math.Pow(2, float64(max(0, attempt-1)))
-	full = min(full, float64(most))
+func Backoff(attempt int, baseDelay, maxDelay time.Duration, jitter float64) time.Duration {
+	full := float64(baseDelay) * math.Pow(2, float64(max(0, attempt-1)))
+	full = min(full, float64(maxDelay))
 	return time.Duration(full/2 + full/2*jitter)
 }
--- a/core/settling.go
+++ b/core/settling.go
@@ -4,20 +4,20 @@
 
 // PeerDiscoveryRules bound when a starting box takes what it knows of the others for whole.
 type PeerDiscoveryRules struct {
-	Least  time.Duration // since the start, before which it never does
-	Most   time.Duration // since the start, after which it does whatever it knows
-	Window time.Duration // over which growth is looked at
-	Growth float64       // the part of the boxes known that may be new in a window
+	MinWait   time.Duration // since the start, before which it never does
+	MaxWait   time.Duration // since the start, after which it does whatever it knows
+	Window    time.Duration // over which growth is looked at
+	MaxGrowth float64       // the part of the boxes known that may be new in a window
 }
 
 // DefaultPeerDiscoveryRules fit boxes that greet four others a second: 295 that started at
 // once knew nine in ten of each other after 3 s and the last one after 9 s.
 func DefaultPeerDiscoveryRules() PeerDiscoveryRules {
 	return PeerDiscoveryRules{
-		Least:  time.Second,
-		Most:   5 * time.Second,
-		Window: 500 * time.Millisecond,
-		Growth: 0.1,
+		MinWait:   time.Second,
+		MaxWait:   5 * time.Second,
+		Window:    500 * time.Millisecond,
+		MaxGrowth: 0.1,
 	}
 }
 
@@ -26,13 +26,13 @@
 // each other, each takes itself for the owner of nearly everything. Once settled a
 // box stays so.
 type PeerDiscovery struct {
-	rules   PeerDiscoveryRules
-	start   time.Time
-	counts  []settlingCount // in the window, oldest first
-	settled bool
+	rules    PeerDiscoveryRules
+	start    time.Time
+	samples  []peerCount // in the window, oldest first
+	complete bool
 }
 
-type settlingCount struct {
+type peerCount struct {
 	at    time.Time
 	known int
 }
@@ -48,21 +48,21 @@
 // Observe takes how many other boxes are known, and tells whether that is most of them.
 // Expected says that there are others: a box that knows none of them yet isn't alone.
 func (s *PeerDiscovery) Observe(now time.Time, known int, expected bool) bool {
-	if s.settled {
+	if s.complete {
 		return true
 	}
-	s.counts = append(s.counts, settlingCount{
+	s.samples = append(s.samples, peerCount{
 		at:    now,
 		known: known,
 	})
-	for len(s.counts) > 1 && now.Sub(s.counts[1].at) >= s.rules.Window {
-		s.counts = s.counts[1:]
+	for len(s.samples) > 1 && now.Sub(s.samples[1].at) >= s.rules.Window {
+		s.samples = s.samples[1:]
 	}
-	oldest := s.counts[0]
-	watched := now.Sub(oldest.at) >= s.rules.Window
-	grown := float64(known-oldest.known) > s.rules.Growth*float64(known)
+	oldest := s.samples[0]
+	windowFull := now.Sub(oldest.at) >= s.rules.Window
+	growing := float64(known-oldest.known) > s.rules.MaxGrowth*float64(known)
 	age := now.Sub(s.start)
-	nobody := expected && known == 0
-	s.settled = age >= s.rules.Most || (age >= s.rules.Least && watched && !grown && !nobody)
-	return s.settled
+	noneYet := expected && known == 0
+	s.complete = age >= s.rules.MaxWait || (age >= s.rules.MinWait && windowFull && !growing && !noneYet)
+	return s.complete
 }
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -5,250 +5,250 @@
 	"time"
 )
 
-// takeover is what a home knows of those who were home before it.
-type takeover struct {
-	epochs     []ReplacedList
-	heirOf     map[string]heir // by box that handed over
-	known      map[string]life // lives of other boxes that were met
-	settled    bool
-	young      bool      // the fleet has no past but what its boxes know
-	blindSince time.Time // keys from before are unknown to this home
+// takeoverState is what a home knows of those who were home before it.
+type takeoverState struct {
+	replacedLists []ReplacedList
+	handovers     map[string]handoverStatus // by box that handed over
+	peers         map[string]peerLife       // lives of other boxes that were met
+	historyKnown  bool
+	newFleet      bool      // the fleet has no past but what its boxes know
+	recordsLostAt time.Time // keys from before are unknown to this home
 }
 
-// heir says what a box has handed over.
-type heir struct {
-	version    uint64    // of the list under which it did
-	blindSince time.Time // what it knew from before was lost
+// handoverStatus says what a box has handed over.
+type handoverStatus struct {
+	version       uint64    // of the list under which it did
+	recordsLostAt time.Time // what it knew from before was lost
 }
 
-type life struct {
+type peerLife struct {
 	incarnation Incarnation
-	replaced    bool // an earlier one was met
-	metAt       time.Time
-	told        bool // it handed over, and so said what it knew of this box
+	restarted   bool // an earlier one was met
+	firstSeen   time.Time
+	handedOver  bool // it handed over, and so said what it knew of this box
 }
 
-func newTakeover() takeover {
-	return takeover{
-		heirOf: make(map[string]heir),
-		known:  make(map[string]life),
+func newTakeoverState() takeoverState {
+	return takeoverState{
+		handovers: make(map[string]handoverStatus),
+		peers:     make(map[string]peerLife),
 	}
 }
 
-type proof int
+type priorGrants int
 
 const (
-	proofWhole proof = iota
-	proofPending
-	proofMissing
+	priorGrantsExcluded priorGrants = iota
+	priorGrantsPending
+	priorGrantsPossible
 )
 
-func (h *ClaimOwner) adopted(now time.Time, e ListAdopted) []Command {
-	if h.reading.List != nil && e.List.Version <= h.reading.List.Version {
+func (o *ClaimOwner) handleListAdopted(now time.Time, e ListAdopted) []Command {
+	if o.snapshot.List != nil && e.List.Version <= o.snapshot.List.Version {
 		return nil
 	}
-	h.remember(now, e.List)
-	h.reading = Reading{
+	o.keepReplacedList(now, e.List)
+	o.snapshot = Reading{
 		List:        e.List,
 		ConfirmedAt: e.At,
 	}
-	return h.handoverDue(now)
+	return o.requestHandovers(now)
 }
 
-// remember keeps the replaced list as an epoch. A box that starts takes the
+// keepReplacedList keeps the replaced list as an epoch. A box that starts takes the
 // list without itself as the one before; a gap in versions leaves it blind.
-func (h *ClaimOwner) remember(now time.Time, next *List) {
-	old := h.reading.List
+func (o *ClaimOwner) keepReplacedList(now time.Time, next *List) {
+	old := o.snapshot.List
 	if old == nil {
-		old = next.Without(h.self.Name)
-		h.take.settled = len(old.Boxes) == 0
-		h.take.young = next.Age <= h.rules.BootSlack
+		old = next.Without(o.self.Name)
+		o.takeover.historyKnown = len(old.Boxes) == 0
+		o.takeover.newFleet = next.Age <= o.rules.BootSlack
 	} else if next.Version > old.Version+1 {
-		h.take.settled = false
-		h.take.blindSince = now
+		o.takeover.historyKnown = false
+		o.takeover.recordsLostAt = now
 	}
-	h.take.epochs = append(h.take.epochs, ReplacedList{
-		List: old.forClaimOwners(),
-		Next: next.Version,
-		at:   now,
+	o.takeover.replacedLists = append(o.takeover.replacedLists, ReplacedList{
+		List:       old.forClaimOwners(),
+		Next:       next.Version,
+		replacedAt: now,
 	})
 }
 
-// restartSeen tells that an earlier life of this box was met by another.
-func (h *ClaimOwner) restartSeen() {
-	if h.guards.on(GuardClaimRestart) && h.take.blindSince.Before(h.started) {
-		h.take.blindSince = h.started
+// markRestarted tells that an earlier life of this box was met by another.
+func (o *ClaimOwner) markRestarted() {
+	if o.guards.enabled(GuardClaimRestart) && o.takeover.recordsLostAt.Before(o.started) {
+		o.takeover.recordsLostAt = o.started
 	}
 }
 
-// lostAt reports whether a key may have been granted by a home whose records
+// grantMayBeLost reports whether a key may have been granted by a home whose records
 // were lost at a moment. A key that carries its time is judged by that: one made
 // after every old home must have stopped can't have been granted there. Any
 // other key may have been, until the guard time has passed.
-func (h *ClaimOwner) lostAt(now time.Time, e *ClaimAsked, moment time.Time) bool {
+func (o *ClaimOwner) grantMayBeLost(now time.Time, e *ClaimAsked, lossTime time.Time) bool {
 	if e.Timed {
-		return !now.Add(-e.KeyAge).After(moment.Add(h.rules.Fresh + h.rules.Skew))
+		return !now.Add(-e.KeyAge).After(lossTime.Add(o.rules.Fresh + o.rules.Skew))
 	}
-	return now.Sub(moment) <= h.rules.Guard
+	return now.Sub(lossTime) <= o.rules.Guard
 }
 
-// provable tells whether every box that may have granted a key before has
+// checkPriorGrants tells whether every box that may have granted a key before has
 // handed over, or can't have granted this one.
-func (h *ClaimOwner) provable(now time.Time, e *ClaimAsked) proof {
-	if !h.guards.on(GuardClaimTakeover) {
-		return proofWhole
+func (o *ClaimOwner) checkPriorGrants(now time.Time, e *ClaimAsked) priorGrants {
+	if !o.guards.enabled(GuardClaimTakeover) {
+		return priorGrantsExcluded
 	}
-	if e.Timed && e.KeyAge > h.rules.Retention-h.rules.Fresh-h.rules.Skew {
-		return proofMissing
+	if e.Timed && e.KeyAge > o.rules.Retention-o.rules.Fresh-o.rules.Skew {
+		return priorGrantsPossible
 	}
-	if !h.take.blindSince.IsZero() && h.lostAt(now, e, h.take.blindSince) {
-		return proofMissing
+	if !o.takeover.recordsLostAt.IsZero() && o.grantMayBeLost(now, e, o.takeover.recordsLostAt) {
+		return priorGrantsPossible
 	}
-	if !h.take.settled && now.Sub(h.started) <= h.rules.Guard {
-		return proofPending
+	if !o.takeover.historyKnown && now.Sub(o.started) <= o.rules.Guard {
+		return priorGrantsPending
 	}
-	result := proofWhole
-	for i := range h.take.epochs {
-		switch h.provableSince(now, e, &h.take.epochs[i]) {
-		case proofMissing:
-			return proofMissing
-		case proofPending:
-			result = proofPending
+	result := priorGrantsExcluded
+	for i := range o.takeover.replacedLists {
+		switch o.checkPriorGrant(now, e, &o.takeover.replacedLists[i]) {
+		case priorGrantsPossible:
+			return priorGrantsPossible
+		case priorGrantsPending:
+			result = priorGrantsPending
 		}
 	}
 	return result
 }
 
-// provableSince is provable for the key's home under one replaced list. One that
+// checkPriorGrant is provable for the key's home under one replaced list. One that
 // is still listed may yet hand over, and is waited for.
-func (h *ClaimOwner) provableSince(now time.Time, e *ClaimAsked, ep *ReplacedList) proof {
-	before := ep.List.ClaimOwner(ClaimScope(e.Key), nil)
-	if before == "" || before == h.self.Name {
-		return proofWhole
+func (o *ClaimOwner) checkPriorGrant(now time.Time, e *ClaimAsked, ep *ReplacedList) priorGrants {
+	previousOwner := ep.List.ClaimOwner(ClaimScope(e.Key), nil)
+	if previousOwner == "" || previousOwner == o.self.Name {
+		return priorGrantsExcluded
 	}
-	from := h.take.heirOf[before]
-	handedOver := from.version >= ep.Next
-	lost := ep.at
+	handover := o.takeover.handovers[previousOwner]
+	handedOver := handover.version >= ep.Next
+	lossTime := ep.replacedAt
 	if handedOver {
-		lost = from.blindSince
+		lossTime = handover.recordsLostAt
 	}
-	if lost.IsZero() || !h.lostAt(now, e, lost) {
-		return proofWhole
+	if lossTime.IsZero() || !o.grantMayBeLost(now, e, lossTime) {
+		return priorGrantsExcluded
 	}
-	if !handedOver && h.reading.List.Member(before) != nil && now.Sub(ep.at) <= h.rules.Guard {
-		return proofPending
+	if !handedOver && o.snapshot.List.Member(previousOwner) != nil && now.Sub(ep.replacedAt) <= o.rules.Guard {
+		return priorGrantsPending
 	}
-	return proofMissing
+	return priorGrantsPossible
 }
 
-// meet notes a life of another box and tells whether an earlier one was known.
-func (h *ClaimOwner) meet(now time.Time, other Box) bool {
-	k, met := h.take.known[other.Name]
+// recordPeer notes a life of another box and tells whether an earlier one was known.
+func (o *ClaimOwner) recordPeer(now time.Time, other Box) bool {
+	k, met := o.takeover.peers[other.Name]
 	if !met {
-		h.take.known[other.Name] = life{
+		o.takeover.peers[other.Name] = peerLife{
 			incarnation: other.Incarnation,
-			metAt:       now,
+			firstSeen:   now,
 		}
 		return false
 	}
 	if other.Incarnation > k.incarnation {
-		k = life{
+		k = peerLife{
 			incarnation: other.Incarnation,
-			replaced:    true,
-			metAt:       now,
+			restarted:   true,
+			firstSeen:   now,
 		}
-		h.take.known[other.Name] = k
-		delete(h.take.heirOf, other.Name)
-		h.boxLost(now, BoxLost{Box: Box{
+		o.takeover.peers[other.Name] = k
+		delete(o.takeover.handovers, other.Name)
+		o.handleBoxLost(now, BoxLost{Box: Box{
 			Name:        other.Name,
 			Incarnation: other.Incarnation - 1,
 		}})
 	}
-	return k.replaced
+	return k.restarted
 }
 
-const heirForGood = ^uint64(0)
+const finalHandover = ^uint64(0)
 
-// settle takes over a past from one who knows it. In a young fleet nobody knows
+// mergeHistory takes over a past from one who knows it. In a young fleet nobody knows
 // one: there, a box has heard of its own earlier life, if it had one, when every
 // other box has answered.
-func (h *ClaimOwner) settle(in Handover) {
-	k := h.take.known[in.From.Name]
-	k.told = true
-	h.take.known[in.From.Name] = k
-	if in.Settled || h.take.young && h.allTold() {
-		h.take.settled = true
+func (o *ClaimOwner) mergeHistory(in Handover) {
+	k := o.takeover.peers[in.From.Name]
+	k.handedOver = true
+	o.takeover.peers[in.From.Name] = k
+	if in.Settled || o.takeover.newFleet && o.allHandedOver() {
+		o.takeover.historyKnown = true
 	}
 }
 
-func (h *ClaimOwner) allTold() bool {
-	for i := range h.reading.List.Boxes {
-		name := h.reading.List.Boxes[i].Name
-		if name != h.self.Name && !h.take.known[name].told {
+func (o *ClaimOwner) allHandedOver() bool {
+	for i := range o.snapshot.List.Boxes {
+		name := o.snapshot.List.Boxes[i].Name
+		if name != o.self.Name && !o.takeover.peers[name].handedOver {
 			return false
 		}
 	}
 	return true
 }
 
-// inherit notes that a box grants nothing more of what is not its own under a
+// recordHandover notes that a box grants nothing more of what is not its own under a
 // list. What an earlier life of it knew is lost.
-func (h *ClaimOwner) inherit(now time.Time, in Handover) {
-	from := h.take.heirOf[in.From.Name]
-	from.version = max(from.version, in.ListVersion)
+func (o *ClaimOwner) recordHandover(now time.Time, in Handover) {
+	handover := o.takeover.handovers[in.From.Name]
+	handover.version = max(handover.version, in.ListVersion)
 	if in.Final {
-		from.version = heirForGood
+		handover.version = finalHandover
 	}
 	if in.Blind {
-		from.blindSince = now.Add(-in.BlindAge)
+		handover.recordsLostAt = now.Add(-in.BlindAge)
 	}
-	if k := h.take.known[in.From.Name]; k.replaced && k.metAt.After(from.blindSince) {
-		from.blindSince = k.metAt
+	if k := o.takeover.peers[in.From.Name]; k.restarted && k.firstSeen.After(handover.recordsLostAt) {
+		handover.recordsLostAt = k.firstSeen
 	}
-	h.take.heirOf[in.From.Name] = from
+	o.takeover.handovers[in.From.Name] = handover
 }
 
-// handoverDue asks every earlier home that hasn't handed over yet.
-func (h *ClaimOwner) handoverDue(now time.Time) []Command {
-	if h.reading.List == nil {
+// requestHandovers asks every earlier home that hasn't handed over yet.
+func (o *ClaimOwner) requestHandovers(now time.Time) []Command {
+	if o.snapshot.List == nil {
 		return nil
 	}
-	if h.retired {
-		return h.retire(now)
+	if o.retired {
+		return o.handOverAll(now)
 	}
-	h.sweep(now)
-	h.take.epochs = slices.DeleteFunc(h.take.epochs, func(ep ReplacedList) bool { return now.Sub(ep.at) > h.rules.Retention })
+	o.sweep(now)
+	o.takeover.replacedLists = slices.DeleteFunc(o.takeover.replacedLists, func(ep ReplacedList) bool { return now.Sub(ep.replacedAt) > o.rules.Retention })
 	wanted := make(map[string]bool)
-	homes := h.reading.List.ClaimOwners()
-	for i := range h.take.epochs {
-		if ep := &h.take.epochs[i]; now.Sub(ep.at) <= h.rules.Guard {
-			h.wantFrom(ep, homes, wanted)
+	owners := o.snapshot.List.ClaimOwners()
+	for i := range o.takeover.replacedLists {
+		if ep := &o.takeover.replacedLists[i]; now.Sub(ep.replacedAt) <= o.rules.Guard {
+			o.addPredecessors(ep, owners, wanted)
 		}
 	}
-	if !h.take.settled {
-		for i := range h.reading.List.Boxes {
-			wanted[h.reading.List.Boxes[i].Name] = true
+	if !o.takeover.historyKnown {
+		for i := range o.snapshot.List.Boxes {
+			wanted[o.snapshot.List.Boxes[i].Name] = true
 		}
 	}
-	delete(wanted, h.self.Name)
-	return h.ask(wanted)
+	delete(wanted, o.self.Name)
+	return o.handoverRequests(wanted)
 }
 
-// wantFrom adds the boxes of a replaced list that haven't handed over and from
+// addPredecessors adds the boxes of a replaced list that haven't handed over and from
 // which keys can have come to this one. Rendezvous moves a key to a box that was
 // listed before only from one that no longer is; to a newcomer from any.
-func (h *ClaimOwner) wantFrom(ep *ReplacedList, homes, wanted map[string]bool) {
-	self := ep.List.Member(h.self.Name)
+func (o *ClaimOwner) addPredecessors(ep *ReplacedList, owners, wanted map[string]bool) {
+	self := ep.List.Member(o.self.Name)
 	newcomer := self == nil || self.Leaving
 	for i := range ep.List.Boxes {
 		name := ep.List.Boxes[i].Name
-		if h.take.heirOf[name].version < ep.Next && (newcomer || !homes[name]) {
+		if o.takeover.handovers[name].version < ep.Next && (newcomer || !owners[name]) {
 			wanted[name] = true
 		}
 	}
 }
 
-func (h *ClaimOwner) ask(wanted map[string]bool) []Command {
+func (o *ClaimOwner) handoverRequests(wanted map[string]bool) []Command {
 	names := make([]string, 0, len(wanted))
 	for name := range wanted {
 		names = append(names, name)
@@ -258,7 +258,7 @@
 	for _, name := range names {
 		commands = append(commands, HandoverWanted{
 			From:        name,
-			ListVersion: h.reading.List.Version,
+			ListVersion: o.snapshot.List.Version,
 		})
 	}
 	return commands
--- a/core/version.go
+++ b/core/version.go
@@ -102,15 +102,15 @@
 func (v *Versions) Step(ev Event) []Command {
 	switch e := ev.(type) {
 	case VersionOffered:
-		return v.offered(e)
+		return v.handleOffered(e)
 	case VersionHeard:
-		return v.heard(e)
+		return v.handleHeard(e)
 	}
 	return nil
 }
 
-func (v *Versions) offered(e VersionOffered) []Command {
-	if e.Version < v.Active && v.guards.on(GuardVersionOrder) || e.Version == v.Active && e.Digest == v.Digest {
+func (v *Versions) handleOffered(e VersionOffered) []Command {
+	if e.Version < v.Active && v.guards.enabled(GuardVersionOrder) || e.Version == v.Active && e.Digest == v.Digest {
 		return v.reject(e, RejectNotNewer)
 	}
 	if e.Version == v.Active && e.Digest < v.Digest {
@@ -133,18 +133,18 @@
 	}}
 }
 
-// newer reports whether a version that a peer named is wanted; a faulty one is
+// isWanted reports whether a version that a peer named is wanted; a faulty one is
 // not asked for again.
-func (v *Versions) newer(e VersionHeard) bool {
+func (v *Versions) isWanted(e VersionHeard) bool {
 	if e.Version == v.Active {
 		return e.Digest > v.Digest
 	}
 	return e.Version > v.Active && e.Version != v.Rejected
 }
 
-func (v *Versions) heard(e VersionHeard) []Command {
+func (v *Versions) handleHeard(e VersionHeard) []Command {
 	v.HighestAnnounced = max(v.HighestAnnounced, e.Version)
-	if !v.newer(e) {
+	if !v.isWanted(e) {
 		return nil
 	}
 	_ = versionLifecycle.Fire(&v.State, versionHeard)
