--- a/core/call.go
+++ b/core/call.go
@@ -215,9 +215,9 @@
 
 // retry places the call once more, or gives it up. A send that reached an
 // endpoint and was refused there counts against the budget.
-func (c *Call) retry(reason Reason, arrived bool) []Command {
+func (c *Call) retry(reason Reason, reached bool) []Command {
 	if c.mayRunAgain() || c.possibleRuns == 0 {
-		if c.sends < c.rules.MaxSends && (!arrived || c.allow()) {
+		if c.sends < c.rules.MaxSends && (!reached || c.allow()) {
 			c.fire(callReturn)
 			return []Command{PlaceCall{}}
 		}
