--- a/core/call.go
+++ b/core/call.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// CallState is the state of one caller's request on its way through a box.
+// CallState is the state of one caller's request in a box.
 type CallState string
 
-// A call waits for an endpoint, is sent, streams once a part of its answer went
-// to the caller, and ends.
+// A call waits for an endpoint, is sent, streams once the caller has received a
+// part of the response, and ends.
 const (
 	CallWaiting   CallState = "waiting"
 	CallSent      CallState = "sent"
@@ -38,28 +38,29 @@
 	},
 })
 
-// CallRules say how often a call may run and be sent.
+// CallRules limit how often a call may be executed and sent.
 type CallRules struct {
-	Repeatable   bool // it may run more than once
-	Resumable    bool // its stream may go on in another run, from the last event
-	MaxEndpoints int  // the most endpoints that may run it
-	MaxSends     int  // the most sends, those that endpoints refused included
+	Repeatable   bool // the request may be executed more than once
+	Resumable    bool // another endpoint may continue the stream after its last event
+	MaxEndpoints int  // maximum number of endpoints that may execute the request
+	MaxSends     int  // maximum number of sends, including refused ones
 }
 
-// Call decides what happens with one caller's request. Its outcome follows from
-// what is known about its sends: a request has not run if no byte of it left or
-// if the endpoint said so; after anything else it may have run.
+// Call decides how one caller's request is sent, retried and answered. A request
+// counts as not run only if no byte of it was sent or the endpoint reported that
+// it did not run it; otherwise it may have run.
 type Call struct {
 	guards       Guards
 	rules        CallRules
-	allow        func() bool // whether the retry budget has room for one more send
+	allow        func() bool // takes one retry from the retry budget, if there is one left
 	state        CallState
 	sends        int
-	possibleRuns int // sends that ran or may have run
+	possibleRuns int // sends that were or may have been executed
 }
 
-// NewCall builds a call. Allow is asked before each send after the first one
-// that reached an endpoint, and takes that send from the budget.
+// NewCall returns a call that waits for an endpoint. The allow function takes one
+// retry from the retry budget; it is called before every send that follows one
+// which reached an endpoint.
 func NewCall(rules CallRules, allow func() bool, options ...Option) *Call {
 	return &Call{
 		guards: newGuards(options),
@@ -69,22 +70,22 @@
 	}
 }
 
-// Clone copies the call, for the checker.
+// Clone returns a copy of the call for the model checker.
 func (c *Call) Clone() *Call {
 	copied := *c
 	return &copied
 }
 
-// State gives the call's state.
+// State returns the call's state.
 func (c *Call) State() CallState { return c.state }
 
-// Sends counts the sends that reached an endpoint.
+// Sends returns the number of sends that reached an endpoint.
 func (c *Call) Sends() int { return c.sends }
 
-// MayHaveRun tells whether an endpoint ran the request or may have.
+// MayHaveRun reports whether an endpoint ran or may have run the request.
 func (c *Call) MayHaveRun() bool { return c.possibleRuns > 0 }
 
-// Step applies an event and gives what is to be done.
+// Step applies an event and returns the commands to carry out.
 func (c *Call) Step(_ time.Time, ev Event) []Command {
 	if c.state == CallEnded {
 		return nil
@@ -119,8 +120,9 @@
 	return nil
 }
 
-// stepStream applies an event to a call of whose answer the caller has a part.
-// It goes on from a copy, completes, or is cut: there is no other answer.
+// stepStream applies an event to a call whose caller has received a part of the
+// response. The stream can only be continued, completed or cut; a different
+// response must not follow.
 func (c *Call) stepStream(ev Event) []Command {
 	reason := ReasonBroken
 	switch e := ev.(type) {
@@ -158,8 +160,8 @@
 	return c.end(CutAnswer{Reason: reason})
 }
 
-// allowResume tells whether a stream may go on in another run, and takes that send from
-// the budget.
+// allowResume reports whether another endpoint may continue the stream, and takes
+// that send from the retry budget.
 func (c *Call) allowResume() bool {
 	return c.rules.Resumable && c.withinEndpoints() && c.sends < c.rules.MaxSends && c.allow()
 }
@@ -170,8 +172,8 @@
 	return []Command{ResumeCall{}}
 }
 
-// MayRunAgain tells whether the call may be sent to another endpoint although one
-// has it, as far as its own rules go; the budget is asked with the send.
+// MayRunAgain reports whether the call's rules permit another send while an
+// endpoint is running it. The retry budget is checked when the send is made.
 func (c *Call) MayRunAgain() bool {
 	return c.mayRunAgain() && c.withinEndpoints() && c.sends < c.rules.MaxSends
 }
@@ -179,11 +181,11 @@
 func (c *Call) handlePlaced() []Command {
 	c.fire(callSend)
 	c.sends++
-	c.possibleRuns++ // until the endpoint says otherwise
+	c.possibleRuns++ // until the endpoint reports otherwise
 	return []Command{SendCall{}}
 }
 
-// handleUnsent takes back a send of which no byte left the box.
+// handleUnsent reverts a send of which no byte left the box.
 func (c *Call) handleUnsent() []Command {
 	c.possibleRuns--
 	c.sends--
@@ -195,7 +197,7 @@
 	return c.retry(ReasonRefused, true)
 }
 
-// handleAnswered takes a whole answer, or the head of a stream.
+// handleAnswered handles a complete response, or the header of a streamed one.
 func (c *Call) handleAnswered(e CallAnswered) []Command {
 	if e.Failed && c.rules.Repeatable && c.possibleRuns < c.rules.MaxEndpoints && c.sends < c.rules.MaxSends && c.allow() {
 		c.fire(callReturn)
@@ -204,7 +206,7 @@
 	return c.end(PassAnswer{})
 }
 
-// handleBroken takes a connection that ended before the answer did.
+// handleBroken handles a connection that closed before the response was complete.
 func (c *Call) handleBroken() []Command {
 	if c.mayRunAgain() && c.withinEndpoints() && c.sends < c.rules.MaxSends && c.allow() {
 		c.fire(callReturn)
@@ -213,8 +215,9 @@
 	return c.end(c.refusal(ReasonBroken))
 }
 
-// retry places the call once more, or gives it up. A send that reached an
-// endpoint and was refused there counts against the budget.
+// retry returns the call to the queue, or refuses it if it must not be sent again.
+// A send that reached an endpoint (reached) and was refused there counts against
+// the retry budget.
 func (c *Call) retry(reason Reason, reached bool) []Command {
 	if c.mayRunAgain() || c.possibleRuns == 0 {
 		if c.sends < c.rules.MaxSends && (!reached || c.allow()) {
@@ -225,12 +228,12 @@
 	return c.end(c.refusal(reason))
 }
 
-// withinEndpoints tells whether another endpoint may run the call.
+// withinEndpoints reports whether one more endpoint may execute the call.
 func (c *Call) withinEndpoints() bool {
 	return c.possibleRuns < c.rules.MaxEndpoints || !c.guards.enabled(GuardCallOnce)
 }
 
-// mayRunAgain tells whether a call that may have run may be sent again.
+// mayRunAgain reports whether a call that may have run may be sent again.
 func (c *Call) mayRunAgain() bool {
 	return c.rules.Repeatable || !c.guards.enabled(GuardCallOnce)
 }
@@ -254,8 +257,9 @@
 	return []Command{command}
 }
 
-// fire moves the state; the callers above check what the state permits. Only
-// with a guard off is there a move that it doesn't, and the state stays.
+// fire applies a trigger to the state. Callers check that the state permits it; a
+// trigger that isn't permitted is possible only while a guard is disabled, and is
+// ignored then.
 func (c *Call) fire(trigger callTrigger) {
 	if err := callLifecycle.Fire(&c.state, trigger); err != nil && len(c.guards.off) == 0 {
 		panic(err)
--- a/core/call_event.go
+++ b/core/call_event.go
@@ -1,9 +1,9 @@
 package core
 
-// Reason says why a call was given up.
+// Reason is the reason why a call was refused or its stream was cut.
 type Reason string
 
-// The reasons for giving up a call.
+// The reasons for refusing or cutting a call.
 const (
 	ReasonNoEndpoint  Reason = "no endpoint"
 	ReasonUnreachable Reason = "endpoint unreachable"
@@ -14,72 +14,74 @@
 	ReasonQuarantined Reason = "endpoints end under the request"
 )
 
-// CallPlaced says that an endpoint was chosen and the send begins.
+// CallPlaced reports that an endpoint was chosen and that sending begins.
 type CallPlaced struct{ EventBase }
 
-// CallUnplaced says that no endpoint can take the call.
+// CallUnplaced reports that no endpoint can accept the call.
 type CallUnplaced struct{ EventBase }
 
-// CallQuarantined says that no endpoint may get the request, because several ended
-// under it.
+// CallQuarantined reports that the request may not be sent to any endpoint because
+// several endpoints crashed while running it.
 type CallQuarantined struct{ EventBase }
 
-// CallUnsent says that no byte of the request left the box.
+// CallUnsent reports that no byte of the request left the box.
 type CallUnsent struct{ EventBase }
 
-// CallRefused says that the endpoint answered that it didn't run the request.
+// CallRefused reports that the endpoint refused the request without running it.
 type CallRefused struct{ EventBase }
 
-// CallAnswered says that the endpoint's whole answer is there.
+// CallAnswered reports that the endpoint responded.
 type CallAnswered struct {
 	EventBase
-	Failed bool // the answer is the endpoint's own failure
+	Failed bool // the response is a failure of the endpoint itself
 }
 
-// CallBroken says that the connection ended before the answer did.
+// CallBroken reports that the connection closed before the response was complete.
 type CallBroken struct {
 	EventBase
-	Copy bool // another endpoint holds the run's memory
+	Copy bool // another endpoint has a copy of the run's memory
 }
 
-// CallProgressed says that a stream's event was passed on to the caller.
+// CallProgressed reports that an event of the stream was forwarded to the caller.
 type CallProgressed struct{ EventBase }
 
-// CallCompleted says that the caller has the whole stream.
+// CallCompleted reports that the caller has received the complete stream.
 type CallCompleted struct{ EventBase }
 
-// CallExpired says that the caller's or the route's time is over.
+// CallExpired reports that the caller's or the route's time limit has passed.
 type CallExpired struct{ EventBase }
 
-// CallAbandoned says that the caller left.
+// CallAbandoned reports that the caller disconnected.
 type CallAbandoned struct{ EventBase }
 
-// PlaceCall asks for an endpoint to send to.
+// PlaceCall asks the shell to choose an endpoint.
 type PlaceCall struct{ CommandBase }
 
-// SendCall sends the request to the chosen endpoint.
+// SendCall asks the shell to send the request to the chosen endpoint.
 type SendCall struct{ CommandBase }
 
-// ContinueCall goes on with a stream at the endpoint that holds its copy.
+// ContinueCall asks the shell to continue the stream at the endpoint that has a
+// copy of the run's memory.
 type ContinueCall struct{ CommandBase }
 
-// ResumeCall goes on with a stream in a new run at another endpoint, after the last
-// event that the caller has.
+// ResumeCall asks the shell to continue the stream in a new run at another
+// endpoint, after the last event that the caller has received.
 type ResumeCall struct{ CommandBase }
 
-// PassAnswer gives the endpoint's answer to the caller, unchanged.
+// PassAnswer asks the shell to forward the endpoint's response unchanged.
 type PassAnswer struct{ CommandBase }
 
-// CutAnswer ends a stream so that it can't look complete.
+// CutAnswer asks the shell to end the stream in a way that the caller can't take
+// for a complete one.
 type CutAnswer struct {
 	CommandBase
 	Reason Reason
 }
 
-// CancelCall stops the run, because nobody waits for it.
+// CancelCall asks the shell to cancel the run, since the caller is gone.
 type CancelCall struct{ CommandBase }
 
-// RefuseCall answers the caller that the call is given up.
+// RefuseCall asks the shell to respond with an error to the caller.
 type RefuseCall struct {
 	CommandBase
 	Outcome Outcome
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,8 +1,10 @@
-// Package core holds the protocol decisions of one node as pure aggregates.
+// Package core implements the decisions of the protocol as state machines
+// without side effects.
 //
-// Each aggregate is a value with a Step method, (state, event, now) ->
-// commands. Nothing here starts a goroutine, reads a clock, opens a socket or
-// draws a random number, so the same code runs in the processes, under the
-// model checker and under replay. Times are monotonic readings given by the
-// caller; an aggregate only compares and adds them.
+// Each state machine is an aggregate: a value whose Step method applies an event
+// at a given time, updates the state and returns commands for the caller (the
+// shell) to carry out. The package starts no goroutines, reads no clock, opens no
+// sockets and draws no random numbers, so the same code runs in production, in
+// the model checker and in trace replay. Times come from the shell's monotonic
+// clock and are only compared and added.
 package core
--- a/core/event.go
+++ b/core/event.go
@@ -1,25 +1,25 @@
 package core
 
-// Event is something that happened to an aggregate.
+// Event is an input of an aggregate: something that happened.
 type Event interface{ isEvent() }
 
-// Command is something that an aggregate asks its shell to do.
+// Command is an output of an aggregate: an action for its shell to carry out.
 type Command interface{ isCommand() }
 
-// EventBase marks a type as an event when it is embedded.
+// EventBase is embedded in a type to implement Event.
 type EventBase struct{}
 
 func (EventBase) isEvent() {}
 
-// CommandBase marks a type as a command when it is embedded.
+// CommandBase is embedded in a type to implement Command.
 type CommandBase struct{}
 
 func (CommandBase) isCommand() {}
 
-// Outcome is the final word on whether a request was run.
+// Outcome states whether a request was executed.
 type Outcome string
 
-// The three final outcomes.
+// The final outcomes of a request.
 const (
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
--- a/core/version.go
+++ b/core/version.go
@@ -1,9 +1,9 @@
 package core
 
-// VersionState is the state of the configuration on one box.
+// VersionState is the state of one box's configuration.
 type VersionState string
 
-// A box has no configuration, has one in force, or knows of a newer one.
+// States of the configuration: none yet, up to date, or older than a known version.
 const (
 	VersionNone     VersionState = "none"
 	VersionActive   VersionState = "in-force"
@@ -32,7 +32,7 @@
 	},
 })
 
-// VersionOffered tells that a document of a version was read and checked.
+// VersionOffered reports that a configuration document was read and validated.
 type VersionOffered struct {
 	EventBase
 	Version  uint64
@@ -40,7 +40,7 @@
 	Digest   uint64
 }
 
-// VersionHeard tells that a peer named the version that it has in force.
+// VersionHeard reports the version that a peer has active.
 type VersionHeard struct {
 	EventBase
 	Version uint64
@@ -48,7 +48,7 @@
 	From    string
 }
 
-// PutInForce asks the shell to use the document of a version from now on.
+// PutInForce asks the shell to activate the document of a version.
 type PutInForce struct {
 	CommandBase
 	Version uint64
@@ -61,26 +61,26 @@
 	From    string
 }
 
-// VersionRejected tells that an offered document is not put in force.
+// VersionRejected reports that an offered document was not activated.
 type VersionRejected struct {
 	CommandBase
 	Version uint64
 	Reason  RejectReason
 }
 
-// RejectReason says why a document is not put in force.
+// RejectReason is the reason why a document was not activated.
 type RejectReason string
 
-// The reasons for which a document is not put in force.
+// The reasons for rejecting a document.
 const (
 	RejectNotNewer RejectReason = "not-newer"
 	RejectInvalid  RejectReason = "faulty"
 	RejectConflict RejectReason = "same-version-lower-digest"
 )
 
-// Versions decides which configuration version is in force on one box. Operators
-// who race may publish two texts under one version; then the one with the higher
-// digest is in force on every box, whichever came first.
+// Versions decides which configuration version is active on one box. If operators
+// publish two documents under the same version, the one with the higher digest
+// wins on every box, in whichever order they arrive.
 type Versions struct {
 	State            VersionState
 	Active           uint64
@@ -90,7 +90,7 @@
 	guards           Guards
 }
 
-// NewVersions starts with no configuration.
+// NewVersions returns a Versions without an active configuration.
 func NewVersions(options ...Option) *Versions {
 	return &Versions{
 		State:  VersionNone,
@@ -98,7 +98,7 @@
 	}
 }
 
-// Step applies one event.
+// Step applies an event and returns the commands to carry out.
 func (v *Versions) Step(ev Event) []Command {
 	switch e := ev.(type) {
 	case VersionOffered:
@@ -133,8 +133,8 @@
 	}}
 }
 
-// isWanted reports whether a version that a peer named is wanted; a faulty one is
-// not asked for again.
+// isWanted reports whether to fetch the version that a peer announced. A version
+// that was rejected as invalid is not fetched again.
 func (v *Versions) isWanted(e VersionHeard) bool {
 	if e.Version == v.Active {
 		return e.Digest > v.Digest
