--- a/core/budget.go
+++ b/core/budget.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// windowSlots divides a window; counts fall out of it one slot at a time.
+// windowSlots is the number of slots of a window; counts expire slot by slot.
 const windowSlots = 20
 
-// BudgetRules bound the sends after the first of each request, summed over all
-// boxes, in any window.
+// BudgetRules limit the retries of a service over all boxes: the sends after the
+// first one of each request, in any window.
 type BudgetRules struct {
-	Ratio  float64 // sends for each request
-	Slack  int     // sends beyond the ratio, over all boxes
+	Ratio  float64 // retries per request
+	Slack  int     // retries beyond the ratio, for all boxes together
 	Window time.Duration
-	Safety float64 // the part of both that is spent, for counts that differ between boxes
+	Safety float64 // fraction of the limit that is used, since boxes' counts differ
 }
 
-// SharedBudget is one box's part of the budget of one service. A box spends by
-// the requests that it sees itself and by its share of the slack.
+// SharedBudget is one box's part of a service's retry budget: the retries earned by
+// the requests that the box itself sends, and its share of the slack. Boxes can
+// transfer unused retries to each other.
 type SharedBudget struct {
 	rules         BudgetRules
 	start         time.Time
 	requests      slidingWindow
 	spent         slidingWindow
-	restarted     bool // it may have spent before its process began
-	transferred   int
-	transferredAt time.Time // when the last of the borrowed came
+	restarted     bool // an earlier process of the box may have used the slack
+	transferred   int  // retries received from other boxes and not used yet
+	transferredAt time.Time
 }
 
-// transferTTL is how long borrowed sends may be used: the lender counts them
-// from when it gave them.
+// transferTTL is how long received retries may be used. They have to be used soon,
+// since the sender counts them from the time of the transfer.
 const transferTTL = time.Second
 
-// NewSharedBudget builds a budget. One that isn't new begins without slack: the
-// process before it on the same box may have spent it a moment ago.
+// NewSharedBudget returns a budget. Unless fresh is set, it has no slack during its
+// first window, since an earlier process of the box may just have used it.
 func NewSharedBudget(now time.Time, rules BudgetRules, fresh bool) *SharedBudget {
 	return &SharedBudget{
 		rules:     rules,
@@ -40,7 +41,7 @@
 	}
 }
 
-// slot numbers the slots by time since the start, never by time of day.
+// slot returns the number of the current slot, counted by monotonic time.
 func (b *SharedBudget) slot(now time.Time) int64 {
 	return int64(now.Sub(b.start) / (b.rules.Window / windowSlots))
 }
@@ -50,8 +51,8 @@
 	b.requests.add(b.slot(now))
 }
 
-// Remaining gives how many more sends the box has itself. Boxes is how many share
-// the slack.
+// Remaining returns the number of the box's own retries that are left, with the
+// slack divided among the given number of boxes.
 func (b *SharedBudget) Remaining(now time.Time, boxes int) int {
 	requests := float64(b.requests.sum(b.slot(now)))
 	share := float64(b.rules.Slack) / float64(max(boxes, 1))
@@ -61,7 +62,7 @@
 	return int(b.rules.Safety*(b.rules.Ratio*requests+share)) - b.spent.sum(b.slot(now))
 }
 
-// Allow takes one more send from the budget, if it has room.
+// Allow takes one retry from the budget and reports whether there was one.
 func (b *SharedBudget) Allow(now time.Time, boxes int) bool {
 	if b.transferred > 0 && now.Sub(b.transferredAt) < transferTTL {
 		b.transferred--
@@ -75,7 +76,8 @@
 	return true
 }
 
-// TransferOut gives up to some sends to another box, and keeps some for itself.
+// TransferOut takes up to the given number of retries from the budget for another
+// box, but leaves keep of them. It returns the number taken.
 func (b *SharedBudget) TransferOut(now time.Time, boxes, sends, keep int) int {
 	transferred := max(0, min(sends, b.Remaining(now, boxes)-keep))
 	for range transferred {
@@ -84,7 +86,7 @@
 	return transferred
 }
 
-// TransferIn takes sends that another box gave.
+// TransferIn adds retries received from another box.
 func (b *SharedBudget) TransferIn(now time.Time, sends int) {
 	if now.Sub(b.transferredAt) >= transferTTL {
 		b.transferred = 0
@@ -93,11 +95,12 @@
 	b.transferredAt = now
 }
 
-// Suspended gives up what other boxes lent: the machine stood still, and they may have
-// counted it as spent longer ago than a window.
+// Suspended discards received retries after a suspension of the machine: the
+// sender may have counted them more than a window ago.
 func (b *SharedBudget) Suspended() { b.transferred = 0 }
 
-// Available gives how many sends the box may make now, borrowed ones included.
+// Available returns the number of retries that the box can make now, received ones
+// included.
 func (b *SharedBudget) Available(now time.Time, boxes int) int {
 	if now.Sub(b.transferredAt) < transferTTL {
 		return b.transferred + b.Remaining(now, boxes)
@@ -105,8 +108,8 @@
 	return b.Remaining(now, boxes)
 }
 
-// slidingWindow counts in slots of a sliding window; it holds one slot more than the
-// window, so that a count never falls out early.
+// slidingWindow counts events per slot. It has one more slot than the window is
+// divided into, so that no count expires early.
 type slidingWindow struct {
 	counts [windowSlots + 1]int
 	slot   int64
--- a/core/claim.go
+++ b/core/claim.go
@@ -4,16 +4,16 @@
 	"time"
 )
 
-// ClaimKey names one request that may run at most once.
+// ClaimKey identifies one request that may run at most once.
 type ClaimKey struct {
 	Customer string
 	Key      string
 }
 
-// ClaimState is the state of one claim at its home.
+// ClaimState is the state of one claim at its owner.
 type ClaimState string
 
-// A claim is granted, then settled as run, not run or unknown.
+// A claim is granted to one attempt, then settled as ran, not run or unknown.
 const (
 	ClaimGranted ClaimState = "granted"
 	ClaimRan     ClaimState = "ran"
@@ -40,7 +40,7 @@
 	ClaimUnknown: {claimFinish: ClaimRan},
 })
 
-// ClaimRecord is what a home knows of one key.
+// ClaimRecord is a claim owner's record of one key.
 type ClaimRecord struct {
 	Key       ClaimKey
 	State     ClaimState
@@ -48,11 +48,11 @@
 	Asker     Box
 	Status    int
 	Response  []byte
-	SettleAt  time.Duration // age of the record since its last change
+	SettleAt  time.Duration // age of the record since its last change, in a handover
 	changedAt time.Time
 }
 
-// ClaimVerdict is a home's answer to a claim.
+// ClaimVerdict is a claim owner's answer to a claim.
 type ClaimVerdict string
 
 // The answers to a claim; only granted permits a send.
@@ -65,7 +65,11 @@
 	VerdictNotYet   ClaimVerdict = "not-yet"
 )
 
-// ClaimOwner keeps the claims whose keys belong to one box.
+// ClaimOwner holds the claims of the keys that one box owns, so that each key is
+// granted to at most one attempt at a time and never again once it has run. The
+// owner of a key is chosen from the box list by rendezvous hashing. When the list
+// changes, the previous owners send their records to the new ones in handovers;
+// until then the new owner doesn't grant keys that a previous one may have granted.
 type ClaimOwner struct {
 	self      Box
 	rules     ClaimRules
@@ -78,7 +82,7 @@
 	lastSweep time.Time
 }
 
-// NewClaimOwner starts with empty memory.
+// NewClaimOwner returns a claim owner without records.
 func NewClaimOwner(self Box, rules ClaimRules, now time.Time, options ...Option) *ClaimOwner {
 	return &ClaimOwner{
 		self:     self,
@@ -90,7 +94,7 @@
 	}
 }
 
-// Step applies one event.
+// Step applies an event and returns the commands to carry out.
 func (o *ClaimOwner) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case ListAdopted:
@@ -117,13 +121,13 @@
 	return nil
 }
 
-// Self gives the life of the box that this home is on.
+// Self returns the box and process that this claim owner runs in.
 func (o *ClaimOwner) Self() Box { return o.self }
 
-// Len gives the number of records held.
+// Len returns the number of records.
 func (o *ClaimOwner) Len() int { return len(o.records) }
 
-// Open counts the claims that were granted and not settled.
+// Open returns the number of claims that were granted and not settled.
 func (o *ClaimOwner) Open() int {
 	open := 0
 	for _, r := range o.records {
@@ -168,7 +172,7 @@
 	return o.grant(now, e)
 }
 
-// ClaimScope is the text by which a key's home is found.
+// ClaimScope returns the string that is hashed to find a key's owner.
 func ClaimScope(key ClaimKey) string { return key.Customer + "\x00" + key.Key }
 
 func (o *ClaimOwner) replyFromRecord(e ClaimAsked, r *ClaimRecord) []Command {
@@ -182,7 +186,7 @@
 		return o.reply(e, VerdictUnknown, nil)
 	}
 	if r.Attempt == e.Attempt {
-		return o.reply(e, VerdictGranted, nil) // its first answer was lost; an attempt sends once
+		return o.reply(e, VerdictGranted, nil) // a repeated request; each attempt sends only once
 	}
 	return o.reply(e, VerdictInFlight, nil)
 }
@@ -239,7 +243,8 @@
 	r.changedAt = now
 }
 
-// handleBoxLost turns what a lost entry held into unknown: it may have sent.
+// handleBoxLost marks the open claims of a lost process as unknown, since it may
+// have sent the requests.
 func (o *ClaimOwner) handleBoxLost(now time.Time, e BoxLost) {
 	for _, r := range o.records {
 		if r.State == ClaimGranted && r.Asker.Name == e.Box.Name && r.Asker.Incarnation <= e.Box.Incarnation {
@@ -249,7 +254,7 @@
 	}
 }
 
-// sweep forgets records older than the retention time; a granted one stays.
+// sweep removes settled records that are older than the retention time.
 func (o *ClaimOwner) sweep(now time.Time) {
 	if now.Sub(o.lastSweep) < o.rules.Retention/60 {
 		return
--- a/core/claim_event.go
+++ b/core/claim_event.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// ListAdopted tells that a higher list version is in use on this box.
+// ListAdopted reports that the box switched to a newer box list.
 type ListAdopted struct {
 	EventBase
 	List *List
 	At   time.Time
 }
 
-// ListConfirmed tells that the list in use was the newest at a moment.
+// ListConfirmed reports that the list in use was the newest one at a given time.
 type ListConfirmed struct {
 	EventBase
 	Version uint64
 	At      time.Time
 }
 
-// ClaimAsked tells that an entry wants to run a key.
+// ClaimAsked reports that a box wants to run the request of a key.
 type ClaimAsked struct {
 	EventBase
 	Key         ClaimKey
 	Attempt     string
 	Asker       Box
 	ListVersion uint64
-	HomeKnown   Incarnation
-	Timed       bool // the key carries the time at which it was made
+	HomeKnown   Incarnation // the claim owner's incarnation as last seen by the asker; 0 if none
+	Timed       bool        // the key contains its creation time
 	KeyAge      time.Duration
 }
 
-// ClaimSettled tells how a granted attempt ended.
+// ClaimSettled reports the outcome of a granted attempt.
 type ClaimSettled struct {
 	EventBase
 	Key      ClaimKey
@@ -40,30 +40,30 @@
 	Response []byte
 }
 
-// BoxLost tells that a life of a box has ended.
+// BoxLost reports that a process of a box has ended.
 type BoxLost struct {
 	EventBase
 	Box Box
 }
 
-// ClaimGuardSet tells the guard time that the configuration gives.
+// ClaimGuardSet reports the guard time from the configuration.
 type ClaimGuardSet struct {
 	EventBase
 	Guard time.Duration
 }
 
-// ClaimAnswered asks the shell to answer a claim.
+// ClaimAnswered asks the shell to send the answer to a claim.
 type ClaimAnswered struct {
 	CommandBase
 	Attempt    string
 	Verdict    ClaimVerdict
 	Status     int
 	Response   []byte
-	ValidFor   time.Duration
-	ClaimOwner Box
+	ValidFor   time.Duration // how long a grant may be used
+	ClaimOwner Box           // the box and process that answers
 }
 
-// ListWanted asks the shell to fetch a newer list.
+// ListWanted asks the shell to fetch a newer box list.
 type ListWanted struct {
 	CommandBase
 	Version uint64
--- a/core/claim_rules.go
+++ b/core/claim_rules.go
@@ -4,26 +4,30 @@
 	"time"
 )
 
-// ClaimRules are the bounds of the at-most-once records.
+// ClaimRules are the time limits of at-most-once claims.
 //
-// Records are kept for Retention. A key that carries its time (a UUID of
-// version 7) and is older than that, or than a loss of records, gets "unknown"
-// for ever; its maker's clock may be off by Skew at most. Any other key that is
-// not on record counts as new once Guard has passed since the last loss.
-//
-// Guard must exceed Fresh and GrantTTL by more than the platform's usual lag:
-// a home that lost touch stops granting within Fresh, and a grant it gave is
-// spent within GrantTTL, before its successor grants anything.
+// Guard must exceed Fresh plus GrantTTL by more than the usual delay of list
+// updates: a claim owner that is cut off stops granting within Fresh, and its last
+// grant expires within GrantTTL, both before its successor grants anything.
 type ClaimRules struct {
-	Guard     time.Duration
-	Fresh     time.Duration
-	GrantTTL  time.Duration
+	// Guard is how long keys without a creation time that have no record are
+	// answered "unknown" after records were lost. Later they count as new.
+	Guard time.Duration
+	// Fresh is the maximum age of the box list's confirmation for granting claims.
+	Fresh time.Duration
+	// GrantTTL is how long a grant may be used.
+	GrantTTL time.Duration
+	// Retention is how long records are kept. A key with a creation time (a UUID of
+	// version 7) that is older than that, or older than a loss of records, is always
+	// answered "unknown".
 	Retention time.Duration
+	// BootSlack is the maximum age of a box list at which the fleet counts as new.
 	BootSlack time.Duration
-	Skew      time.Duration
+	// Skew is the maximum clock error of a key's creator.
+	Skew time.Duration
 }
 
-// DefaultClaimRules gives the bounds that the processes use.
+// DefaultClaimRules returns the limits used in production.
 func DefaultClaimRules() ClaimRules {
 	return ClaimRules{
 		Guard:     10 * time.Minute,
@@ -35,5 +39,5 @@
 	}
 }
 
-// minGuard is what a guard time must exceed for its purpose.
+// minGuard returns the lower bound of a configured guard time.
 func (r *ClaimRules) minGuard() time.Duration { return r.Fresh + r.GrantTTL + r.Skew }
--- a/core/digest.go
+++ b/core/digest.go
@@ -6,19 +6,20 @@
 	"encoding/hex"
 )
 
-// digestBytes are enough that no two requests of a deployment share a digest by chance or
-// by design.
+// digestBytes is the digest's length, sufficient to rule out collisions, also
+// deliberate ones.
 const digestBytes = 16
 
-// Digest names what a request asks for, the same at every box and for every repeat.
+// Digest identifies the content of a request. Repeats of a request have the same
+// digest on every box.
 type Digest [digestBytes]byte
 
-// NewDigest gives the digest of a request's parts, in their order.
+// NewDigest returns the digest of a request's parts, in order.
 func NewDigest(parts ...[]byte) Digest {
 	h := sha256.New()
 	for _, part := range parts {
-		// The length goes first, so that no two lists of parts read the same.
-		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(part)))) // a hash takes all bytes
+		// The length prefix separates the parts.
+		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(part)))) // never fails
 		_, _ = h.Write(part)
 	}
 	var d Digest
@@ -26,5 +27,5 @@
 	return d
 }
 
-// String gives the digest as text for logs.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/core/drain.go
+++ b/core/drain.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// DrainState is the state of a process on its way out.
+// DrainState is the state of a process during a planned stop.
 type DrainState string
 
-// A process serves, drains after a planned stop, and leaves when empty.
+// A process serves, drains after a stop request, and leaves when it has no work.
 const (
 	DrainServing  DrainState = "serving"
 	DrainDraining DrainState = "draining"
@@ -31,24 +31,24 @@
 	},
 })
 
-// StopRequested tells that a planned stop was asked for; a second one changes
-// nothing.
+// StopRequested reports a request for a planned stop; repeated requests have no
+// effect.
 type StopRequested struct{ EventBase }
 
-// WorkChanged tells how much work is in progress and what is not handed over.
+// WorkChanged reports the work that is still in progress.
 type WorkChanged struct {
 	EventBase
 	Streams int
-	Pending int
+	Pending int // handovers that are not finished
 }
 
-// RefuseNewWork asks the shell to refuse new work and to hand over.
+// RefuseNewWork asks the shell to refuse new work and to start handing over.
 type RefuseNewWork struct{ CommandBase }
 
 // Exit asks the shell to end the process.
 type Exit struct{ CommandBase }
 
-// Drain decides when a process that was asked to stop may leave.
+// Drain decides when a process with a planned stop may exit.
 type Drain struct {
 	State  DrainState
 	work   WorkChanged
@@ -56,7 +56,7 @@
 	guards Guards
 }
 
-// NewDrain starts in service.
+// NewDrain returns a Drain of a serving process.
 func NewDrain(options ...Option) *Drain {
 	return &Drain{
 		State:  DrainServing,
@@ -64,13 +64,13 @@
 	}
 }
 
-// Accepting reports whether new work is taken.
+// Accepting reports whether the process accepts new work.
 func (d *Drain) Accepting() bool { return d.State == DrainServing }
 
-// Since gives the moment of the first stop.
+// Since returns the time of the first stop request.
 func (d *Drain) Since() time.Time { return d.since }
 
-// Step applies one event.
+// Step applies an event and returns the commands to carry out.
 func (d *Drain) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case StopRequested:
--- a/core/fence.go
+++ b/core/fence.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Fence orders the orders to one endpoint: an endpoint that checks refuses
-// every order with a lower fence than the highest it has seen.
+// Fence is a fencing token of the orders that an owner sends to an endpoint. An
+// endpoint that checks it refuses orders with a lower token than the highest it
+// has seen.
 type Fence struct {
 	Config      uint64      `json:"config"`
 	List        uint64      `json:"list"`
 	Incarnation Incarnation `json:"incarnation"`
 }
 
-// Compare orders two fences by list, configuration and owner's life.
+// Compare orders two tokens by list version, configuration version and incarnation.
 func (f Fence) Compare(other Fence) int {
 	return cmp.Or(
 		cmp.Compare(f.List, other.List),
@@ -22,18 +23,18 @@
 	)
 }
 
-// FenceCheck is the check that an endpoint or its stand-in makes.
+// FenceCheck is the check of fencing tokens in an endpoint or its stand-in.
 type FenceCheck struct {
 	Highest Fence
 	guards  Guards
 }
 
-// NewFenceCheck starts with the lowest fence.
+// NewFenceCheck returns a check that has seen no order.
 func NewFenceCheck(options ...Option) *FenceCheck {
 	return &FenceCheck{guards: newGuards(options)}
 }
 
-// Admit reports whether an order with a fence is taken.
+// Admit reports whether an order with the given token is accepted.
 func (g *FenceCheck) Admit(f Fence) bool {
 	if f.Compare(g.Highest) < 0 && g.guards.enabled(GuardFence) {
 		return false
@@ -44,12 +45,12 @@
 	return true
 }
 
-// OrderRules bound when an owner may order endpoints that check no fence.
+// OrderRules limit the orders to endpoints that don't check fencing tokens.
 type OrderRules struct {
 	Fresh time.Duration
 }
 
-// OrderPermission says when the owner of one endpoint may send it orders.
+// OrderPermission decides when a box may send orders to one endpoint as its owner.
 type OrderPermission struct {
 	takenAt     time.Time
 	isOwner     bool
@@ -58,7 +59,7 @@
 	guards      Guards
 }
 
-// NewOrderPermission starts as no owner.
+// NewOrderPermission returns the permission of a box that isn't the owner.
 func NewOrderPermission(rules OrderRules, options ...Option) *OrderPermission {
 	return &OrderPermission{
 		rules:  rules,
@@ -66,7 +67,7 @@
 	}
 }
 
-// Step applies one event.
+// Step applies an event.
 func (o *OrderPermission) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
@@ -85,9 +86,9 @@
 	return nil
 }
 
-// Permitted reports whether an order may be sent now. Towards an endpoint that
-// doesn't check, an owner with an old reading stops, and a new owner waits
-// until the old one has stopped.
+// Permitted reports whether an order may be sent now. If the endpoint doesn't check
+// fencing tokens, an owner whose list was not confirmed recently must not send, and
+// a new owner waits until the previous one has stopped for that reason.
 func (o *OrderPermission) Permitted(now time.Time, checks bool) bool {
 	if !o.isOwner {
 		return false
--- a/core/guard.go
+++ b/core/guard.go
@@ -1,45 +1,46 @@
 package core
 
-// Guard names one rule that keeps a promise, so that a proof can switch it off
-// and show that the break is found. Processes never switch one off.
+// Guard names a safety check of the protocol. Tests disable single guards to
+// verify that the model checker finds the resulting fault; production code never
+// disables any.
 type Guard string
 
-// The guards, by the promise that each keeps.
+// The guards and the property that each one ensures.
 const (
-	GuardOffset         Guard = "offset"         // tokens once and in order
-	GuardOrigin         Guard = "origin"         // tokens of one generation, none crossed
+	GuardOffset         Guard = "offset"         // tokens are forwarded once and in order
+	GuardOrigin         Guard = "origin"         // a stream has tokens of one generation only
 	GuardNoSplice       Guard = "no-splice"      // no restart after the first token
-	GuardCompleteAnswer Guard = "whole-answer"   // a cut answer is not given as whole
-	GuardBytesSent      Guard = "bytes-left"     // not-run only if no byte left
+	GuardCompleteAnswer Guard = "whole-answer"   // a truncated response doesn't look complete
+	GuardBytesSent      Guard = "bytes-left"     // "not run" only if no byte was sent
 	GuardClaimRecord    Guard = "claim-record"   // a key is granted once
-	GuardClaimTakeover  Guard = "claim-takeover" // a new home waits for the old
-	GuardClaimFresh     Guard = "claim-fresh"    // a home with an old list stops
-	GuardClaimRestart   Guard = "claim-restart"  // a restarted home knows nothing
-	GuardLeaseExpiry    Guard = "lease-expiry"   // no send on an expired lease
-	GuardLeaseLeaving   Guard = "lease-leaving"  // no renewal for the leaving
-	GuardLeasePause     Guard = "lease-pause"    // who wakes from a pause asks first
-	GuardLeaseTakeover  Guard = "lease-takeover" // a new owner waits out the old
-	GuardVersionOrder   Guard = "version-order"  // never an older configuration
-	GuardVersionQuery   Guard = "version-ask"    // a starting box asks its peers
-	GuardDrain          Guard = "drain"          // a planned stop waits for streams
-	GuardFence          Guard = "fence"          // an older order is refused
-	GuardFenceWait      Guard = "fence-wait"     // a new owner waits before orders
-	GuardCallOnce       Guard = "call-once"      // what may have run is not sent again
-	GuardCallOutcome    Guard = "call-outcome"   // not-run only if no send may have run
-	GuardCallPartial    Guard = "call-part"      // no other answer after a part of one
+	GuardClaimTakeover  Guard = "claim-takeover" // a new claim owner waits for the previous ones
+	GuardClaimFresh     Guard = "claim-fresh"    // a claim owner with an outdated list stops granting
+	GuardClaimRestart   Guard = "claim-restart"  // a restarted claim owner treats its records as lost
+	GuardLeaseExpiry    Guard = "lease-expiry"   // no send with an expired lease
+	GuardLeaseLeaving   Guard = "lease-leaving"  // no leases for an endpoint that is leaving
+	GuardLeasePause     Guard = "lease-pause"    // after a pause, the list is confirmed before granting
+	GuardLeaseTakeover  Guard = "lease-takeover" // a new owner waits for the previous one's leases to expire
+	GuardVersionOrder   Guard = "version-order"  // no change to an older configuration
+	GuardVersionQuery   Guard = "version-ask"    // a starting box queries its peers
+	GuardDrain          Guard = "drain"          // a planned stop waits for open streams
+	GuardFence          Guard = "fence"          // an order with a lower fencing token is refused
+	GuardFenceWait      Guard = "fence-wait"     // a new owner waits before it sends orders
+	GuardCallOnce       Guard = "call-once"      // a request that may have run isn't sent again
+	GuardCallOutcome    Guard = "call-outcome"   // "not run" only if no send may have run
+	GuardCallPartial    Guard = "call-part"      // no second response after a part of one
 )
 
-// Guards is the set of rules that are switched off, empty in production.
+// Guards holds the guards that are disabled; in production it is empty.
 type Guards struct {
 	off map[Guard]bool
 }
 
 func (g Guards) enabled(guard Guard) bool { return !g.off[guard] }
 
-// Option changes how an aggregate is built.
+// Option configures a new aggregate.
 type Option func(*Guards)
 
-// WithoutGuard switches one rule off; only proofs use it.
+// WithoutGuard disables one guard, for tests of the model.
 func WithoutGuard(guard Guard) Option {
 	return func(g *Guards) {
 		if g.off == nil {
