--- a/core/generation.go
+++ b/core/generation.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Origin identifies one generation in one life of one endpoint.
+// Origin identifies one generation in one process of an endpoint.
 type Origin struct {
 	Endpoint    string
 	Incarnation Incarnation
@@ -14,7 +14,7 @@
 // GenerationState is the state of one caller's stream.
 type GenerationState string
 
-// A generation waits, is placed, streams, resumes after a cut, and ends.
+// A generation waits, is placed, streams, resumes after an interruption, and ends.
 const (
 	GenerationWaiting   GenerationState = "waiting"
 	GenerationPlaced    GenerationState = "placed"
@@ -56,10 +56,10 @@
 	},
 })
 
-// EndCode is the stable code of a stream's end.
+// EndCode is the error code with which a stream ended.
 type EndCode string
 
-// The codes of a stream's end; EndDone is the only one without an error.
+// The codes with which a stream ends; EndDone is the only one without an error.
 const (
 	EndDone          EndCode = ""
 	EndRefused       EndCode = "endpoint_refused"
@@ -70,10 +70,10 @@
 	EndSlowCaller    EndCode = "slow_caller"
 )
 
-// DropReason says why a frame is not forwarded.
+// DropReason is the reason why a frame was not forwarded.
 type DropReason string
 
-// The reasons for which a frame is dropped.
+// The reasons for dropping a frame.
 const (
 	DropNone      DropReason = ""
 	DropDuplicate DropReason = "duplicate"
@@ -82,31 +82,33 @@
 	DropLate      DropReason = "late"
 )
 
-// GenerationRules bounds retries and resumes of one stream.
+// GenerationRules limit the retries and resumes of one stream.
 type GenerationRules struct {
 	Attempts     int
 	ResumeWindow time.Duration
 	ResumeDelay  time.Duration
 }
 
-// Generation assembles one caller's stream from one engine generation.
+// Generation produces one caller's stream from the generation of one engine. It
+// forwards each token once and in order, retries before the first token, and
+// resumes an interrupted stream only from the same generation.
 type Generation struct {
 	State             GenerationState
 	Repeatable        bool
 	Attempt           int
 	Origin            Origin
-	NextOffset        uint64
-	BytesSent         bool
-	MayHaveRun        bool
+	NextOffset        uint64 // offset of the next token to forward
+	BytesSent         bool   // bytes of the current attempt may have been sent
+	MayHaveRun        bool   // an earlier attempt may have run
 	Outcome           Outcome
 	Code              EndCode
-	interruptedAt     time.Time
+	interruptedAt     time.Time // when the stream first broke at interruptedOffset
 	interruptedOffset uint64
 	rules             GenerationRules
 	guards            Guards
 }
 
-// NewGeneration starts a stream that waits for its first placement.
+// NewGeneration returns a stream that waits for its first placement.
 func NewGeneration(repeatable bool, rules GenerationRules, options ...Option) *Generation {
 	return &Generation{
 		State:      GenerationWaiting,
@@ -116,7 +118,8 @@
 	}
 }
 
-// ContinueGeneration takes a stream over at an offset, on any box.
+// ContinueGeneration returns a stream that resumes an existing generation at an
+// offset, possibly one that another box started.
 func ContinueGeneration(origin Origin, nextOffset uint64, rules GenerationRules, options ...Option) *Generation {
 	g := NewGeneration(true, rules, options...)
 	g.State = GenerationResuming
@@ -127,7 +130,7 @@
 	return g
 }
 
-// Step applies one event.
+// Step applies an event and returns the commands to carry out.
 func (g *Generation) Step(now time.Time, ev Event) []Command {
 	if g.State == GenerationEnded {
 		return nil
@@ -172,8 +175,8 @@
 	}}
 }
 
-// handleRefused is the one way back from a byte that left: the endpoint itself says
-// that it did not start.
+// handleRefused places the request again. Only a refusal by the endpoint shows that
+// a request didn't run although bytes of it were sent.
 func (g *Generation) handleRefused(e Refused) []Command {
 	if e.Attempt != g.Attempt || g.State != GenerationPlaced {
 		return nil
@@ -185,8 +188,8 @@
 	return g.retryPlacement()
 }
 
-// unstartedOutcome is the outcome when no attempt is running now: an earlier one that
-// was given up on may still have run.
+// unstartedOutcome returns the outcome when no attempt is running. An earlier
+// attempt that was abandoned may have run.
 func (g *Generation) unstartedOutcome() Outcome {
 	if g.MayHaveRun && g.guards.enabled(GuardBytesSent) {
 		return Unknown
@@ -200,8 +203,8 @@
 	return []Command{PlaceAgain{Avoid: avoid}}
 }
 
-// CheckFrame judges one frame without building commands; it is the path that every
-// token takes.
+// CheckFrame decides whether to forward a frame. It allocates no commands, since it
+// is called for every token.
 func (g *Generation) CheckFrame(attempt int, origin Origin, offset uint64) DropReason {
 	if attempt != g.Attempt || g.State == GenerationWaiting || g.State == GenerationEnded {
 		return DropLate
@@ -232,16 +235,16 @@
 	return g.Origin.Incarnation == 0 || origin.Incarnation == g.Origin.Incarnation
 }
 
-// CountForwarded counts the frame that Accept let through.
+// CountForwarded advances the offset after a frame was forwarded.
 func (g *Generation) CountForwarded() { g.NextOffset++ }
 
 func (g *Generation) handleFrame(e FrameArrived) []Command {
 	if e.Final && e.Attempt == g.Attempt && e.Offset+1 == g.NextOffset && g.sameOrigin(e.Origin) {
-		return g.end(Ran, EndDone) // the caller had the end already and asked again
+		return g.end(Ran, EndDone) // the caller had received all tokens and resumed
 	}
 	reason := g.CheckFrame(e.Attempt, e.Origin, e.Offset)
 	if reason == DropGap {
-		g.Origin = e.Origin // a resume must find this life of the endpoint
+		g.Origin = e.Origin // resume only in the same process of the endpoint
 		return append([]Command{DropFrame{Reason: reason}}, g.resumeAfter(0)...)
 	}
 	if reason != DropNone {
--- a/core/generation_event.go
+++ b/core/generation_event.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// Placed tells that an endpoint was chosen for the next attempt.
+// Placed reports that an endpoint was chosen for the next attempt.
 type Placed struct {
 	EventBase
 	Endpoint   string
 	Generation string
 }
 
-// Sending tells that the next write may let bytes of the request out.
+// Sending reports that bytes of the request are about to be sent.
 type Sending struct {
 	EventBase
 	Attempt int
 }
 
-// Refused tells that the endpoint refused the attempt before starting it.
+// Refused reports that the endpoint refused the attempt without starting it.
 type Refused struct {
 	EventBase
 	Attempt int
 }
 
-// FrameArrived tells that a token or the end of a generation arrived.
+// FrameArrived reports that a token or the end of a generation arrived.
 type FrameArrived struct {
 	EventBase
 	Attempt int
@@ -32,27 +32,27 @@
 	Final   bool
 }
 
-// LinkLost tells that an attempt's link broke or made no progress in time.
+// LinkLost reports that the connection of an attempt broke or timed out.
 type LinkLost struct {
 	EventBase
 	Attempt int
 }
 
-// GenerationGone tells that the endpoint no longer knows the generation.
+// GenerationGone reports that the endpoint no longer has the generation.
 type GenerationGone struct {
 	EventBase
 	Attempt int
 }
 
-// CallerGone tells that the caller cancelled or left for good.
+// CallerGone reports that the caller cancelled the request or won't return.
 type CallerGone struct{ EventBase }
 
-// CallerLeft tells that the caller's link is lost or that another box, or a
-// newer link, continues the stream.
+// CallerLeft reports that the caller's connection broke, or that another box or a
+// newer connection continues the stream.
 type CallerLeft struct{ EventBase }
 
-// CallerSlow tells that the caller took nothing of its stream for too long; it
-// may continue the stream as one whose link was lost.
+// CallerSlow reports that the caller didn't read from its stream for too long. It
+// may resume the stream as after a broken connection.
 type CallerSlow struct{ EventBase }
 
 // SendAttempt asks the shell to send the request to the endpoint.
@@ -62,14 +62,14 @@
 	Origin  Origin
 }
 
-// ForwardToken asks the shell to hand the frame to the caller.
+// ForwardToken asks the shell to forward a frame to the caller.
 type ForwardToken struct {
 	CommandBase
 	Offset uint64
 	Origin Origin
 }
 
-// DropFrame tells that a frame is not for the caller.
+// DropFrame reports that a frame was not forwarded.
 type DropFrame struct {
 	CommandBase
 	Reason DropReason
@@ -84,7 +84,7 @@
 	Delay   time.Duration
 }
 
-// PlaceAgain asks the shell to have the request placed once more.
+// PlaceAgain asks the shell to choose another endpoint for the request.
 type PlaceAgain struct {
 	CommandBase
 	Avoid string
@@ -96,14 +96,14 @@
 	Origin Origin
 }
 
-// ReleaseStream asks the shell to leave the generation to a caller that may come
-// back, and to cancel it after a while if nobody reads it.
+// ReleaseStream asks the shell to keep the generation running for a caller that may
+// return, and to cancel it after a while if nobody reads it.
 type ReleaseStream struct {
 	CommandBase
 	Origin Origin
 }
 
-// EndStream asks the shell to give the caller the final answer.
+// EndStream asks the shell to end the stream with the final outcome.
 type EndStream struct {
 	CommandBase
 	Outcome Outcome
--- a/core/join.go
+++ b/core/join.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// JoinState is the state of a starting box.
+// JoinState is the state of a box that starts.
 type JoinState string
 
-// A starting box asks its peers, then serves.
+// A starting box queries its peers, then serves.
 const (
 	JoinQuerying JoinState = "asking"
 	JoinServing  JoinState = "serving"
@@ -20,35 +20,35 @@
 	JoinServing:  {joinAnswered: JoinServing},
 })
 
-// JoinRules bound how long a starting box asks.
+// JoinRules limit how long a starting box waits for its peers.
 type JoinRules struct {
 	Timeout time.Duration
 }
 
-// PeersListed tells whom a starting box can ask.
+// PeersListed reports the peers that a starting box queries.
 type PeersListed struct {
 	EventBase
 	Boxes []string
 }
 
-// PeerAnswered tells that a peer said what it has in force; what it has was
-// offered to the versions before.
+// PeerAnswered reports that a peer sent its active versions. The shell has passed
+// them to Versions before.
 type PeerAnswered struct {
 	EventBase
 	Box string
 }
 
-// PeerUnreachable tells that a peer can't be reached or didn't answer.
+// PeerUnreachable reports that a peer can't be reached or didn't answer.
 type PeerUnreachable struct {
 	EventBase
 	Box string
 }
 
-// JoinTicked tells that time has passed.
+// JoinTicked reports that time has passed.
 type JoinTicked struct{ EventBase }
 
-// Join decides when a starting box may serve: after its peers said what they
-// have in force, since the platform may be down or show an older state.
+// Join decides when a starting box may serve. It first waits for its peers' active
+// versions, since the platform may be down or serve an older state.
 type Join struct {
 	State       JoinState
 	started     time.Time
@@ -58,7 +58,7 @@
 	guards      Guards
 }
 
-// NewJoin starts to ask.
+// NewJoin returns a Join that waits for its peers.
 func NewJoin(now time.Time, rules JoinRules, options ...Option) *Join {
 	return &Join{
 		State:   JoinQuerying,
@@ -69,7 +69,7 @@
 	}
 }
 
-// Step applies one event.
+// Step applies an event.
 func (j *Join) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case PeersListed:
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Clone copies the state.
+// Clone returns an independent copy for the model checker.
 func (j *Join) Clone() *Join {
 	copied := *j
 	copied.pending = make(map[string]bool, len(j.pending))
--- a/core/lease.go
+++ b/core/lease.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// LeaseState is the state of an owner's hold on one endpoint.
+// LeaseState is the state of a box's ownership of an endpoint.
 type LeaseState string
 
-// An owner waits out its predecessor, grants a safe share, or grants all.
+// An owner waits for its predecessor's leases to expire, grants a safe share, or
+// grants everything.
 const (
 	LeaseWaiting LeaseState = "waiting"
 	LeaseSafe    LeaseState = "safe-share"
@@ -45,13 +46,13 @@
 	},
 })
 
-// LeaseRules are the bounds of memory leases.
+// LeaseRules are the time limits of memory leases.
 type LeaseRules struct {
-	TTL   time.Duration
-	Fresh time.Duration
+	TTL   time.Duration // how long a lease lasts
+	Fresh time.Duration // maximum age of the box list's confirmation for a full grant
 }
 
-// DefaultLeaseRules gives the bounds that the processes use.
+// DefaultLeaseRules returns the limits used in production.
 func DefaultLeaseRules() LeaseRules {
 	return LeaseRules{
 		TTL:   4 * time.Second,
@@ -59,10 +60,10 @@
 	}
 }
 
-// Ownership is an owner's right to lease out one half of an endpoint. Each endpoint
-// has two owners with a half each, so that one's death leaves the other's half
-// in use at once. The hold says how much may be leased; who gets how much is
-// the matter of admission.Shares.
+// Ownership is a box's right to lease out one owner slot of an endpoint, which is
+// half of its memory. Each endpoint has two owner slots on different boxes, so that
+// half of the endpoint stays usable when an owner fails. Ownership decides how much
+// may be leased at a time; admission.Shares divides it among the boxes.
 type Ownership struct {
 	State           LeaseState
 	Endpoint        string
@@ -71,37 +72,37 @@
 	predecessorEnd  time.Time
 	waitUntil       time.Time
 	lastTick        time.Time
-	resumedAt       time.Time // after a pause, until a reading is confirmed anew
+	resumedAt       time.Time // end of a pause, until the list is confirmed again
 	confirmedAt     time.Time
 	rules           LeaseRules
 	guards          Guards
 }
 
-// HoldTaken tells that the list makes this box the owner. Fresh means that
-// nobody can have owned the half before.
+// HoldTaken reports that the box list makes this box the owner. Fresh is set if the
+// owner slot can't have had an owner before.
 type HoldTaken struct {
 	EventBase
 	Fresh bool
 }
 
-// HoldLost tells that the list makes another box the owner.
+// HoldLost reports that the box list makes another box the owner.
 type HoldLost struct{ EventBase }
 
-// EndpointLeaving tells whether the list shows the endpoint as leaving.
+// EndpointLeaving reports whether the box list marks the endpoint as leaving.
 type EndpointLeaving struct {
 	EventBase
 	Leaving bool
 }
 
-// PredecessorGone tells that the owner before is known to grant nothing more:
-// it handed over, came back with this list or a later one, or is long dead.
+// PredecessorGone reports that the previous owner grants nothing more: it handed
+// over, restarted with this list or a newer one, or has been down for long enough.
 type PredecessorGone struct{ EventBase }
 
-// HoldTicked tells that the process runs; it comes several times in the time for
-// which a reading is fresh.
+// HoldTicked reports that the process is running. It is sent several times within
+// LeaseRules.Fresh.
 type HoldTicked struct{ EventBase }
 
-// NewOwnership starts closed.
+// NewOwnership returns the ownership state of a box that isn't the owner.
 func NewOwnership(endpoint string, rules LeaseRules, options ...Option) *Ownership {
 	return &Ownership{
 		State:    LeaseClosed,
@@ -111,7 +112,7 @@
 	}
 }
 
-// Step applies one event.
+// Step applies an event.
 func (o *Ownership) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
@@ -141,7 +142,7 @@
 	}
 }
 
-// clear lets the hold grant all when the predecessor's last leases have ended.
+// clear permits full grants once the predecessor's last leases have expired.
 func (o *Ownership) clear(now time.Time) {
 	if o.predecessorGone || o.State == LeaseFull {
 		return
@@ -153,9 +154,9 @@
 	}
 }
 
-// handleTick notices a pause: who wakes from one may believe in what changed in the
-// meantime, and grants nothing until a reading is confirmed anew. An outage of
-// the platform alone is no pause.
+// handleTick detects pauses of the process. After a pause the ownership may have
+// changed, so nothing is granted until the list is confirmed again. An unreachable
+// platform does not count as a pause.
 func (o *Ownership) handleTick(now time.Time) {
 	if !o.lastTick.IsZero() && now.Sub(o.lastTick) > o.rules.Fresh && o.guards.enabled(GuardLeasePause) {
 		o.resumedAt = now
@@ -172,12 +173,12 @@
 	}
 }
 
-// safeDivisor is the part of an endpoint that an owner may lease when another
-// owner may still believe in its own right: two halves never exceed the whole.
+// safeDivisor reduces grants while another box may still act as the owner, so that
+// both together never grant more than the owner slot has.
 const safeDivisor = 2
 
-// Grantable gives how many of an endpoint's units may be leased now, and until
-// when at the longest.
+// Grantable returns how many of an owner slot's tokens may be leased now, and the
+// maximum duration of a lease.
 func (o *Ownership) Grantable(now time.Time, capacity int) (int, time.Duration) {
 	if o.State == LeaseClosed || o.leaving && o.guards.enabled(GuardLeaseLeaving) {
 		return 0, 0
@@ -193,7 +194,7 @@
 	return capacity, o.rules.TTL
 }
 
-// advance moves on when the predecessor's leases have ended.
+// advance updates the state when the predecessor's leases have expired.
 func (o *Ownership) advance(now time.Time) {
 	if o.predecessorGone && !now.Before(o.predecessorEnd) && o.State != LeaseFull {
 		_ = leaseLifecycle.Fire(&o.State, leaseClear)
@@ -203,8 +204,8 @@
 	}
 }
 
-// Lease is what an entry holds of one endpoint. Its end is counted from the
-// moment before the entry asked, so that a delayed answer is never too long.
+// Lease is a box's share of an endpoint. It expires TTL after the box sent its
+// request for it, so that a delayed answer doesn't extend it.
 type Lease struct {
 	Endpoint string
 	Tokens   int
@@ -213,7 +214,7 @@
 	guards   Guards
 }
 
-// NewLease builds a lease that was asked for at a moment.
+// NewLease returns a lease that was requested at the given time.
 func NewLease(endpoint string, requestedAt time.Time, ttl time.Duration, tokens, slots int, options ...Option) Lease {
 	return Lease{
 		Endpoint: endpoint,
@@ -224,7 +225,7 @@
 	}
 }
 
-// Usable reports whether new work may be sent on the lease.
+// Usable reports whether new requests may be sent under the lease.
 func (l *Lease) Usable(now time.Time) bool {
 	if !l.guards.enabled(GuardLeaseExpiry) {
 		return l.Tokens > 0
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -7,26 +7,26 @@
 	"github.com/qmuntal/stateless"
 )
 
-// IllegalTransition reports a trigger that a state does not permit.
+// IllegalTransition is the error for a trigger that the current state doesn't permit.
 type IllegalTransition struct {
 	State   string
 	Trigger string
 }
 
-// Error names the state, the trigger and the remedy.
+// Error returns the trigger and the state.
 func (e *IllegalTransition) Error() string {
-	return fmt.Sprintf("%s is not permitted in state %s; drop the event or start a new aggregate", e.Trigger, e.State)
+	return fmt.Sprintf("trigger %s is not permitted in state %s", e.Trigger, e.State)
 }
 
 type stateKey struct{}
 
-// Lifecycle is one state machine shared by all aggregates of a kind; the state
-// itself stays in the aggregate, so that it can be copied.
+// Lifecycle is a state machine that is shared by all aggregates of a kind. The state
+// is stored in the aggregate, so that it is copied with it.
 type Lifecycle[S ~string, T ~string] struct {
 	machine *stateless.StateMachine
 }
 
-// NewLifecycle builds the machine from a table of permitted transitions.
+// NewLifecycle returns the state machine for a table of permitted transitions.
 func NewLifecycle[S ~string, T ~string](table map[S]map[T]S) *Lifecycle[S, T] {
 	machine := stateless.NewStateMachineWithExternalStorage(
 		func(ctx context.Context) (stateless.State, error) { return *ctx.Value(stateKey{}).(*S), nil },
@@ -55,10 +55,10 @@
 	return &Lifecycle[S, T]{machine: machine}
 }
 
-// Fire moves the state by a trigger, or reports an IllegalTransition.
+// Fire applies a trigger to the state, or returns an IllegalTransition.
 func (l *Lifecycle[S, T]) Fire(state *S, trigger T) error {
 	return l.machine.FireCtx(context.WithValue(context.Background(), stateKey{}, state), trigger)
 }
 
-// Graph gives the machine in DOT form, for the docs.
+// Graph returns the state machine in DOT format.
 func (l *Lifecycle[S, T]) Graph() string { return l.machine.ToGraph() }
--- a/core/owner.go
+++ b/core/owner.go
@@ -2,18 +2,18 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// SlotCount is the number of owners of an endpoint.
+// SlotCount is the number of owner slots of an endpoint.
 const SlotCount = 2
 
-// Owners works the owners of endpoints out under one list. It is built once a list,
-// since each endpoint's owners are drawn from the boxes of its region.
+// Owners determines the owners of endpoints under one box list. It groups the boxes
+// by region once per list, since an endpoint's owners are chosen from its region.
 type Owners struct {
 	all      []*Member
 	byRegion map[string][]*Member
 	regionOf map[string]string // by zone
 }
 
-// NewOwners sorts a list's live boxes by region.
+// NewOwners groups a list's boxes by region, without the leaving ones.
 func NewOwners(l *List) *Owners {
 	o := &Owners{
 		byRegion: make(map[string][]*Member),
@@ -31,10 +31,10 @@
 	return o
 }
 
-// Of gives the box that owns a half of an endpoint: one of the endpoint's own
-// region, so that a region that is cut off goes on to own what it reaches. The
-// second half goes to another zone than the first where there is one, else to
-// another box.
+// Of returns the box that owns an owner slot of an endpoint. It is in the endpoint's
+// region, so that a region that is cut off still owns its reachable endpoints. The
+// second slot's owner is in another availability zone than the first one's, or else
+// is another box, if there is one.
 func (o *Owners) Of(endpoint, zone string, slot int) string {
 	candidates := o.byRegion[o.regionOf[zone]]
 	if len(candidates) == 0 {
@@ -61,7 +61,7 @@
 	return m.Name
 }
 
-// highestScoring gives the member with the highest rendezvous score for a key.
+// highestScoring returns the member with the highest rendezvous score for a key.
 func highestScoring(key string, members []*Member, skip func(*Member) bool) *Member {
 	var best *Member
 	var bestScore uint64
--- a/core/peer_discovery.go
+++ b/core/peer_discovery.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// PeerDiscoveryRules bound when a starting box takes what it knows of the others for whole.
+// PeerDiscoveryRules define when a starting box considers its list of peers complete.
 type PeerDiscoveryRules struct {
-	MinWait   time.Duration // since the start, before which it never does
-	MaxWait   time.Duration // since the start, after which it does whatever it knows
-	Window    time.Duration // over which growth is looked at
-	MaxGrowth float64       // the part of the boxes known that may be new in a window
+	MinWait   time.Duration // minimum time since the start
+	MaxWait   time.Duration // time since the start after which the list counts as complete
+	Window    time.Duration // time over which growth is measured
+	MaxGrowth float64       // maximum fraction of known peers that were added in a window
 }
 
-// DefaultPeerDiscoveryRules fit boxes that greet four others a second: 295 that started at
-// once knew nine in ten of each other after 3 s and the last one after 9 s.
+// DefaultPeerDiscoveryRules returns the rules for boxes that exchange gossip with
+// four others per second.
 func DefaultPeerDiscoveryRules() PeerDiscoveryRules {
 	return PeerDiscoveryRules{
 		MinWait:   time.Second,
@@ -21,10 +21,10 @@
 	}
 }
 
-// PeerDiscovery tells when a starting box knows most of the others, so that it can work out
-// its part of what is divided among all: while boxes that start together know few of
-// each other, each takes itself for the owner of nearly everything. Once settled a
-// box stays so.
+// PeerDiscovery decides when a starting box knows most of the other boxes, and so can
+// compute its share of what is divided among all. While boxes that start together
+// know only a few others, each of them would compute a share that is far too large.
+// Once complete, discovery stays complete.
 type PeerDiscovery struct {
 	rules    PeerDiscoveryRules
 	start    time.Time
@@ -37,7 +37,7 @@
 	known int
 }
 
-// NewPeerDiscovery begins at a box's start.
+// NewPeerDiscovery returns the discovery of a box that starts now.
 func NewPeerDiscovery(now time.Time, rules PeerDiscoveryRules) *PeerDiscovery {
 	return &PeerDiscovery{
 		rules: rules,
@@ -45,8 +45,9 @@
 	}
 }
 
-// Observe takes how many other boxes are known, and tells whether that is most of them.
-// Expected says that there are others: a box that knows none of them yet isn't alone.
+// Observe records the number of other boxes known and reports whether discovery is
+// complete. The flag expected is set if there are other boxes, so that a box that
+// knows none of them yet doesn't take itself for the only one.
 func (s *PeerDiscovery) Observe(now time.Time, known int, expected bool) bool {
 	if s.complete {
 		return true
--- a/core/retry.go
+++ b/core/retry.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// RetryBudget lets retries be a bounded part of first tries, so that a zone's
-// return is met by no storm.
+// RetryBudget limits retries to a fraction of first attempts, so that a recovering
+// zone isn't overloaded by retries.
 type RetryBudget struct {
 	ratio  float64
 	burst  float64
 	tokens float64
 }
 
-// NewRetryBudget allows ratio retries for each first try, and a burst of most.
+// NewRetryBudget returns a budget of ratio retries per first attempt, of which up to
+// burst can accumulate. It starts full.
 func NewRetryBudget(ratio, burst float64) *RetryBudget {
 	return &RetryBudget{
 		ratio:  ratio,
@@ -22,12 +23,12 @@
 	}
 }
 
-// CountFirstAttempt earns a part of a retry.
+// CountFirstAttempt adds a first attempt's fraction of a retry to the budget.
 func (b *RetryBudget) CountFirstAttempt() {
 	b.tokens = min(b.burst, b.tokens+b.ratio)
 }
 
-// TakeRetry takes one retry if the budget holds it.
+// TakeRetry takes one retry from the budget and reports whether there was one.
 func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
@@ -36,8 +37,8 @@
 	return true
 }
 
-// Backoff gives the pause before a retry: exponential from base up to most,
-// with the shell's jitter in [0, 1) spread over its upper half.
+// Backoff returns the delay before a retry. It grows exponentially from baseDelay to
+// maxDelay; jitter in [0, 1) places it in the upper half of that value.
 func Backoff(attempt int, baseDelay, maxDelay time.Duration, jitter float64) time.Duration {
 	full := float64(baseDelay) * math.Pow(2, float64(max(0, attempt-1)))
 	full = min(full, float64(maxDelay))
