--- a/core/claim.go
+++ b/core/claim.go
@@ -208,19 +208,19 @@
 }
 
 func (o *ClaimOwner) reply(e ClaimAsked, verdict ClaimVerdict, r *ClaimRecord) []Command {
-	a := ClaimAnswered{
+	answer := ClaimAnswered{
 		Attempt:    e.Attempt,
 		Verdict:    verdict,
 		ClaimOwner: o.self,
 	}
 	if verdict == VerdictGranted {
-		a.ValidFor = o.rules.GrantTTL
+		answer.ValidFor = o.rules.GrantTTL
 	}
 	if r != nil {
-		a.Status = r.Status
-		a.Response = r.Response
+		answer.Status = r.Status
+		answer.Response = r.Response
 	}
-	return []Command{a}
+	return []Command{answer}
 }
 
 func (o *ClaimOwner) handleSettled(now time.Time, e ClaimSettled) {
--- a/core/evacuation.go
+++ b/core/evacuation.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// EvacuationRules are the times of a plan.
+// EvacuationRules are the time limits of an evacuation plan.
 type EvacuationRules struct {
-	// Settle is how long a box waits, after it learned that an engine leaves, for
-	// what the other boxes have there.
+	// Settle is how long a box waits for the other boxes' runs before the first move.
 	Settle time.Duration
-	// Slack is what a move may take beyond twice its copy before the next one
-	// begins all the same.
+	// Slack is how long a move may take beyond twice its copy time before the next
+	// move starts anyway.
 	Slack time.Duration
 }
 
-// DefaultEvacuationRules fit boxes that hear each other within some milliseconds.
-// A move is two calls to the engine beside its copy; a copy that met another one
-// on the target's link takes about twice its time.
+// DefaultEvacuationRules returns the limits used in production. Settle covers the
+// gossip between boxes; Slack covers the two calls to the engine that a move makes
+// besides the copy.
 func DefaultEvacuationRules() EvacuationRules {
 	return EvacuationRules{
 		Settle: 20 * time.Millisecond,
@@ -25,64 +24,63 @@
 	}
 }
 
-// EvacuatedRun is a run that is to be moved off an engine that leaves.
+// EvacuatedRun is a run that has to be moved off a leaving engine.
 type EvacuatedRun struct {
 	ID       string
-	Rank     int           // lower ones go first
-	Value    float64       // in any unit that all boxes use
-	CopyTime time.Duration // what the copy of its memory takes on a free link
+	Rank     int           // lower ranks move first
+	Value    float64       // benefit of the move, in the same unit at all boxes
+	CopyTime time.Duration // copy time of its memory over an idle link
 }
 
-// RunsAdded says that runs are at the engine, of this box or of another one.
+// RunsAdded reports runs at the engine, of this box (Own) or of another one.
 type RunsAdded struct {
 	EventBase
 	Runs []EvacuatedRun
 	Own  bool
 }
 
-// RunFinished says that a run is at the engine no more, or that its move failed for
-// good.
+// RunFinished reports that a run is no longer at the engine, or that its move
+// failed permanently.
 type RunFinished struct {
 	EventBase
 	ID string
 }
 
-// WakeTimeReached says that a time came which the plan asked to be woken at.
+// WakeTimeReached reports that the time of the last WakeAt has come.
 type WakeTimeReached struct{ EventBase }
 
-// MoveRun asks the shell to move one of its runs now.
+// MoveRun asks the shell to move one of the box's own runs now.
 type MoveRun struct {
 	CommandBase
 	ID string
 }
 
-// WakeAt asks the shell for TurnPassed at a time.
+// WakeAt asks the shell to send WakeTimeReached at a given time.
 type WakeAt struct {
 	CommandBase
 	At time.Time
 }
 
-// Evacuation plans the moves off one engine that leaves: one after the other, over
-// all boxes. The engine copies the memory of runs one after the other over one
-// link; moves that are begun together all end late, and those that didn't end
-// when the engine goes are lost together. Every box computes the same order from
-// what the boxes tell each other. A box that hears nothing, or tells nothing, only
-// lets its turn pass.
+// Evacuation plans the moves of runs off one leaving engine, one at a time over all
+// boxes. The engine copies memory over a single link, so moves that run in parallel
+// would all finish late and could be lost together. The boxes exchange their runs
+// and each computes the same order. If messages are lost, a box waits at most
+// until the current move's deadline before the next move starts.
 type Evacuation struct {
 	rules        EvacuationRules
 	startedAt    time.Time
 	runs         map[string]*plannedRun
-	current      *plannedRun // whose move is under way
+	current      *plannedRun // run that is being moved
 	currentSince time.Time
 }
 
 type plannedRun struct {
 	EvacuatedRun
 	own  bool
-	done bool // its turn passed, or it is over
+	done bool // its move ended or timed out
 }
 
-// NewEvacuation begins a plan when the box learns that the engine leaves.
+// NewEvacuation returns a plan for an engine that was found to be leaving now.
 func NewEvacuation(now time.Time, rules EvacuationRules) *Evacuation {
 	return &Evacuation{
 		rules:     rules,
@@ -91,7 +89,7 @@
 	}
 }
 
-// Step takes an event and gives what is to be done.
+// Step applies an event and returns the commands to carry out.
 func (v *Evacuation) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case RunsAdded:
@@ -104,8 +102,8 @@
 	return v.startNext(now)
 }
 
-// addRun takes a run. One that was over is in the plan again when its own box says
-// so: its move may be tried once more.
+// addRun adds a run to the plan. A run that was done is planned again, so that its
+// box can retry the move.
 func (v *Evacuation) addRun(r EvacuatedRun, own bool) {
 	known := v.runs[r.ID]
 	if known != nil && (known == v.current || !known.done) {
@@ -117,7 +115,7 @@
 	}
 }
 
-// finishRun closes a run's part, also before it was heard of.
+// finishRun marks a run as done.
 func (v *Evacuation) finishRun(id string) {
 	r := v.runs[id]
 	if r == nil {
@@ -129,7 +127,7 @@
 	}
 }
 
-// startNext gives the turn to the first run that waits, if nobody has it.
+// startNext starts the next move unless one is in progress.
 func (v *Evacuation) startNext(now time.Time) []Command {
 	if settled := v.startedAt.Add(v.rules.Settle); now.Before(settled) {
 		return []Command{WakeAt{At: settled}}
@@ -154,13 +152,13 @@
 	}
 }
 
-// currentDeadline gives when the next run goes on although the one before isn't over.
+// currentDeadline returns when the next move starts even if the current one hasn't
+// ended.
 func (v *Evacuation) currentDeadline() time.Time {
 	return v.currentSince.Add(2*v.current.CopyTime + v.rules.Slack)
 }
 
-// nextRun gives the run that goes next: by rank, then by what a second of the link
-// saves.
+// nextRun returns the run to move next: by rank, then by value per second of copying.
 func (v *Evacuation) nextRun() *plannedRun {
 	var best *plannedRun
 	for _, r := range v.runs {
--- a/core/handover.go
+++ b/core/handover.go
@@ -6,45 +6,47 @@
 	"time"
 )
 
-// ReplacedList is a list that was replaced, kept while its homes may still matter.
+// ReplacedList is a box list that was replaced. It is kept while its claim owners
+// may have granted keys that now belong to others.
 type ReplacedList struct {
 	List       *List
 	Next       uint64        // version of the list that replaced it
-	Age        time.Duration // since it was replaced, in a message
+	Age        time.Duration // time since it was replaced, in a handover
 	replacedAt time.Time
 }
 
-// Handover is what one home tells its successor.
+// Handover is the message in which a claim owner sends its records and what it knows
+// about earlier owners to another box.
 type Handover struct {
 	From        Box
 	To          string
 	ListVersion uint64
-	Final       bool // From grants nothing more
-	Settled     bool // From itself knows the past
-	Blind       bool // From lost what was before, BlindAge ago
+	Final       bool // From is stopping and grants nothing more
+	Settled     bool // From knows the history of claim owners
+	Blind       bool // From lost older records, BlindAge ago
 	BlindAge    time.Duration
 	Records     []ClaimRecord
 	Epochs      []ReplacedList
-	Earlier     bool // From met an earlier life of To
+	Earlier     bool // From knew an earlier process of To
 }
 
-// HandoverAsked tells that a successor wants what it takes over.
+// HandoverAsked reports that a successor requests a handover.
 type HandoverAsked struct {
 	EventBase
 	From        Box
 	ListVersion uint64
 }
 
-// HandoverArrived tells that a predecessor handed over.
+// HandoverArrived reports that a handover arrived.
 type HandoverArrived struct {
 	EventBase
 	Handover Handover
 }
 
-// HandoverDue tells that it is time to ask those who haven't handed over.
+// HandoverDue reports that it is time to request missing handovers.
 type HandoverDue struct{ EventBase }
 
-// Retire tells that this box stops and must hand over all it has.
+// Retire reports that this box stops and must hand over all records.
 type Retire struct{ EventBase }
 
 // HandoverSent asks the shell to send a handover.
@@ -53,7 +55,7 @@
 	Handover Handover
 }
 
-// HandoverWanted asks the shell to ask a box for its handover.
+// HandoverWanted asks the shell to request a handover from a box.
 type HandoverWanted struct {
 	CommandBase
 	From        string
@@ -61,7 +63,7 @@
 }
 
 func (o *ClaimOwner) handleHandoverAsked(now time.Time, e HandoverAsked) []Command {
-	earlier := o.recordPeer(now, e.From)
+	restarted := o.recordPeer(now, e.From)
 	if o.snapshot.List == nil {
 		return nil
 	}
@@ -69,19 +71,19 @@
 		return []Command{ListWanted{Version: e.ListVersion}}
 	}
 	if e.ListVersion < o.snapshot.List.Version {
-		return nil // what is the asker's by its list may not be by this one
+		return nil // keys of the asker may belong to another box under the newer list
 	}
-	return []Command{HandoverSent{Handover: o.buildHandover(now, e.From.Name, earlier)}}
+	return []Command{HandoverSent{Handover: o.buildHandover(now, e.From.Name, restarted)}}
 }
 
-func (o *ClaimOwner) buildHandover(now time.Time, to string, earlier bool) Handover {
+func (o *ClaimOwner) buildHandover(now time.Time, to string, restarted bool) Handover {
 	out := Handover{
 		From:        o.self,
 		To:          to,
 		ListVersion: o.snapshot.List.Version,
 		Final:       o.retired,
 		Settled:     o.takeover.historyKnown,
-		Earlier:     earlier,
+		Earlier:     restarted,
 	}
 	if !o.takeover.recordsLostAt.IsZero() {
 		out.Blind = true
@@ -95,9 +97,9 @@
 			out.Records = append(out.Records, copied)
 		}
 	}
-	for _, ep := range o.takeover.replacedLists {
-		ep.Age = now.Sub(ep.replacedAt)
-		out.Epochs = append(out.Epochs, ep)
+	for _, replaced := range o.takeover.replacedLists {
+		replaced.Age = now.Sub(replaced.replacedAt)
+		out.Epochs = append(out.Epochs, replaced)
 	}
 	return out
 }
@@ -129,8 +131,8 @@
 	for _, r := range in.Records {
 		o.mergeRecord(now, r)
 	}
-	for _, ep := range in.Epochs {
-		o.mergeReplacedList(now, ep)
+	for _, replaced := range in.Epochs {
+		o.mergeReplacedList(now, replaced)
 	}
 	o.mergeHistory(in)
 	if in.Settled && in.ListVersion == o.snapshot.List.Version {
@@ -140,25 +142,25 @@
 
 func (o *ClaimOwner) mergeRecord(now time.Time, r ClaimRecord) {
 	existing := o.records[r.Key]
-	ended := existing != nil && existing.Attempt == r.Attempt && existing.State == ClaimGranted
-	if existing != nil && existing.State != ClaimNotRun && !ended {
+	sameAttempt := existing != nil && existing.Attempt == r.Attempt && existing.State == ClaimGranted
+	if existing != nil && existing.State != ClaimNotRun && !sameAttempt {
 		return
 	}
 	r.changedAt = now.Add(-r.SettleAt)
 	o.records[r.Key] = &r
 }
 
-func (o *ClaimOwner) mergeReplacedList(now time.Time, ep ReplacedList) {
+func (o *ClaimOwner) mergeReplacedList(now time.Time, replaced ReplacedList) {
 	for _, known := range o.takeover.replacedLists {
-		if known.Next == ep.Next && known.List.Version == ep.List.Version {
+		if known.Next == replaced.Next && known.List.Version == replaced.List.Version {
 			return
 		}
 	}
-	ep.replacedAt = now.Add(-ep.Age)
-	o.takeover.replacedLists = append(o.takeover.replacedLists, ep)
+	replaced.replacedAt = now.Add(-replaced.Age)
+	o.takeover.replacedLists = append(o.takeover.replacedLists, replaced)
 }
 
-// handOverAll hands everything to the successors and grants nothing more.
+// handOverAll sends all records to their successors and stops granting.
 func (o *ClaimOwner) handOverAll(now time.Time) []Command {
 	o.retired = true
 	if o.snapshot.List == nil {
--- a/core/snapshot.go
+++ b/core/snapshot.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Clone copies a home, so that a checker can go on from one state twice.
+// Clone returns an independent copy for the model checker.
 func (o *ClaimOwner) Clone() *ClaimOwner {
 	copied := *o
 	copied.records = make(map[ClaimKey]*ClaimRecord, len(o.records))
@@ -21,8 +21,8 @@
 	return &copied
 }
 
-// Fingerprint writes all that decides a home's later answers, with times as
-// ages, so that two states that behave alike are written alike.
+// Fingerprint appends everything that determines the claim owner's later answers.
+// Times are written as ages, so that equivalent states have equal fingerprints.
 func (o *ClaimOwner) Fingerprint(b []byte, now time.Time) []byte {
 	age := func(t time.Time) time.Duration {
 		if t.IsZero() {
@@ -39,27 +39,27 @@
 		r := o.records[key]
 		b = fmt.Appendf(b, "%s:%s/%s/%v|", key.Key, r.State, r.Attempt, r.Asker)
 	}
-	for _, ep := range o.takeover.replacedLists {
-		b = fmt.Appendf(b, "e%d-%d/%d/%d|", ep.List.Version, ep.Next, len(ep.List.Boxes), age(ep.replacedAt))
+	for _, replaced := range o.takeover.replacedLists {
+		b = fmt.Appendf(b, "e%d-%d/%d/%d|", replaced.List.Version, replaced.Next, len(replaced.List.Boxes), age(replaced.replacedAt))
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.takeover.handovers)) {
-		handover := o.takeover.handovers[name]
-		b = fmt.Appendf(b, "h%s%d/%d|", name, handover.version, age(handover.recordsLostAt))
+		status := o.takeover.handovers[name]
+		b = fmt.Appendf(b, "h%s%d/%d|", name, status.version, age(status.recordsLostAt))
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.takeover.peers)) {
-		k := o.takeover.peers[name]
-		b = fmt.Appendf(b, "k%s%d/%v/%d/%v|", name, k.incarnation, k.restarted, age(k.firstSeen), k.handedOver)
+		peer := o.takeover.peers[name]
+		b = fmt.Appendf(b, "k%s%d/%v/%d/%v|", name, peer.incarnation, peer.restarted, age(peer.firstSeen), peer.handedOver)
 	}
 	return fmt.Appendf(b, "%v/%v/%d", o.takeover.historyKnown, o.takeover.newFleet, age(o.takeover.recordsLostAt))
 }
 
-// Clone copies an owner's hold.
+// Clone returns an independent copy for the model checker.
 func (o *Ownership) Clone() *Ownership {
 	copied := *o
 	return &copied
 }
 
-// Fingerprint writes what decides a hold's later answers.
+// Fingerprint appends everything that determines the ownership's later answers.
 func (o *Ownership) Fingerprint(b []byte, now time.Time) []byte {
 	wait := max(0, o.waitUntil.Sub(now))
 	untilClear := max(0, o.predecessorEnd.Sub(now))
@@ -68,13 +68,13 @@
 	return fmt.Appendf(b, "L%s,%v,%v,%d,%d,%d,%d,%v|", o.State, o.leaving, o.predecessorGone, wait, untilClear, age, tick, o.resumedAt.IsZero())
 }
 
-// Clone copies a generation.
+// Clone returns an independent copy for the model checker.
 func (g *Generation) Clone() *Generation {
 	copied := *g
 	return &copied
 }
 
-// Fingerprint writes what decides a generation's later answers.
+// Fingerprint appends everything that determines the generation's later commands.
 func (g *Generation) Fingerprint(b []byte, now time.Time) []byte {
 	cut := time.Duration(-1)
 	if !g.interruptedAt.IsZero() {
@@ -84,31 +84,31 @@
 		g.State, g.Attempt, g.Origin, g.NextOffset, g.BytesSent, g.MayHaveRun, g.Outcome, g.Code, cut, g.interruptedOffset)
 }
 
-// Clone copies the versions.
+// Clone returns an independent copy for the model checker.
 func (v *Versions) Clone() *Versions {
 	copied := *v
 	return &copied
 }
 
-// Clone copies an endpoint's gate.
+// Clone returns an independent copy for the model checker.
 func (g *FenceCheck) Clone() *FenceCheck {
 	copied := *g
 	return &copied
 }
 
-// Clone copies an owner's right to order.
+// Clone returns an independent copy for the model checker.
 func (o *OrderPermission) Clone() *OrderPermission {
 	copied := *o
 	return &copied
 }
 
-// Fingerprint writes what decides an owner's right to order.
+// Fingerprint appends everything that determines the later permissions.
 func (o *OrderPermission) Fingerprint(b []byte, now time.Time) []byte {
 	limit := 2*o.rules.Fresh + 1
 	return fmt.Appendf(b, "O%v,%d,%d|", o.isOwner, min(now.Sub(o.takenAt), limit), min(now.Sub(o.confirmedAt), limit))
 }
 
-// Clone copies a drain.
+// Clone returns an independent copy for the model checker.
 func (d *Drain) Clone() *Drain {
 	copied := *d
 	return &copied
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// takeoverState is what a home knows of those who were home before it.
+// takeoverState is what a claim owner knows about the previous owners of its keys.
 type takeoverState struct {
 	replacedLists []ReplacedList
-	handovers     map[string]handoverStatus // by box that handed over
-	peers         map[string]peerLife       // lives of other boxes that were met
-	historyKnown  bool
-	newFleet      bool      // the fleet has no past but what its boxes know
-	recordsLostAt time.Time // keys from before are unknown to this home
+	handovers     map[string]handoverStatus // by name of the box that handed over
+	peers         map[string]peerLife       // by box name
+	historyKnown  bool                      // replacedLists and recordsLostAt are complete
+	newFleet      bool                      // the first list that this box received was new
+	recordsLostAt time.Time                 // older records of this owner are lost; zero if none are
 }
 
-// handoverStatus says what a box has handed over.
+// handoverStatus is what a box has handed over.
 type handoverStatus struct {
-	version       uint64    // of the list under which it did
-	recordsLostAt time.Time // what it knew from before was lost
+	version       uint64    // list version of its newest handover
+	recordsLostAt time.Time // older records of that box are lost; zero if none are
 }
 
+// peerLife is the newest known process of another box.
 type peerLife struct {
 	incarnation Incarnation
-	restarted   bool // an earlier one was met
+	restarted   bool // an earlier process of the box was known
 	firstSeen   time.Time
-	handedOver  bool // it handed over, and so said what it knew of this box
+	handedOver  bool // its handover arrived, which also reports restarts of this box
 }
 
 func newTakeoverState() takeoverState {
@@ -35,6 +36,7 @@
 	}
 }
 
+// priorGrants is the result of checking whether another claim owner granted a key.
 type priorGrants int
 
 const (
@@ -55,36 +57,37 @@
 	return o.requestHandovers(now)
 }
 
-// keepReplacedList keeps the replaced list as an epoch. A box that starts takes the
-// list without itself as the one before; a gap in versions leaves it blind.
+// keepReplacedList keeps the list that next replaces. A box without a list assumes
+// that the list before was the same without itself. If versions were skipped, their
+// owners are unknown, and the records count as lost.
 func (o *ClaimOwner) keepReplacedList(now time.Time, next *List) {
-	old := o.snapshot.List
-	if old == nil {
-		old = next.Without(o.self.Name)
-		o.takeover.historyKnown = len(old.Boxes) == 0
+	previous := o.snapshot.List
+	if previous == nil {
+		previous = next.Without(o.self.Name)
+		o.takeover.historyKnown = len(previous.Boxes) == 0
 		o.takeover.newFleet = next.Age <= o.rules.BootSlack
-	} else if next.Version > old.Version+1 {
+	} else if next.Version > previous.Version+1 {
 		o.takeover.historyKnown = false
 		o.takeover.recordsLostAt = now
 	}
 	o.takeover.replacedLists = append(o.takeover.replacedLists, ReplacedList{
-		List:       old.forClaimOwners(),
+		List:       previous.forClaimOwners(),
 		Next:       next.Version,
 		replacedAt: now,
 	})
 }
 
-// markRestarted tells that an earlier life of this box was met by another.
+// markRestarted treats the records of an earlier process of this box as lost.
 func (o *ClaimOwner) markRestarted() {
 	if o.guards.enabled(GuardClaimRestart) && o.takeover.recordsLostAt.Before(o.started) {
 		o.takeover.recordsLostAt = o.started
 	}
 }
 
-// grantMayBeLost reports whether a key may have been granted by a home whose records
-// were lost at a moment. A key that carries its time is judged by that: one made
-// after every old home must have stopped can't have been granted there. Any
-// other key may have been, until the guard time has passed.
+// grantMayBeLost reports whether a key may have been granted by a claim owner whose
+// records were lost at lossTime. A key with a creation time can't have been if it was
+// created after all such owners had stopped granting. Any other key counts as
+// possibly granted until the guard time has passed.
 func (o *ClaimOwner) grantMayBeLost(now time.Time, e *ClaimAsked, lossTime time.Time) bool {
 	if e.Timed {
 		return !now.Add(-e.KeyAge).After(lossTime.Add(o.rules.Fresh + o.rules.Skew))
@@ -92,8 +95,8 @@
 	return now.Sub(lossTime) <= o.rules.Guard
 }
 
-// checkPriorGrants tells whether every box that may have granted a key before has
-// handed over, or can't have granted this one.
+// checkPriorGrants determines whether a previous owner may have granted the key: it
+// didn't if each one has handed over its records or can't have granted this key.
 func (o *ClaimOwner) checkPriorGrants(now time.Time, e *ClaimAsked) priorGrants {
 	if !o.guards.enabled(GuardClaimTakeover) {
 		return priorGrantsExcluded
@@ -119,63 +122,65 @@
 	return result
 }
 
-// checkPriorGrant is provable for the key's home under one replaced list. One that
-// is still listed may yet hand over, and is waited for.
-func (o *ClaimOwner) checkPriorGrant(now time.Time, e *ClaimAsked, ep *ReplacedList) priorGrants {
-	previousOwner := ep.List.ClaimOwner(ClaimScope(e.Key), nil)
+// checkPriorGrant is checkPriorGrants for the key's owner under one replaced list. If
+// that box is still listed, its handover is pending.
+func (o *ClaimOwner) checkPriorGrant(now time.Time, e *ClaimAsked, replaced *ReplacedList) priorGrants {
+	previousOwner := replaced.List.ClaimOwner(ClaimScope(e.Key), nil)
 	if previousOwner == "" || previousOwner == o.self.Name {
 		return priorGrantsExcluded
 	}
-	handover := o.takeover.handovers[previousOwner]
-	handedOver := handover.version >= ep.Next
-	lossTime := ep.replacedAt
+	status := o.takeover.handovers[previousOwner]
+	handedOver := status.version >= replaced.Next
+	lossTime := replaced.replacedAt
 	if handedOver {
-		lossTime = handover.recordsLostAt
+		lossTime = status.recordsLostAt
 	}
 	if lossTime.IsZero() || !o.grantMayBeLost(now, e, lossTime) {
 		return priorGrantsExcluded
 	}
-	if !handedOver && o.snapshot.List.Member(previousOwner) != nil && now.Sub(ep.replacedAt) <= o.rules.Guard {
+	if !handedOver && o.snapshot.List.Member(previousOwner) != nil && now.Sub(replaced.replacedAt) <= o.rules.Guard {
 		return priorGrantsPending
 	}
 	return priorGrantsPossible
 }
 
-// recordPeer notes a life of another box and tells whether an earlier one was known.
+// recordPeer records a process of another box and reports whether an earlier process
+// of that box was known.
 func (o *ClaimOwner) recordPeer(now time.Time, other Box) bool {
-	k, met := o.takeover.peers[other.Name]
-	if !met {
+	peer, seen := o.takeover.peers[other.Name]
+	if !seen {
 		o.takeover.peers[other.Name] = peerLife{
 			incarnation: other.Incarnation,
 			firstSeen:   now,
 		}
 		return false
 	}
-	if other.Incarnation > k.incarnation {
-		k = peerLife{
+	if other.Incarnation > peer.incarnation {
+		peer = peerLife{
 			incarnation: other.Incarnation,
 			restarted:   true,
 			firstSeen:   now,
 		}
-		o.takeover.peers[other.Name] = k
+		o.takeover.peers[other.Name] = peer
 		delete(o.takeover.handovers, other.Name)
 		o.handleBoxLost(now, BoxLost{Box: Box{
 			Name:        other.Name,
 			Incarnation: other.Incarnation - 1,
 		}})
 	}
-	return k.restarted
+	return peer.restarted
 }
 
+// finalHandover is the version of a handover that covers all later lists.
 const finalHandover = ^uint64(0)
 
-// mergeHistory takes over a past from one who knows it. In a young fleet nobody knows
-// one: there, a box has heard of its own earlier life, if it had one, when every
-// other box has answered.
+// mergeHistory updates historyKnown. The history is known once a box that knows it
+// has handed over. In a new fleet no box does; there, it is enough that all boxes
+// have handed over, since each reports whether it knew an earlier process of this box.
 func (o *ClaimOwner) mergeHistory(in Handover) {
-	k := o.takeover.peers[in.From.Name]
-	k.handedOver = true
-	o.takeover.peers[in.From.Name] = k
+	peer := o.takeover.peers[in.From.Name]
+	peer.handedOver = true
+	o.takeover.peers[in.From.Name] = peer
 	if in.Settled || o.takeover.newFleet && o.allHandedOver() {
 		o.takeover.historyKnown = true
 	}
@@ -191,24 +196,24 @@
 	return true
 }
 
-// recordHandover notes that a box grants nothing more of what is not its own under a
-// list. What an earlier life of it knew is lost.
+// recordHandover records that the sender won't grant keys that it doesn't own under
+// its list. The records of the sender's earlier processes are lost.
 func (o *ClaimOwner) recordHandover(now time.Time, in Handover) {
-	handover := o.takeover.handovers[in.From.Name]
-	handover.version = max(handover.version, in.ListVersion)
+	status := o.takeover.handovers[in.From.Name]
+	status.version = max(status.version, in.ListVersion)
 	if in.Final {
-		handover.version = finalHandover
+		status.version = finalHandover
 	}
 	if in.Blind {
-		handover.recordsLostAt = now.Add(-in.BlindAge)
+		status.recordsLostAt = now.Add(-in.BlindAge)
 	}
-	if k := o.takeover.peers[in.From.Name]; k.restarted && k.firstSeen.After(handover.recordsLostAt) {
-		handover.recordsLostAt = k.firstSeen
+	if peer := o.takeover.peers[in.From.Name]; peer.restarted && peer.firstSeen.After(status.recordsLostAt) {
+		status.recordsLostAt = peer.firstSeen
 	}
-	o.takeover.handovers[in.From.Name] = handover
+	o.takeover.handovers[in.From.Name] = status
 }
 
-// requestHandovers asks every earlier home that hasn't handed over yet.
+// requestHandovers requests a handover from each previous owner that still owes one.
 func (o *ClaimOwner) requestHandovers(now time.Time) []Command {
 	if o.snapshot.List == nil {
 		return nil
@@ -217,40 +222,40 @@
 		return o.handOverAll(now)
 	}
 	o.sweep(now)
-	o.takeover.replacedLists = slices.DeleteFunc(o.takeover.replacedLists, func(ep ReplacedList) bool { return now.Sub(ep.replacedAt) > o.rules.Retention })
-	wanted := make(map[string]bool)
+	o.takeover.replacedLists = slices.DeleteFunc(o.takeover.replacedLists, func(replaced ReplacedList) bool { return now.Sub(replaced.replacedAt) > o.rules.Retention })
+	targets := make(map[string]bool)
 	owners := o.snapshot.List.ClaimOwners()
 	for i := range o.takeover.replacedLists {
-		if ep := &o.takeover.replacedLists[i]; now.Sub(ep.replacedAt) <= o.rules.Guard {
-			o.addPredecessors(ep, owners, wanted)
+		if replaced := &o.takeover.replacedLists[i]; now.Sub(replaced.replacedAt) <= o.rules.Guard {
+			o.addPredecessors(replaced, owners, targets)
 		}
 	}
 	if !o.takeover.historyKnown {
 		for i := range o.snapshot.List.Boxes {
-			wanted[o.snapshot.List.Boxes[i].Name] = true
+			targets[o.snapshot.List.Boxes[i].Name] = true
 		}
 	}
-	delete(wanted, o.self.Name)
-	return o.handoverRequests(wanted)
+	delete(targets, o.self.Name)
+	return o.handoverRequests(targets)
 }
 
-// addPredecessors adds the boxes of a replaced list that haven't handed over and from
-// which keys can have come to this one. Rendezvous moves a key to a box that was
-// listed before only from one that no longer is; to a newcomer from any.
-func (o *ClaimOwner) addPredecessors(ep *ReplacedList, owners, wanted map[string]bool) {
-	self := ep.List.Member(o.self.Name)
+// addPredecessors adds the boxes of a replaced list that may have owned keys of this
+// box and haven't handed over. With rendezvous hashing, a box that was listed before
+// gains keys only from boxes that are gone; a new box gains keys from all.
+func (o *ClaimOwner) addPredecessors(replaced *ReplacedList, owners, targets map[string]bool) {
+	self := replaced.List.Member(o.self.Name)
 	newcomer := self == nil || self.Leaving
-	for i := range ep.List.Boxes {
-		name := ep.List.Boxes[i].Name
-		if o.takeover.handovers[name].version < ep.Next && (newcomer || !owners[name]) {
-			wanted[name] = true
+	for i := range replaced.List.Boxes {
+		name := replaced.List.Boxes[i].Name
+		if o.takeover.handovers[name].version < replaced.Next && (newcomer || !owners[name]) {
+			targets[name] = true
 		}
 	}
 }
 
-func (o *ClaimOwner) handoverRequests(wanted map[string]bool) []Command {
-	names := make([]string, 0, len(wanted))
-	for name := range wanted {
+func (o *ClaimOwner) handoverRequests(targets map[string]bool) []Command {
+	names := make([]string, 0, len(targets))
+	for name := range targets {
 		names = append(names, name)
 	}
 	slices.Sort(names)
