--- a/core/budget.go
+++ b/core/budget.go
@@ -95,9 +95,9 @@
 	b.transferredAt = now
 }
 
-// Suspended discards received retries after a suspension of the machine: the
+// HandleSuspension discards received retries after a suspension of the machine: the
 // sender may have counted them more than a window ago.
-func (b *SharedBudget) Suspended() { b.transferred = 0 }
+func (b *SharedBudget) HandleSuspension() { b.transferred = 0 }
 
 // Available returns the number of retries that the box can make now, received ones
 // included.
--- a/core/claim.go
+++ b/core/claim.go
@@ -74,7 +74,7 @@
 	self      Box
 	rules     ClaimRules
 	started   time.Time
-	snapshot  Reading
+	snapshot  ListSnapshot
 	takeover  takeoverState
 	records   map[ClaimKey]*ClaimRecord
 	retired   bool
--- a/core/owner.go
+++ b/core/owner.go
@@ -70,7 +70,7 @@
 		if skip != nil && skip(m) {
 			continue
 		}
-		score := mix(keyHash, m.Name)
+		score := hashedScore(keyHash, m.Name)
 		if best == nil || score > bestScore || score == bestScore && m.Name < best.Name {
 			best, bestScore = m, score
 		}
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -50,7 +50,7 @@
 		return nil
 	}
 	o.keepReplacedList(now, e.List)
-	o.snapshot = Reading{
+	o.snapshot = ListSnapshot{
 		List:        e.List,
 		ConfirmedAt: e.At,
 	}
