--- a/core/budget.go
+++ b/core/budget.go
@@ -78,8 +78,8 @@
 
 // TransferOut takes up to the given number of retries from the budget for another
 // box, but leaves keep of them. It returns the number taken.
-func (b *SharedBudget) TransferOut(now time.Time, boxes, sends, keep int) int {
-	transferred := max(0, min(sends, b.Remaining(now, boxes)-keep))
+func (b *SharedBudget) TransferOut(now time.Time, boxes, retries, keep int) int {
+	transferred := max(0, min(retries, b.Remaining(now, boxes)-keep))
 	for range transferred {
 		b.spent.add(b.slot(now))
 	}
@@ -87,11 +87,11 @@
 }
 
 // TransferIn adds retries received from another box.
-func (b *SharedBudget) TransferIn(now time.Time, sends int) {
+func (b *SharedBudget) TransferIn(now time.Time, retries int) {
 	if now.Sub(b.transferredAt) >= transferTTL {
 		b.transferred = 0
 	}
-	b.transferred += sends
+	b.transferred += retries
 	b.transferredAt = now
 }
 
--- a/core/evacuation.go
+++ b/core/evacuation.go
@@ -105,8 +105,8 @@
 // addRun adds a run to the plan. A run that was done is planned again, so that its
 // box can retry the move.
 func (v *Evacuation) addRun(r EvacuatedRun, own bool) {
-	known := v.runs[r.ID]
-	if known != nil && (known == v.current || !known.done) {
+	planned := v.runs[r.ID]
+	if planned != nil && (planned == v.current || !planned.done) {
 		return
 	}
 	v.runs[r.ID] = &plannedRun{
--- a/core/evacuation_test.go
+++ b/core/evacuation_test.go
@@ -102,7 +102,7 @@
 		owner := make(map[string]int)
 		copying := make(map[string]time.Duration)
 		moved := make(map[string]int)
-		ends := make(map[string]time.Time) // of the moves under way
+		moveEnds := make(map[string]time.Time) // of the moves under way
 		overlaps := 0
 		now := evacuationStart
 		var step func(box int, ev core.Event)
@@ -120,11 +120,11 @@
 				if owner[id] != box {
 					t.Fatalf("box %d moves run %s of box %d", box, id, owner[id])
 				}
-				if len(ends) > 0 {
+				if len(moveEnds) > 0 {
 					overlaps++
 				}
 				moved[id]++
-				ends[id] = now.Add(copying[id])
+				moveEnds[id] = now.Add(copying[id])
 			}
 		}
 		for b := range plans {
@@ -149,20 +149,20 @@
 					next = at
 				}
 			}
-			over := ""
-			for id, at := range ends {
+			finished := ""
+			for id, at := range moveEnds {
 				if next.IsZero() || !at.After(next) {
-					next, over = at, id
+					next, finished = at, id
 				}
 			}
 			if next.IsZero() {
 				break
 			}
 			now = next
-			if over != "" {
-				delete(ends, over)
-				step(owner[over], core.RunFinished{ID: over})
-				broadcast(owner[over], core.RunFinished{ID: over})
+			if finished != "" {
+				delete(moveEnds, finished)
+				step(owner[finished], core.RunFinished{ID: finished})
+				broadcast(owner[finished], core.RunFinished{ID: finished})
 				continue
 			}
 			for b, at := range wakes {
--- a/core/fence.go
+++ b/core/fence.go
@@ -35,12 +35,12 @@
 }
 
 // Admit reports whether an order with the given token is accepted.
-func (g *FenceCheck) Admit(f Fence) bool {
-	if f.Compare(g.Highest) < 0 && g.guards.enabled(GuardFence) {
+func (c *FenceCheck) Admit(f Fence) bool {
+	if f.Compare(c.Highest) < 0 && c.guards.enabled(GuardFence) {
 		return false
 	}
-	if f.Compare(g.Highest) > 0 {
-		g.Highest = f
+	if f.Compare(c.Highest) > 0 {
+		c.Highest = f
 	}
 	return true
 }
--- a/core/join.go
+++ b/core/join.go
@@ -82,8 +82,8 @@
 	case PeerUnreachable:
 		delete(j.pending, e.Box)
 	}
-	patient := now.Sub(j.started) < j.rules.Timeout
-	if patient && j.guards.enabled(GuardVersionQuery) && (!j.peersListed || len(j.pending) > 0) {
+	waiting := now.Sub(j.started) < j.rules.Timeout
+	if waiting && j.guards.enabled(GuardVersionQuery) && (!j.peersListed || len(j.pending) > 0) {
 		return nil
 	}
 	_ = joinLifecycle.Fire(&j.State, joinAnswered)
--- a/core/peer_discovery.go
+++ b/core/peer_discovery.go
@@ -48,22 +48,22 @@
 // Observe records the number of other boxes known and reports whether discovery is
 // complete. The flag expected is set if there are other boxes, so that a box that
 // knows none of them yet doesn't take itself for the only one.
-func (s *PeerDiscovery) Observe(now time.Time, known int, expected bool) bool {
-	if s.complete {
+func (d *PeerDiscovery) Observe(now time.Time, known int, expected bool) bool {
+	if d.complete {
 		return true
 	}
-	s.samples = append(s.samples, peerCount{
+	d.samples = append(d.samples, peerCount{
 		at:    now,
 		known: known,
 	})
-	for len(s.samples) > 1 && now.Sub(s.samples[1].at) >= s.rules.Window {
-		s.samples = s.samples[1:]
+	for len(d.samples) > 1 && now.Sub(d.samples[1].at) >= d.rules.Window {
+		d.samples = d.samples[1:]
 	}
-	oldest := s.samples[0]
-	windowFull := now.Sub(oldest.at) >= s.rules.Window
-	growing := float64(known-oldest.known) > s.rules.MaxGrowth*float64(known)
-	age := now.Sub(s.start)
+	oldest := d.samples[0]
+	windowFull := now.Sub(oldest.at) >= d.rules.Window
+	growing := float64(known-oldest.known) > d.rules.MaxGrowth*float64(known)
+	age := now.Sub(d.start)
 	noneYet := expected && known == 0
-	s.complete = age >= s.rules.MaxWait || (age >= s.rules.MinWait && windowFull && !growing && !noneYet)
-	return s.complete
+	d.complete = age >= d.rules.MaxWait || (age >= d.rules.MinWait && windowFull && !growing && !noneYet)
+	return d.complete
 }
--- a/core/snapshot.go
+++ b/core/snapshot.go
@@ -91,8 +91,8 @@
 }
 
 // Clone returns an independent copy for the model checker.
-func (g *FenceCheck) Clone() *FenceCheck {
-	copied := *g
+func (c *FenceCheck) Clone() *FenceCheck {
+	copied := *c
 	return &copied
 }
 
