--- a/core/claim.go
+++ b/core/claim.go
@@ -44,10 +44,10 @@
 type ClaimRecord struct {
 	Key       ClaimKey
 	State     ClaimState
-	Attempt   string
-	Asker     Box
-	Status    int
-	Response  []byte
+	Attempt   string        // the attempt that holds or held the grant
+	Asker     Box           // the process that the key was granted to
+	Status    int           // HTTP status of the response, if the request ran
+	Response  []byte        // response of the request, if it ran
 	SettleAt  time.Duration // age of the record since its last change, in a handover
 	changedAt time.Time
 }
@@ -61,8 +61,8 @@
 	VerdictInFlight ClaimVerdict = "in-flight"
 	VerdictRan      ClaimVerdict = "ran"
 	VerdictUnknown  ClaimVerdict = "unknown"
-	VerdictNotOwner ClaimVerdict = "not-home"
-	VerdictNotYet   ClaimVerdict = "not-yet"
+	VerdictNotOwner ClaimVerdict = "not-home" // another box owns the key
+	VerdictNotYet   ClaimVerdict = "not-yet"  // can't be decided now; ask again
 )
 
 // ClaimOwner holds the claims of the keys that one box owns, so that each key is
@@ -77,7 +77,7 @@
 	snapshot  ListSnapshot
 	takeover  takeoverState
 	records   map[ClaimKey]*ClaimRecord
-	retired   bool
+	retired   bool // the box is stopping; nothing is granted
 	guards    Guards
 	lastSweep time.Time
 }
--- a/core/doc.go
+++ b/core/doc.go
@@ -7,4 +7,7 @@
 // sockets and draws no random numbers, so the same code runs in production, in
 // the model checker and in trace replay. Times come from the shell's monotonic
 // clock and are only compared and added.
+//
+// Recorded traces contain the names of event and command types and of their fields;
+// renaming them makes old traces unreadable.
 package core
--- a/core/fence.go
+++ b/core/fence.go
@@ -47,14 +47,14 @@
 
 // OrderRules limit the orders to endpoints that don't check fencing tokens.
 type OrderRules struct {
-	Fresh time.Duration
+	Fresh time.Duration // maximum age of the box list's confirmation
 }
 
 // OrderPermission decides when a box may send orders to one endpoint as its owner.
 type OrderPermission struct {
-	takenAt     time.Time
+	takenAt     time.Time // start of the ownership; zero if there was no owner before
 	isOwner     bool
-	confirmedAt time.Time
+	confirmedAt time.Time // last confirmation of the box list
 	rules       OrderRules
 	guards      Guards
 }
--- a/core/generation.go
+++ b/core/generation.go
@@ -78,15 +78,15 @@
 	DropNone      DropReason = ""
 	DropDuplicate DropReason = "duplicate"
 	DropGap       DropReason = "gap"
-	DropForeign   DropReason = "foreign"
-	DropLate      DropReason = "late"
+	DropForeign   DropReason = "foreign" // from another generation
+	DropLate      DropReason = "late"    // from an earlier attempt, or no longer expected
 )
 
 // GenerationRules limit the retries and resumes of one stream.
 type GenerationRules struct {
-	Attempts     int
-	ResumeWindow time.Duration
-	ResumeDelay  time.Duration
+	Attempts     int           // maximum number of attempts before the first token
+	ResumeWindow time.Duration // how long resumes may fail without a new token
+	ResumeDelay  time.Duration // pause before a resume
 }
 
 // Generation produces one caller's stream from the generation of one engine. It
--- a/core/handover.go
+++ b/core/handover.go
@@ -16,7 +16,7 @@
 }
 
 // Handover is the message in which a claim owner sends its records and what it knows
-// about earlier owners to another box.
+// about earlier owners to another box. It is encoded with its field names.
 type Handover struct {
 	From        Box
 	To          string
--- a/core/lease.go
+++ b/core/lease.go
@@ -67,13 +67,13 @@
 type Ownership struct {
 	State           LeaseState
 	Endpoint        string
-	leaving         bool
-	predecessorGone bool
-	predecessorEnd  time.Time
-	waitUntil       time.Time
+	leaving         bool      // the endpoint is leaving
+	predecessorGone bool      // the previous owner grants nothing more
+	predecessorEnd  time.Time // when the previous owner's last leases have expired
+	waitUntil       time.Time // when the safe share may be granted
 	lastTick        time.Time
 	resumedAt       time.Time // end of a pause, until the list is confirmed again
-	confirmedAt     time.Time
+	confirmedAt     time.Time // last confirmation of the box list
 	rules           LeaseRules
 	guards          Guards
 }
@@ -210,7 +210,7 @@
 	Endpoint string
 	Tokens   int
 	Slots    int
-	Until    time.Time
+	Until    time.Time // when it expires
 	guards   Guards
 }
 
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -11,7 +11,7 @@
 	handovers     map[string]handoverStatus // by name of the box that handed over
 	peers         map[string]peerLife       // by box name
 	historyKnown  bool                      // replacedLists and recordsLostAt are complete
-	newFleet      bool                      // the first list that this box received was new
+	newFleet      bool                      // the first box list was younger than BootSlack
 	recordsLostAt time.Time                 // older records of this owner are lost; zero if none are
 }
 
@@ -213,7 +213,7 @@
 	o.takeover.handovers[in.From.Name] = status
 }
 
-// requestHandovers requests a handover from each previous owner that still owes one.
+// requestHandovers requests a handover from each previous owner that hasn't sent one.
 func (o *ClaimOwner) requestHandovers(now time.Time) []Command {
 	if o.snapshot.List == nil {
 		return nil
