--- a/core/claim.go
+++ b/core/claim.go
@@ -46,8 +46,8 @@
 	State     ClaimState
 	Attempt   string        // the attempt that holds or held the grant
 	Asker     Box           // the process that the key was granted to
-	Status    int           // HTTP status of the response, if the request ran
-	Response  []byte        // response of the request, if it ran
+	Status    int           // HTTP status of the kept response; 0 if none is kept
+	Response  []byte        // the kept response, or the ID of the request if none is kept
 	SettleAt  time.Duration // age of the record since its last change, in a handover
 	changedAt time.Time
 }
--- a/core/evacuation_test.go
+++ b/core/evacuation_test.go
@@ -102,7 +102,7 @@
 		owner := make(map[string]int)
 		copying := make(map[string]time.Duration)
 		moved := make(map[string]int)
-		moveEnds := make(map[string]time.Time) // of the moves under way
+		moveEnds := make(map[string]time.Time) // of the moves in progress
 		overlaps := 0
 		now := evacuationStart
 		var step func(box int, ev core.Event)
@@ -134,7 +134,7 @@
 			var own []core.EvacuatedRun
 			for i := range rapid.IntRange(0, 4).Draw(t, "runs") {
 				id := fmt.Sprintf("%d-%d", b, i)
-				r := newRun(id, rapid.IntRange(0, 1).Draw(t, "rank"), rapid.Float64Range(0, 9).Draw(t, "worth"), time.Duration(rapid.IntRange(1, 300).Draw(t, "ms"))*time.Millisecond)
+				r := newRun(id, rapid.IntRange(0, 1).Draw(t, "rank"), rapid.Float64Range(0, 9).Draw(t, "value"), time.Duration(rapid.IntRange(1, 300).Draw(t, "ms"))*time.Millisecond)
 				owner[id] = b
 				copying[id] = r.CopyTime
 				own = append(own, r)
