--- a/core/budget.go
+++ b/core/budget.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// budgetSlots divides a window; counts fall out of it one slot at a time.
-const budgetSlots = 20
+// windowSlots is the number of slots of a window; counts expire slot by slot.
+const windowSlots = 20
 
-// BudgetRules bound the sends after the first of each request, summed over all
-// boxes, in any window.
+// BudgetRules limit the retries of a service over all boxes: the sends after the
+// first one of each request, in any window.
 type BudgetRules struct {
-	Ratio  float64 // sends for each request
-	Slack  int     // sends beyond the ratio, over all boxes
+	Ratio  float64 // retries per request
+	Slack  int     // retries beyond the ratio, for all boxes together
 	Window time.Duration
-	Safety float64 // the part of both that is spent, for counts that differ between boxes
+	Safety float64 // fraction of the limit that is used, since boxes' counts differ
 }
 
-// SharedBudget is one box's part of the budget of one service. A box spends by
-// the requests that it sees itself and by its share of the slack.
+// SharedBudget is one box's part of a service's retry budget: the retries earned by
+// the requests that the box itself sends, and its share of the slack. Boxes can
+// transfer unused retries to each other.
 type SharedBudget struct {
-	rules    BudgetRules
-	start    time.Time
-	requests window
-	spent    window
-	amnesia  bool // it may have spent before its process began
-	borrowed int
-	lentAt   time.Time // when the last of the borrowed came
+	rules         BudgetRules
+	start         time.Time
+	requests      slidingWindow
+	spent         slidingWindow
+	restarted     bool // an earlier process of the box may have used the slack
+	transferred   int  // retries received from other boxes and not used yet
+	transferredAt time.Time
 }
 
-// borrowedLife is how long borrowed sends may be used: the lender counts them
-// from when it gave them.
-const borrowedLife = time.Second
+// transferTTL is how long received retries may be used. They have to be used soon,
+// since the sender counts them from the time of the transfer.
+const transferTTL = time.Second
 
-// NewSharedBudget builds a budget. One that isn't new begins without slack: the
-// process before it on the same box may have spent it a moment ago.
+// NewSharedBudget returns a budget. Unless fresh is set, it has no slack during its
+// first window, since an earlier process of the box may just have used it.
 func NewSharedBudget(now time.Time, rules BudgetRules, fresh bool) *SharedBudget {
 	return &SharedBudget{
-		rules:   rules,
-		start:   now,
-		amnesia: !fresh,
+		rules:     rules,
+		start:     now,
+		restarted: !fresh,
 	}
 }
 
-// slot numbers the slots by time since the start, never by time of day.
+// slot returns the number of the current slot, counted by monotonic time.
 func (b *SharedBudget) slot(now time.Time) int64 {
-	return int64(now.Sub(b.start) / (b.rules.Window / budgetSlots))
+	return int64(now.Sub(b.start) / (b.rules.Window / windowSlots))
 }
 
 // CountRequest counts a request's first send.
@@ -50,24 +51,24 @@
 	b.requests.add(b.slot(now))
 }
 
-// Remaining gives how many more sends the box has itself. Boxes is how many share
-// the slack.
+// Remaining returns the number of the box's own retries that are left, with the
+// slack divided among the given number of boxes.
 func (b *SharedBudget) Remaining(now time.Time, boxes int) int {
 	requests := float64(b.requests.sum(b.slot(now)))
 	share := float64(b.rules.Slack) / float64(max(boxes, 1))
-	if b.amnesia && now.Sub(b.start) < b.rules.Window {
+	if b.restarted && now.Sub(b.start) < b.rules.Window {
 		share = 0
 	}
 	return int(b.rules.Safety*(b.rules.Ratio*requests+share)) - b.spent.sum(b.slot(now))
 }
 
-// Allow takes one more send from the budget, if it has room.
+// Allow takes one retry from the budget and reports whether there was one.
 func (b *SharedBudget) Allow(now time.Time, boxes int) bool {
-	if b.borrowed > 0 && now.Sub(b.lentAt) < borrowedLife {
-		b.borrowed--
+	if b.transferred > 0 && now.Sub(b.transferredAt) < transferTTL {
+		b.transferred--
 		return true
 	}
-	b.borrowed = 0
+	b.transferred = 0
 	if b.Remaining(now, boxes) < 1 {
 		return false
 	}
@@ -75,61 +76,63 @@
 	return true
 }
 
-// TransferOut gives up to some sends to another box, and keeps some for itself.
-func (b *SharedBudget) TransferOut(now time.Time, boxes, sends, keep int) int {
-	given := max(0, min(sends, b.Remaining(now, boxes)-keep))
-	for range given {
+// TransferOut takes up to the given number of retries from the budget for another
+// box, but leaves keep of them. It returns the number taken.
+func (b *SharedBudget) TransferOut(now time.Time, boxes, retries, keep int) int {
+	transferred := max(0, min(retries, b.Remaining(now, boxes)-keep))
+	for range transferred {
 		b.spent.add(b.slot(now))
 	}
-	return given
+	return transferred
 }
 
-// TransferIn takes sends that another box gave.
-func (b *SharedBudget) TransferIn(now time.Time, sends int) {
-	if now.Sub(b.lentAt) >= borrowedLife {
-		b.borrowed = 0
+// TransferIn adds retries received from another box.
+func (b *SharedBudget) TransferIn(now time.Time, retries int) {
+	if now.Sub(b.transferredAt) >= transferTTL {
+		b.transferred = 0
 	}
-	b.borrowed += sends
-	b.lentAt = now
+	b.transferred += retries
+	b.transferredAt = now
 }
 
-// HandleSuspension gives up what other boxes lent: the machine stood still, and they may have
-// counted it as spent longer ago than a window.
-func (b *SharedBudget) HandleSuspension() { b.borrowed = 0 }
+// HandleSuspension discards received retries after a suspension of the machine: the
+// sender may have counted them more than a window ago.
+func (b *SharedBudget) HandleSuspension() { b.transferred = 0 }
 
-// Available gives how many sends the box may make now, borrowed ones included.
+// Available returns the number of retries that the box can make now, received ones
+// included.
 func (b *SharedBudget) Available(now time.Time, boxes int) int {
-	if now.Sub(b.lentAt) < borrowedLife {
-		return b.borrowed + b.Remaining(now, boxes)
+	if now.Sub(b.transferredAt) < transferTTL {
+		return b.transferred + b.Remaining(now, boxes)
 	}
 	return b.Remaining(now, boxes)
 }
 
-// window counts in slots of a sliding window; it holds one slot more than the
-// window, so that a count never falls out early.
-type window struct {
-	counts [budgetSlots + 1]int
+// slidingWindow counts events per slot. It has one more slot than the window is
+// divided into, so that no count expires early.
+type slidingWindow struct {
+	counts [windowSlots + 1]int
 	slot   int64
 }
 
-func (w *window) advance(slot int64) {
-	if slot-w.slot > budgetSlots {
-		w.counts = [budgetSlots + 1]int{}
+func (w *slidingWindow) advance(slot int64) {
+	if slot-w.slot > windowSlots {
+		w.counts = [windowSlots + 1]int{}
 		w.slot = slot
 		return
 	}
 	for w.slot < slot {
 		w.slot++
-		w.counts[w.slot%(budgetSlots+1)] = 0
+		w.counts[w.slot%(windowSlots+1)] = 0
 	}
 }
 
-func (w *window) add(slot int64) {
+func (w *slidingWindow) add(slot int64) {
 	w.advance(slot)
-	w.counts[w.slot%(budgetSlots+1)]++
+	w.counts[w.slot%(windowSlots+1)]++
 }
 
-func (w *window) sum(slot int64) int {
+func (w *slidingWindow) sum(slot int64) int {
 	w.advance(slot)
 	total := 0
 	for _, n := range w.counts {
--- a/core/evacuation.go
+++ b/core/evacuation.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// EvacuationRules are the times of a plan.
+// EvacuationRules are the time limits of an evacuation plan.
 type EvacuationRules struct {
-	// Settle is how long a box waits, after it learned that an engine leaves, for
-	// what the other boxes have there.
+	// Settle is how long a box waits for the other boxes' runs before the first move.
 	Settle time.Duration
-	// Slack is what a move may take beyond twice its copy before the next one
-	// begins all the same.
+	// Slack is how long a move may take beyond twice its copy time before the next
+	// move starts anyway.
 	Slack time.Duration
 }
 
-// DefaultEvacuationRules fit boxes that hear each other within some milliseconds.
-// A move is two calls to the engine beside its copy; a copy that met another one
-// on the target's link takes about twice its time.
+// DefaultEvacuationRules returns the limits used in production. Settle covers the
+// gossip between boxes; Slack covers the two calls to the engine that a move makes
+// besides the copy.
 func DefaultEvacuationRules() EvacuationRules {
 	return EvacuationRules{
 		Settle: 20 * time.Millisecond,
@@ -25,160 +24,159 @@
 	}
 }
 
-// EvacuatedRun is a run that is to be moved off an engine that leaves.
+// EvacuatedRun is a run that has to be moved off a leaving engine.
 type EvacuatedRun struct {
 	ID       string
-	Rank     int           // lower ones go first
-	Value    float64       // in any unit that all boxes use
-	CopyTime time.Duration // what the copy of its memory takes on a free link
+	Rank     int           // lower ranks move first
+	Value    float64       // benefit of the move, in the same unit at all boxes
+	CopyTime time.Duration // copy time of its memory over an idle link
 }
 
-// RunsAdded says that runs are at the engine, of this box or of another one.
+// RunsAdded reports runs at the engine, of this box (Own) or of another one.
 type RunsAdded struct {
 	EventBase
 	Runs []EvacuatedRun
 	Own  bool
 }
 
-// RunFinished says that a run is at the engine no more, or that its move failed for
-// good.
+// RunFinished reports that a run is no longer at the engine, or that its move
+// failed permanently.
 type RunFinished struct {
 	EventBase
 	ID string
 }
 
-// WakeTimeReached says that a time came which the plan asked to be woken at.
+// WakeTimeReached reports that the time of the last WakeAt has come.
 type WakeTimeReached struct{ EventBase }
 
-// MoveRun asks the shell to move one of its runs now.
+// MoveRun asks the shell to move one of the box's own runs now.
 type MoveRun struct {
 	CommandBase
 	ID string
 }
 
-// WakeAt asks the shell for TurnPassed at a time.
+// WakeAt asks the shell to send WakeTimeReached at a given time.
 type WakeAt struct {
 	CommandBase
 	At time.Time
 }
 
-// Evacuation plans the moves off one engine that leaves: one after the other, over
-// all boxes. The engine copies the memory of runs one after the other over one
-// link; moves that are begun together all end late, and those that didn't end
-// when the engine goes are lost together. Every box computes the same order from
-// what the boxes tell each other. A box that hears nothing, or tells nothing, only
-// lets its turn pass.
+// Evacuation plans the moves of runs off one leaving engine, one at a time over all
+// boxes. The engine copies memory over a single link, so moves that run in parallel
+// would all finish late and could be lost together. The boxes exchange their runs
+// and each computes the same order. If messages are lost, a box waits at most
+// until the current move's deadline before the next move starts.
 type Evacuation struct {
-	rules  EvacuationRules
-	begun  time.Time
-	runs   map[string]*evacuated
-	turn   *evacuated // whose move is under way
-	turnAt time.Time
+	rules        EvacuationRules
+	startedAt    time.Time
+	runs         map[string]*plannedRun
+	current      *plannedRun // run that is being moved
+	currentSince time.Time
 }
 
-type evacuated struct {
+type plannedRun struct {
 	EvacuatedRun
-	own    bool
-	closed bool // its turn passed, or it is over
+	own  bool
+	done bool // its move ended or timed out
 }
 
-// NewEvacuation begins a plan when the box learns that the engine leaves.
+// NewEvacuation returns a plan for an engine that was found to be leaving now.
 func NewEvacuation(now time.Time, rules EvacuationRules) *Evacuation {
 	return &Evacuation{
-		rules: rules,
-		begun: now,
-		runs:  make(map[string]*evacuated),
+		rules:     rules,
+		startedAt: now,
+		runs:      make(map[string]*plannedRun),
 	}
 }
 
-// Step takes an event and gives what is to be done.
+// Step applies an event and returns the commands to carry out.
 func (v *Evacuation) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case RunsAdded:
 		for _, r := range e.Runs {
-			v.find(r, e.Own)
+			v.addRun(r, e.Own)
 		}
 	case RunFinished:
-		v.over(e.ID)
+		v.finishRun(e.ID)
 	}
-	return v.next(now)
+	return v.startNext(now)
 }
 
-// find takes a run. One that was over is in the plan again when its own box says
-// so: its move may be tried once more.
-func (v *Evacuation) find(r EvacuatedRun, own bool) {
-	known := v.runs[r.ID]
-	if known != nil && (known == v.turn || !known.closed) {
+// addRun adds a run to the plan. A run that was done is planned again, so that its
+// box can retry the move.
+func (v *Evacuation) addRun(r EvacuatedRun, own bool) {
+	planned := v.runs[r.ID]
+	if planned != nil && (planned == v.current || !planned.done) {
 		return
 	}
-	v.runs[r.ID] = &evacuated{
+	v.runs[r.ID] = &plannedRun{
 		EvacuatedRun: r,
 		own:          own,
 	}
 }
 
-// over closes a run's part, also before it was heard of.
-func (v *Evacuation) over(id string) {
+// finishRun marks a run as done.
+func (v *Evacuation) finishRun(id string) {
 	r := v.runs[id]
 	if r == nil {
 		return
 	}
-	r.closed = true
-	if v.turn == r {
-		v.turn = nil
+	r.done = true
+	if v.current == r {
+		v.current = nil
 	}
 }
 
-// next gives the turn to the first run that waits, if nobody has it.
-func (v *Evacuation) next(now time.Time) []Command {
-	if settled := v.begun.Add(v.rules.Settle); now.Before(settled) {
+// startNext starts the next move unless one is in progress.
+func (v *Evacuation) startNext(now time.Time) []Command {
+	if settled := v.startedAt.Add(v.rules.Settle); now.Before(settled) {
 		return []Command{WakeAt{At: settled}}
 	}
 	for {
-		if v.turn != nil && !now.Before(v.turnEnds()) {
-			v.turn.closed = true
-			v.turn = nil
+		if v.current != nil && !now.Before(v.currentDeadline()) {
+			v.current.done = true
+			v.current = nil
 		}
-		if v.turn != nil {
-			return []Command{WakeAt{At: v.turnEnds()}}
+		if v.current != nil {
+			return []Command{WakeAt{At: v.currentDeadline()}}
 		}
-		r := v.first()
+		r := v.nextRun()
 		if r == nil {
 			return nil
 		}
-		v.turn = r
-		v.turnAt = now
+		v.current = r
+		v.currentSince = now
 		if r.own {
-			return []Command{MoveRun{ID: r.ID}, WakeAt{At: v.turnEnds()}}
+			return []Command{MoveRun{ID: r.ID}, WakeAt{At: v.currentDeadline()}}
 		}
 	}
 }
 
-// turnEnds gives when the next run goes on although the one before isn't over.
-func (v *Evacuation) turnEnds() time.Time {
-	return v.turnAt.Add(2*v.turn.CopyTime + v.rules.Slack)
+// currentDeadline returns when the next move starts even if the current one hasn't
+// ended.
+func (v *Evacuation) currentDeadline() time.Time {
+	return v.currentSince.Add(2*v.current.CopyTime + v.rules.Slack)
 }
 
-// first gives the run that goes next: by rank, then by what a second of the link
-// saves.
-func (v *Evacuation) first() *evacuated {
-	var best *evacuated
+// nextRun returns the run to move next: by rank, then by value per second of copying.
+func (v *Evacuation) nextRun() *plannedRun {
+	var best *plannedRun
 	for _, r := range v.runs {
-		if !r.closed && (best == nil || r.before(best)) {
+		if !r.done && (best == nil || r.before(best)) {
 			best = r
 		}
 	}
 	return best
 }
 
-func (r *evacuated) before(o *evacuated) bool {
+func (r *plannedRun) before(o *plannedRun) bool {
 	return cmp.Or(
 		cmp.Compare(r.Rank, o.Rank),
-		cmp.Compare(o.density(), r.density()),
+		cmp.Compare(o.valuePerSecond(), r.valuePerSecond()),
 		cmp.Compare(r.ID, o.ID),
 	) < 0
 }
 
-func (r *evacuated) density() float64 {
+func (r *plannedRun) valuePerSecond() float64 {
 	return r.Value / max(r.CopyTime, time.Millisecond).Seconds()
 }
--- a/core/generation.go
+++ b/core/generation.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Origin identifies one generation in one life of one endpoint.
+// Origin identifies one generation in one process of an endpoint.
 type Origin struct {
 	Endpoint    string
 	Incarnation Incarnation
@@ -14,7 +14,7 @@
 // GenerationState is the state of one caller's stream.
 type GenerationState string
 
-// A generation waits, is placed, streams, resumes after a cut, and ends.
+// A generation waits, is placed, streams, resumes after an interruption, and ends.
 const (
 	GenerationWaiting   GenerationState = "waiting"
 	GenerationPlaced    GenerationState = "placed"
@@ -56,10 +56,10 @@
 	},
 })
 
-// EndCode is the stable code of a stream's end.
+// EndCode is the error code with which a stream ended.
 type EndCode string
 
-// The codes of a stream's end; EndDone is the only one without an error.
+// The codes with which a stream ends; EndDone is the only one without an error.
 const (
 	EndDone          EndCode = ""
 	EndRefused       EndCode = "endpoint_refused"
@@ -70,43 +70,45 @@
 	EndSlowCaller    EndCode = "slow_caller"
 )
 
-// DropReason says why a frame is not forwarded.
+// DropReason is the reason why a frame was not forwarded.
 type DropReason string
 
-// The reasons for which a frame is dropped.
+// The reasons for dropping a frame.
 const (
 	DropNone      DropReason = ""
 	DropDuplicate DropReason = "duplicate"
 	DropGap       DropReason = "gap"
-	DropForeign   DropReason = "foreign"
-	DropLate      DropReason = "late"
+	DropForeign   DropReason = "foreign" // from another generation
+	DropLate      DropReason = "late"    // from an earlier attempt, or no longer expected
 )
 
-// GenerationRules bounds retries and resumes of one stream.
+// GenerationRules limit the retries and resumes of one stream.
 type GenerationRules struct {
-	Attempts     int
-	ResumeWindow time.Duration
-	ResumeDelay  time.Duration
+	Attempts     int           // maximum number of attempts before the first token
+	ResumeWindow time.Duration // how long resumes may fail without a new token
+	ResumeDelay  time.Duration // pause before a resume
 }
 
-// Generation assembles one caller's stream from one engine generation.
+// Generation produces one caller's stream from the generation of one engine. It
+// forwards each token once and in order, retries before the first token, and
+// resumes an interrupted stream only from the same generation.
 type Generation struct {
-	State      GenerationState
-	Repeatable bool
-	Attempt    int
-	Origin     Origin
-	NextOffset uint64
-	BytesSent  bool
-	MayHaveRun bool
-	Outcome    Outcome
-	Code       EndCode
-	cutAt      time.Time
-	lastEnd    uint64
-	rules      GenerationRules
-	guards     Guards
+	State             GenerationState
+	Repeatable        bool
+	Attempt           int
+	Origin            Origin
+	NextOffset        uint64 // offset of the next token to forward
+	BytesSent         bool   // bytes of the current attempt may have been sent
+	MayHaveRun        bool   // an earlier attempt may have run
+	Outcome           Outcome
+	Code              EndCode
+	interruptedAt     time.Time // when the stream first broke at interruptedOffset
+	interruptedOffset uint64
+	rules             GenerationRules
+	guards            Guards
 }
 
-// NewGeneration starts a stream that waits for its first placement.
+// NewGeneration returns a stream that waits for its first placement.
 func NewGeneration(repeatable bool, rules GenerationRules, options ...Option) *Generation {
 	return &Generation{
 		State:      GenerationWaiting,
@@ -116,47 +118,48 @@
 	}
 }
 
-// ContinueGeneration takes a stream over at an offset, on any box.
-func ContinueGeneration(origin Origin, next uint64, rules GenerationRules, options ...Option) *Generation {
+// ContinueGeneration returns a stream that resumes an existing generation at an
+// offset, possibly one that another box started.
+func ContinueGeneration(origin Origin, nextOffset uint64, rules GenerationRules, options ...Option) *Generation {
 	g := NewGeneration(true, rules, options...)
 	g.State = GenerationResuming
 	g.Origin = origin
-	g.NextOffset = next
+	g.NextOffset = nextOffset
 	g.Attempt = 1
 	g.BytesSent = true
 	return g
 }
 
-// Step applies one event.
+// Step applies an event and returns the commands to carry out.
 func (g *Generation) Step(now time.Time, ev Event) []Command {
 	if g.State == GenerationEnded {
 		return nil
 	}
 	switch e := ev.(type) {
 	case Placed:
-		return g.placed(e)
+		return g.handlePlaced(e)
 	case Sending:
 		g.BytesSent = g.BytesSent || e.Attempt == g.Attempt
 		return nil
 	case Refused:
-		return g.refused(e)
+		return g.handleRefused(e)
 	case FrameArrived:
-		return g.arrived(e)
+		return g.handleFrame(e)
 	case LinkLost:
-		return g.lost(now, e.Attempt)
+		return g.handleLinkLost(now, e.Attempt)
 	case GenerationGone:
-		return g.gone(e)
+		return g.handleGenerationGone(e)
 	case CallerGone:
-		return g.callerGone()
+		return g.cancelForCaller()
 	case CallerLeft:
-		return g.callerLeft(EndCancelled)
+		return g.releaseForCaller(EndCancelled)
 	case CallerSlow:
-		return g.callerLeft(EndSlowCaller)
+		return g.releaseForCaller(EndSlowCaller)
 	}
 	return nil
 }
 
-func (g *Generation) placed(e Placed) []Command {
+func (g *Generation) handlePlaced(e Placed) []Command {
 	if generationLifecycle.Fire(&g.State, generationPlace) != nil {
 		return nil
 	}
@@ -172,36 +175,36 @@
 	}}
 }
 
-// refused is the one way back from a byte that left: the endpoint itself says
-// that it did not start.
-func (g *Generation) refused(e Refused) []Command {
+// handleRefused places the request again. Only a refusal by the endpoint shows that
+// a request didn't run although bytes of it were sent.
+func (g *Generation) handleRefused(e Refused) []Command {
 	if e.Attempt != g.Attempt || g.State != GenerationPlaced {
 		return nil
 	}
 	g.BytesSent = false
 	if g.Attempt >= g.rules.Attempts {
-		return g.end(g.unstarted(), EndRefused)
+		return g.end(g.unstartedOutcome(), EndRefused)
 	}
-	return g.again()
+	return g.retryPlacement()
 }
 
-// unstarted is the outcome when no attempt is running now: an earlier one that
-// was given up on may still have run.
-func (g *Generation) unstarted() Outcome {
-	if g.MayHaveRun && g.guards.on(GuardBytesSent) {
+// unstartedOutcome returns the outcome when no attempt is running. An earlier
+// attempt that was abandoned may have run.
+func (g *Generation) unstartedOutcome() Outcome {
+	if g.MayHaveRun && g.guards.enabled(GuardBytesSent) {
 		return Unknown
 	}
 	return NotRun
 }
 
-func (g *Generation) again() []Command {
+func (g *Generation) retryPlacement() []Command {
 	avoid := g.Origin.Endpoint
 	_ = generationLifecycle.Fire(&g.State, generationReturn)
 	return []Command{PlaceAgain{Avoid: avoid}}
 }
 
-// CheckFrame judges one frame without building commands; it is the path that every
-// token takes.
+// CheckFrame decides whether to forward a frame. It allocates no commands, since it
+// is called for every token.
 func (g *Generation) CheckFrame(attempt int, origin Origin, offset uint64) DropReason {
 	if attempt != g.Attempt || g.State == GenerationWaiting || g.State == GenerationEnded {
 		return DropLate
@@ -209,10 +212,10 @@
 	if !g.sameOrigin(origin) {
 		return DropForeign
 	}
-	if offset < g.NextOffset && g.guards.on(GuardOffset) {
+	if offset < g.NextOffset && g.guards.enabled(GuardOffset) {
 		return DropDuplicate
 	}
-	if offset > g.NextOffset && g.guards.on(GuardOffset) {
+	if offset > g.NextOffset && g.guards.enabled(GuardOffset) {
 		return DropGap
 	}
 	if g.State != GenerationStreaming {
@@ -223,7 +226,7 @@
 }
 
 func (g *Generation) sameOrigin(origin Origin) bool {
-	if !g.guards.on(GuardOrigin) {
+	if !g.guards.enabled(GuardOrigin) {
 		return true
 	}
 	if origin.Endpoint != g.Origin.Endpoint || origin.Generation != g.Origin.Generation {
@@ -232,17 +235,17 @@
 	return g.Origin.Incarnation == 0 || origin.Incarnation == g.Origin.Incarnation
 }
 
-// CountForwarded counts the frame that Accept let through.
+// CountForwarded advances the offset after a frame was forwarded.
 func (g *Generation) CountForwarded() { g.NextOffset++ }
 
-func (g *Generation) arrived(e FrameArrived) []Command {
+func (g *Generation) handleFrame(e FrameArrived) []Command {
 	if e.Final && e.Attempt == g.Attempt && e.Offset+1 == g.NextOffset && g.sameOrigin(e.Origin) {
-		return g.end(Ran, EndDone) // the caller had the end already and asked again
+		return g.end(Ran, EndDone) // the caller had received all tokens and resumed
 	}
 	reason := g.CheckFrame(e.Attempt, e.Origin, e.Offset)
 	if reason == DropGap {
-		g.Origin = e.Origin // a resume must find this life of the endpoint
-		return append([]Command{DropFrame{Reason: reason}}, g.resumeAt(0)...)
+		g.Origin = e.Origin // resume only in the same process of the endpoint
+		return append([]Command{DropFrame{Reason: reason}}, g.resumeAfter(0)...)
 	}
 	if reason != DropNone {
 		return []Command{DropFrame{Reason: reason}}
--- a/core/lease.go
+++ b/core/lease.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// LeaseState is the state of an owner's hold on one endpoint.
+// LeaseState is the state of a box's ownership of an endpoint.
 type LeaseState string
 
-// An owner waits out its predecessor, grants a safe share, or grants all.
+// An owner waits for its predecessor's leases to expire, grants a safe share, or
+// grants everything.
 const (
 	LeaseWaiting LeaseState = "waiting"
 	LeaseSafe    LeaseState = "safe-share"
@@ -45,13 +46,13 @@
 	},
 })
 
-// LeaseRules are the bounds of memory leases.
+// LeaseRules are the time limits of memory leases.
 type LeaseRules struct {
-	TTL   time.Duration
-	Fresh time.Duration
+	TTL   time.Duration // how long a lease lasts
+	Fresh time.Duration // maximum age of the box list's confirmation for a full grant
 }
 
-// DefaultLeaseRules gives the bounds that the processes use.
+// DefaultLeaseRules returns the limits used in production.
 func DefaultLeaseRules() LeaseRules {
 	return LeaseRules{
 		TTL:   4 * time.Second,
@@ -59,49 +60,49 @@
 	}
 }
 
-// Ownership is an owner's right to lease out one half of an endpoint. Each endpoint
-// has two owners with a half each, so that one's death leaves the other's half
-// in use at once. The hold says how much may be leased; who gets how much is
-// the matter of admission.Shares.
+// Ownership is a box's right to lease out one owner slot of an endpoint, which is
+// half of its memory. Each endpoint has two owner slots on different boxes, so that
+// half of the endpoint stays usable when an owner fails. Ownership decides how much
+// may be leased at a time; admission.Shares divides it among the boxes.
 type Ownership struct {
-	State     LeaseState
-	Endpoint  string
-	leaving   bool
-	cleared   bool
-	clearAt   time.Time
-	waitUntil time.Time
-	tickedAt  time.Time
-	wokeAt    time.Time // after a pause, until a reading is confirmed anew
-	reading   time.Time
-	rules     LeaseRules
-	guards    Guards
-}
-
-// HoldTaken tells that the list makes this box the owner. Fresh means that
-// nobody can have owned the half before.
+	State           LeaseState
+	Endpoint        string
+	leaving         bool      // the endpoint is leaving
+	predecessorGone bool      // the previous owner grants nothing more
+	predecessorEnd  time.Time // when the previous owner's last leases have expired
+	waitUntil       time.Time // when the safe share may be granted
+	lastTick        time.Time
+	resumedAt       time.Time // end of a pause, until the list is confirmed again
+	confirmedAt     time.Time // last confirmation of the box list
+	rules           LeaseRules
+	guards          Guards
+}
+
+// HoldTaken reports that the box list makes this box the owner. Fresh is set if the
+// owner slot can't have had an owner before.
 type HoldTaken struct {
 	EventBase
 	Fresh bool
 }
 
-// HoldLost tells that the list makes another box the owner.
+// HoldLost reports that the box list makes another box the owner.
 type HoldLost struct{ EventBase }
 
-// EndpointLeaving tells whether the list shows the endpoint as leaving.
+// EndpointLeaving reports whether the box list marks the endpoint as leaving.
 type EndpointLeaving struct {
 	EventBase
 	Leaving bool
 }
 
-// PredecessorGone tells that the owner before is known to grant nothing more:
-// it handed over, came back with this list or a later one, or is long dead.
+// PredecessorGone reports that the previous owner grants nothing more: it handed
+// over, restarted with this list or a newer one, or has been down for long enough.
 type PredecessorGone struct{ EventBase }
 
-// HoldTicked tells that the process runs; it comes several times in the time for
-// which a reading is fresh.
+// HoldTicked reports that the process is running. It is sent several times within
+// LeaseRules.Fresh.
 type HoldTicked struct{ EventBase }
 
-// NewOwnership starts closed.
+// NewOwnership returns the ownership state of a box that isn't the owner.
 func NewOwnership(endpoint string, rules LeaseRules, options ...Option) *Ownership {
 	return &Ownership{
 		State:    LeaseClosed,
@@ -111,122 +112,122 @@
 	}
 }
 
-// Step applies one event.
-func (h *Ownership) Step(now time.Time, ev Event) []Command {
+// Step applies an event.
+func (o *Ownership) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
-		h.taken(now, e)
+		o.handleTaken(now, e)
 	case HoldLost:
-		_ = leaseLifecycle.Fire(&h.State, leaseClose)
+		_ = leaseLifecycle.Fire(&o.State, leaseClose)
 	case EndpointLeaving:
-		h.leaving = e.Leaving
+		o.leaving = e.Leaving
 	case ListConfirmed:
-		h.confirmed(e)
+		o.handleListConfirmed(e)
 	case PredecessorGone:
-		h.clear(now)
+		o.clear(now)
 	case HoldTicked:
-		h.ticked(now)
+		o.handleTick(now)
 	}
 	return nil
 }
 
-func (h *Ownership) taken(now time.Time, e HoldTaken) {
-	if leaseLifecycle.Fire(&h.State, leaseOpen) != nil {
+func (o *Ownership) handleTaken(now time.Time, e HoldTaken) {
+	if leaseLifecycle.Fire(&o.State, leaseOpen) != nil {
 		return
 	}
-	h.waitUntil = now.Add(h.rules.Fresh + h.rules.TTL)
-	h.cleared = false
-	if e.Fresh || !h.guards.on(GuardLeaseTakeover) {
-		_ = leaseLifecycle.Fire(&h.State, leaseClear)
+	o.waitUntil = now.Add(o.rules.Fresh + o.rules.TTL)
+	o.predecessorGone = false
+	if e.Fresh || !o.guards.enabled(GuardLeaseTakeover) {
+		_ = leaseLifecycle.Fire(&o.State, leaseClear)
 	}
 }
 
-// clear lets the hold grant all when the predecessor's last leases have ended.
-func (h *Ownership) clear(now time.Time) {
-	if h.cleared || h.State == LeaseFull {
+// clear permits full grants once the predecessor's last leases have expired.
+func (o *Ownership) clear(now time.Time) {
+	if o.predecessorGone || o.State == LeaseFull {
 		return
 	}
-	h.cleared = true
-	h.clearAt = now.Add(h.rules.TTL)
-	if h.clearAt.Before(h.waitUntil) {
-		h.waitUntil = h.clearAt
+	o.predecessorGone = true
+	o.predecessorEnd = now.Add(o.rules.TTL)
+	if o.predecessorEnd.Before(o.waitUntil) {
+		o.waitUntil = o.predecessorEnd
 	}
 }
 
-// ticked notices a pause: who wakes from one may believe in what changed in the
-// meantime, and grants nothing until a reading is confirmed anew. An outage of
-// the platform alone is no pause.
-func (h *Ownership) ticked(now time.Time) {
-	if !h.tickedAt.IsZero() && now.Sub(h.tickedAt) > h.rules.Fresh && h.guards.on(GuardLeasePause) {
-		h.wokeAt = now
+// handleTick detects pauses of the process. After a pause the ownership may have
+// changed, so nothing is granted until the list is confirmed again. An unreachable
+// platform does not count as a pause.
+func (o *Ownership) handleTick(now time.Time) {
+	if !o.lastTick.IsZero() && now.Sub(o.lastTick) > o.rules.Fresh && o.guards.enabled(GuardLeasePause) {
+		o.resumedAt = now
 	}
-	h.tickedAt = now
+	o.lastTick = now
 }
 
-func (h *Ownership) confirmed(e ListConfirmed) {
-	if e.At.After(h.reading) {
-		h.reading = e.At
+func (o *Ownership) handleListConfirmed(e ListConfirmed) {
+	if e.At.After(o.confirmedAt) {
+		o.confirmedAt = e.At
 	}
-	if !e.At.Before(h.wokeAt) {
-		h.wokeAt = time.Time{}
+	if !e.At.Before(o.resumedAt) {
+		o.resumedAt = time.Time{}
 	}
 }
 
-// safeDivisor is the part of an endpoint that an owner may lease when another
-// owner may still believe in its own right: two halves never exceed the whole.
+// safeDivisor reduces grants while another box may still act as the owner, so that
+// both together never grant more than the owner slot has.
 const safeDivisor = 2
 
-// Grantable gives how many of an endpoint's units may be leased now, and until
-// when at the longest.
-func (h *Ownership) Grantable(now time.Time, capacity int) (int, time.Duration) {
-	if h.State == LeaseClosed || h.leaving && h.guards.on(GuardLeaseLeaving) {
+// Grantable returns how many of an owner slot's tokens may be leased now, and the
+// maximum duration of a lease.
+func (o *Ownership) Grantable(now time.Time, capacity int) (int, time.Duration) {
+	if o.State == LeaseClosed || o.leaving && o.guards.enabled(GuardLeaseLeaving) {
 		return 0, 0
 	}
-	h.ticked(now)
-	h.advance(now)
-	if h.State == LeaseWaiting || !h.wokeAt.IsZero() {
+	o.handleTick(now)
+	o.advance(now)
+	if o.State == LeaseWaiting || !o.resumedAt.IsZero() {
 		return 0, 0
 	}
-	if h.State == LeaseSafe || now.Sub(h.reading) > h.rules.Fresh {
-		return capacity / safeDivisor, h.rules.TTL
+	if o.State == LeaseSafe || now.Sub(o.confirmedAt) > o.rules.Fresh {
+		return capacity / safeDivisor, o.rules.TTL
 	}
-	return capacity, h.rules.TTL
+	return capacity, o.rules.TTL
 }
 
-// advance moves on when the predecessor's leases have ended.
-func (h *Ownership) advance(now time.Time) {
-	if h.cleared && !now.Before(h.clearAt) && h.State != LeaseFull {
-		_ = leaseLifecycle.Fire(&h.State, leaseClear)
+// advance updates the state when the predecessor's leases have expired.
+func (o *Ownership) advance(now time.Time) {
+	if o.predecessorGone && !now.Before(o.predecessorEnd) && o.State != LeaseFull {
+		_ = leaseLifecycle.Fire(&o.State, leaseClear)
 	}
-	if h.State == LeaseWaiting && !now.Before(h.waitUntil) {
-		_ = leaseLifecycle.Fire(&h.State, leaseWaited)
+	if o.State == LeaseWaiting && !now.Before(o.waitUntil) {
+		_ = leaseLifecycle.Fire(&o.State, leaseWaited)
 	}
 }
 
-// Lease is what an entry holds of one endpoint. Its end is counted from the
-// moment before the entry asked, so that a delayed answer is never too long.
+// Lease is a box's share of an endpoint. It expires TTL after the box sent its
+// request for it, so that a delayed answer doesn't extend it.
 type Lease struct {
 	Endpoint string
 	Tokens   int
 	Slots    int
-	Until    time.Time
+	Until    time.Time // when it expires
 	guards   Guards
 }
 
-// NewLease builds a lease that was asked for at a moment.
-func NewLease(endpoint string, askedAt time.Time, ttl time.Duration, tokens, slots int, options ...Option) Lease {
+// NewLease returns a lease that was requested at the given time.
+func NewLease(endpoint string, requestedAt time.Time, ttl time.Duration, tokens, slots int, options ...Option) Lease {
 	return Lease{
 		Endpoint: endpoint,
 		Tokens:   tokens,
 		Slots:    slots,
-		Until:    askedAt.Add(ttl),
+		Until:    requestedAt.Add(ttl),
 		guards:   newGuards(options),
 	}
 }
 
-// Usable reports whether new work may be sent on the lease.
+// Usable reports whether new requests may be sent under the lease.
 func (l *Lease) Usable(now time.Time) bool {
-	if !l.guards.on(GuardLeaseExpiry) {
+	if !l.guards.enabled(GuardLeaseExpiry) {
 		return l.Tokens > 0
 	}
 	return l.Tokens > 0 && now.Before(l.Until)
