--- a/core/failure_detector.go
+++ b/core/failure_detector.go
@@ -44,78 +44,78 @@
 // FailureDetector says which boxes are likely dead: by the rhythm of each box's own
 // heartbeats and not by one time-out for all.
 type FailureDetector struct {
-	rules   FailureDetectorRules
-	watched map[string]*rhythm
-	heard   map[string]time.Time
+	rules     FailureDetectorRules
+	monitored map[string]*intervalStats
+	reported  map[string]time.Time
 }
 
-type rhythm struct {
-	last     time.Time
-	mean     float64
-	variance float64
+type intervalStats struct {
+	lastHeartbeat time.Time
+	mean          float64
+	variance      float64
 }
 
-// rhythmWeight is the weight of the newest interval.
-const rhythmWeight = 0.1
+// intervalWeight is the weight of the newest interval.
+const intervalWeight = 0.1
 
 // NewFailureDetector starts with no box watched.
 func NewFailureDetector(rules FailureDetectorRules) *FailureDetector {
 	return &FailureDetector{
-		rules:   rules,
-		watched: make(map[string]*rhythm),
-		heard:   make(map[string]time.Time),
+		rules:     rules,
+		monitored: make(map[string]*intervalStats),
+		reported:  make(map[string]time.Time),
 	}
 }
 
 // Step applies one event.
-func (s *FailureDetector) Step(now time.Time, ev Event) []Command {
+func (d *FailureDetector) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HeartbeatExpected:
-		if s.watched[e.Box] == nil {
-			s.watched[e.Box] = &rhythm{
-				last: now,
-				mean: 1,
+		if d.monitored[e.Box] == nil {
+			d.monitored[e.Box] = &intervalStats{
+				lastHeartbeat: now,
+				mean:          1,
 			}
 		}
 	case HeartbeatReceived:
-		s.seen(now, e.Box)
+		d.recordHeartbeat(now, e.Box)
 	case SuspectsReported:
 		for _, box := range e.Boxes {
-			s.heard[box] = now
+			d.reported[box] = now
 		}
 	}
 	return nil
 }
 
-func (s *FailureDetector) seen(now time.Time, box string) {
-	delete(s.heard, box)
-	r := s.watched[box]
+func (d *FailureDetector) recordHeartbeat(now time.Time, box string) {
+	delete(d.reported, box)
+	r := d.monitored[box]
 	if r == nil {
-		r = &rhythm{mean: 1}
-		s.watched[box] = r
-	} else if !r.last.IsZero() {
-		off := now.Sub(r.last).Seconds() - r.mean
-		r.mean += rhythmWeight * off
-		r.variance += rhythmWeight * (off*off - r.variance)
+		r = &intervalStats{mean: 1}
+		d.monitored[box] = r
+	} else if !r.lastHeartbeat.IsZero() {
+		deviation := now.Sub(r.lastHeartbeat).Seconds() - r.mean
+		r.mean += intervalWeight * deviation
+		r.variance += intervalWeight * (deviation*deviation - r.variance)
 	}
-	r.last = now
+	r.lastHeartbeat = now
 }
 
 // Retain stops watching all but the named boxes.
-func (s *FailureDetector) Retain(boxes []string) {
-	for name := range s.watched {
+func (d *FailureDetector) Retain(boxes []string) {
+	for name := range d.monitored {
 		if !slices.Contains(boxes, name) {
-			delete(s.watched, name)
+			delete(d.monitored, name)
 		}
 	}
 }
 
 // OwnSuspects gives the boxes that this box itself finds silent.
-func (s *FailureDetector) OwnSuspects(now time.Time) []string {
+func (d *FailureDetector) OwnSuspects(now time.Time) []string {
 	var silent []string
-	for name, r := range s.watched {
-		limit := r.mean + s.rules.MaxDeviations*math.Sqrt(r.variance)
-		if silence := now.Sub(r.last); silence > s.rules.MinSilence && silence.Seconds() > limit {
+	for name, r := range d.monitored {
+		maxSilence := r.mean + d.rules.MaxDeviations*math.Sqrt(r.variance)
+		if silence := now.Sub(r.lastHeartbeat); silence > d.rules.MinSilence && silence.Seconds() > maxSilence {
 			silent = append(silent, name)
 		}
 	}
@@ -125,14 +125,14 @@
 
 // Suspects gives the boxes that this box or a peer suspects; one's own fresh sight
 // of a box goes before a peer's suspicion.
-func (s *FailureDetector) Suspects(now time.Time) []string {
-	all := s.OwnSuspects(now)
-	for name, at := range s.heard {
-		if now.Sub(at) > s.rules.ReportLifetime {
-			delete(s.heard, name)
+func (d *FailureDetector) Suspects(now time.Time) []string {
+	all := d.OwnSuspects(now)
+	for name, at := range d.reported {
+		if now.Sub(at) > d.rules.ReportLifetime {
+			delete(d.reported, name)
 			continue
 		}
-		if r := s.watched[name]; r != nil && now.Sub(r.last) < s.rules.MinSilence {
+		if r := d.monitored[name]; r != nil && now.Sub(r.lastHeartbeat) < d.rules.MinSilence {
 			continue
 		}
 		if !slices.Contains(all, name) {
--- a/core/limits.go
+++ b/core/limits.go
@@ -36,10 +36,10 @@
 // messages don't matter.
 type Limits struct {
 	rules LimitRules
-	known map[string]knownLimit
+	known map[string]limitEntry
 }
 
-type knownLimit struct {
+type limitEntry struct {
 	limited   bool
 	perSecond float64
 	at        time.Time
@@ -49,50 +49,50 @@
 func NewLimits(rules LimitRules) *Limits {
 	return &Limits{
 		rules: rules,
-		known: make(map[string]knownLimit),
+		known: make(map[string]limitEntry),
 	}
 }
 
 // RecordAnswer takes an endpoint's answer to this box, and tells whether others should hear of
 // it at once.
-func (l *Limits) RecordAnswer(now time.Time, w LimitRecord) bool {
-	before, known := l.known[w.Endpoint]
-	if !w.Limited && (!known || (before.limited && now.Sub(before.at) < l.rules.SettleTime)) {
+func (l *Limits) RecordAnswer(now time.Time, record LimitRecord) bool {
+	before, known := l.known[record.Endpoint]
+	if !record.Limited && (!known || (before.limited && now.Sub(before.at) < l.rules.SettleTime)) {
 		return false
 	}
-	return l.set(w, now)
+	return l.update(record, now)
 }
 
 // Merge takes what other boxes told, and gives what of it is worth handing on at once.
-func (l *Limits) Merge(now time.Time, told []LimitRecord) []LimitRecord {
-	var news []LimitRecord
-	for _, w := range told {
-		at := now.Add(-w.Age)
-		if w.Age < 0 || w.Age >= l.rules.Retention || !(w.PerSecond >= 0) || math.IsInf(w.PerSecond, 1) {
+func (l *Limits) Merge(now time.Time, records []LimitRecord) []LimitRecord {
+	var updates []LimitRecord
+	for _, record := range records {
+		at := now.Add(-record.Age)
+		if record.Age < 0 || record.Age >= l.rules.Retention || !(record.PerSecond >= 0) || math.IsInf(record.PerSecond, 1) {
 			continue
 		}
-		if before, known := l.known[w.Endpoint]; known && !at.After(before.at) {
+		if before, known := l.known[record.Endpoint]; known && !at.After(before.at) {
 			continue
 		}
-		if l.set(w, at) {
-			news = append(news, w)
+		if l.update(record, at) {
+			updates = append(updates, record)
 		}
 	}
-	return news
+	return updates
 }
 
-// set notes a word, and tells whether it differs from the one before.
-func (l *Limits) set(w LimitRecord, at time.Time) bool {
-	before := l.known[w.Endpoint]
-	l.known[w.Endpoint] = knownLimit{
-		limited:   w.Limited,
-		perSecond: w.PerSecond,
+// update notes a word, and tells whether it differs from the one before.
+func (l *Limits) update(record LimitRecord, at time.Time) bool {
+	before := l.known[record.Endpoint]
+	l.known[record.Endpoint] = limitEntry{
+		limited:   record.Limited,
+		perSecond: record.PerSecond,
 		at:        at,
 	}
-	if before.limited != w.Limited {
+	if before.limited != record.Limited {
 		return true
 	}
-	return w.Limited && math.Abs(w.PerSecond-before.perSecond) > l.rules.MinChange*before.perSecond
+	return record.Limited && math.Abs(record.PerSecond-before.perSecond) > l.rules.MinChange*before.perSecond
 }
 
 // Lookup gives the requests a second that an endpoint takes from all boxes together, if it
@@ -110,17 +110,17 @@
 
 // Expire drops words that are too old, and gives those of them that named limits.
 func (l *Limits) Expire(now time.Time) []string {
-	var forgotten []string
+	var expired []string
 	for endpoint, known := range l.known {
 		if now.Sub(known.at) < l.rules.Retention {
 			continue
 		}
 		delete(l.known, endpoint)
 		if known.limited {
-			forgotten = append(forgotten, endpoint)
+			expired = append(expired, endpoint)
 		}
 	}
-	return forgotten
+	return expired
 }
 
 // HandleSuspension takes that the machine was suspended for a time that its clock didn't count.
@@ -146,11 +146,11 @@
 }
 
 // Sample gives up to some of the words, drawn anew each time.
-func (l *Limits) Sample(now time.Time, most int) []LimitRecord {
+func (l *Limits) Sample(now time.Time, limit int) []LimitRecord {
 	all := l.All(now)
-	if len(all) > most {
+	if len(all) > limit {
 		rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		all = all[:most]
+		all = all[:limit]
 	}
 	return all
 }
--- a/core/member.go
+++ b/core/member.go
@@ -58,29 +58,29 @@
 // forClaimOwners is the part of a list by which claims find their homes. It is what is
 // kept and handed over of a replaced list, for an hour and to every newcomer.
 func (l *List) forClaimOwners() *List {
-	short := &List{
+	trimmed := &List{
 		Version: l.Version,
 		Age:     l.Age,
 		Boxes:   make([]Member, 0, len(l.Boxes)),
 	}
 	for i := range l.Boxes {
-		short.Boxes = append(short.Boxes, Member{
+		trimmed.Boxes = append(trimmed.Boxes, Member{
 			Name:    l.Boxes[i].Name,
 			Leaving: l.Boxes[i].Leaving,
 		})
 	}
-	return short
+	return trimmed
 }
 
 // ClaimOwners are the boxes that can be home to claims: all that are not leaving.
 func (l *List) ClaimOwners() map[string]bool {
-	homes := make(map[string]bool, len(l.Boxes))
+	owners := make(map[string]bool, len(l.Boxes))
 	for i := range l.Boxes {
 		if !l.Boxes[i].Leaving {
-			homes[l.Boxes[i].Name] = true
+			owners[l.Boxes[i].Name] = true
 		}
 	}
-	return homes
+	return owners
 }
 
 // Leaving reports whether an endpoint is leaving or is not listed at all.
@@ -97,16 +97,16 @@
 // rendezvous score. Boxes for which skip answers true are passed over.
 func (l *List) ClaimOwner(key string, skip func(box string) bool) string {
 	best := ""
-	var high uint64
-	hashed := xxhash.Sum64String(key)
+	var highest uint64
+	keyHash := xxhash.Sum64String(key)
 	for i := range l.Boxes {
 		m := &l.Boxes[i]
 		if m.Leaving || skip != nil && skip(m.Name) {
 			continue
 		}
-		score := hashedScore(hashed, m.Name)
-		if best == "" || score > high || score == high && m.Name < best {
-			best, high = m.Name, score
+		score := hashedScore(keyHash, m.Name)
+		if best == "" || score > highest || score == highest && m.Name < best {
+			best, highest = m.Name, score
 		}
 	}
 	return best
@@ -114,20 +114,22 @@
 
 // Without gives the list as it is without a box.
 func (l *List) Without(box string) *List {
-	shorter := *l
-	shorter.Boxes = slices.DeleteFunc(slices.Clone(l.Boxes), func(m Member) bool { return m.Name == box })
-	return &shorter
+	reduced := *l
+	reduced.Boxes = slices.DeleteFunc(slices.Clone(l.Boxes), func(m Member) bool { return m.Name == box })
+	return &reduced
 }
 
 // RendezvousScore is the rendezvous weight of a box for a key.
 func RendezvousScore(key, box string) uint64 { return hashedScore(xxhash.Sum64String(key), box) }
 
 // hashedScore spreads a key's hash with a box's, so that a key is hashed once for all boxes.
-func hashedScore(key uint64, box string) uint64 { return finalize(key ^ xxhash.Sum64String(box)) }
+func hashedScore(keyHash uint64, box string) uint64 {
+	return splitmix64(keyHash ^ xxhash.Sum64String(box))
+}
 
-// finalize is the finalizer of splitmix64: each bit given changes half of those that
+// splitmix64 is the finalizer of splitmix64: each bit given changes half of those that
 // come out.
-func finalize(x uint64) uint64 {
+func splitmix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
@@ -156,6 +158,6 @@
 }
 
 // Fresh reports whether the reading was confirmed within the bound.
-func (r *ListSnapshot) Fresh(now time.Time, bound time.Duration) bool {
-	return r.List != nil && now.Sub(r.ConfirmedAt) <= bound
+func (s *ListSnapshot) Fresh(now time.Time, bound time.Duration) bool {
+	return s.List != nil && now.Sub(s.ConfirmedAt) <= bound
 }
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -45,33 +45,33 @@
 // ends and the time of the last run that an endpoint survived, so that it doesn't matter
 // in which order, by whom or how often a box is told.
 type Quarantine struct {
-	rules   QuarantineRules
-	records map[Digest]*endRecord
-	sound   map[Digest]time.Time
-	order   []Digest // of sound, the oldest first
+	rules        QuarantineRules
+	records      map[Digest]*requestHistory
+	clearedAt    map[Digest]time.Time
+	clearedOrder []Digest // of sound, the oldest first
 }
 
-type endRecord struct {
-	ends    map[string]time.Time
-	soundAt time.Time // ends before it count for nothing
-	last    time.Time // the last end
-	changed time.Time // when this box last learned something of it
-	told    int       // in how many messages since
+type requestHistory struct {
+	crashes     map[string]time.Time
+	lastSuccess time.Time // ends before it count for nothing
+	lastCrash   time.Time // the last end
+	changedAt   time.Time // when this box last learned something of it
+	timesSent   int       // in how many messages since
 }
 
 // NewQuarantine builds one that knows of no end.
 func NewQuarantine(rules QuarantineRules) *Quarantine {
 	return &Quarantine{
-		rules:   rules,
-		records: make(map[Digest]*endRecord),
-		sound:   make(map[Digest]time.Time),
+		rules:     rules,
+		records:   make(map[Digest]*requestHistory),
+		clearedAt: make(map[Digest]time.Time),
 	}
 }
 
 // Crashed takes the end of an endpoint under a request, as this box saw it, and tells
 // whether it says anything against the request.
 func (q *Quarantine) Crashed(now time.Time, request Digest, endpoint string) bool {
-	if q.proved(now, request) {
+	if q.wasRecentlyCleared(now, request) {
 		return false
 	}
 	return q.add(now, request, endpoint, now)
@@ -80,23 +80,23 @@
 // RecordSuccess takes a run of a request that its endpoint survived, and tells whether others
 // should know: two ends or more speak against the request.
 func (q *Quarantine) RecordSuccess(now time.Time, request Digest) bool {
-	q.remember(now, request)
+	q.markCleared(now, request)
 	r := q.records[request]
 	if r == nil {
 		return false
 	}
-	others := len(r.ends) > 1
-	q.acquit(now, r, now)
-	return others
+	hadSeveral := len(r.crashes) > 1
+	q.clearCrashes(now, r, now)
+	return hadSeveral
 }
 
 // QuarantinedUntil tells whether a request is quarantined, and until when.
 func (q *Quarantine) QuarantinedUntil(now time.Time, request Digest) (time.Time, bool) {
 	r := q.records[request]
-	if r == nil || len(r.ends) < q.rules.CrashThreshold {
+	if r == nil || len(r.crashes) < q.rules.CrashThreshold {
 		return time.Time{}, false
 	}
-	until := r.last.Add(q.rules.Duration)
+	until := r.lastCrash.Add(q.rules.Duration)
 	return until, now.Before(until)
 }
 
@@ -104,12 +104,12 @@
 func (q *Quarantine) All(now time.Time) []Digest {
 	var all []Digest
 	for request := range q.records {
-		if _, held := q.QuarantinedUntil(now, request); held {
+		if _, quarantined := q.QuarantinedUntil(now, request); quarantined {
 			all = append(all, request)
 		}
 	}
 	slices.SortFunc(all, func(a, b Digest) int {
-		return cmp.Or(q.records[b].last.Compare(q.records[a].last), slices.Compare(a[:], b[:]))
+		return cmp.Or(q.records[b].lastCrash.Compare(q.records[a].lastCrash), slices.Compare(a[:], b[:]))
 	})
 	return all
 }
@@ -120,5 +120,5 @@
 	if r == nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(r.ends))
+	return slices.Sorted(maps.Keys(r.crashes))
 }
--- a/core/quarantine_record.go
+++ b/core/quarantine_record.go
@@ -15,83 +15,83 @@
 		if !q.makeRoom(at) {
 			return false
 		}
-		r = &endRecord{ends: make(map[string]time.Time)}
+		r = &requestHistory{crashes: make(map[string]time.Time)}
 		q.records[request] = r
 	}
-	if _, known := r.ends[endpoint]; known || !r.counts(at) {
+	if _, known := r.crashes[endpoint]; known || !r.isAfterSuccess(at) {
 		return false
 	}
-	if len(r.ends) > q.rules.CrashThreshold {
-		oldest := r.oldest()
-		if !at.After(r.ends[oldest]) {
+	if len(r.crashes) > q.rules.CrashThreshold {
+		oldestCrash := r.oldestCrash()
+		if !at.After(r.crashes[oldestCrash]) {
 			return false // it was dropped before
 		}
-		delete(r.ends, oldest)
+		delete(r.crashes, oldestCrash)
 	}
-	r.ends[endpoint] = at
-	if at.After(r.last) {
-		r.last = at
+	r.crashes[endpoint] = at
+	if at.After(r.lastCrash) {
+		r.lastCrash = at
 	}
-	r.news(now)
+	r.markChanged(now)
 	return true
 }
 
-// oldest gives the endpoint that ended first.
-func (r *endRecord) oldest() string {
-	oldest := ""
-	for endpoint, at := range r.ends {
-		if oldest == "" || at.Before(r.ends[oldest]) {
-			oldest = endpoint
+// oldestCrash gives the endpoint that ended first.
+func (r *requestHistory) oldestCrash() string {
+	oldestCrash := ""
+	for endpoint, at := range r.crashes {
+		if oldestCrash == "" || at.Before(r.crashes[oldestCrash]) {
+			oldestCrash = endpoint
 		}
 	}
-	return oldest
+	return oldestCrash
 }
 
-func (r *endRecord) news(now time.Time) {
-	r.changed = now
-	r.told = 0
+func (r *requestHistory) markChanged(now time.Time) {
+	r.changedAt = now
+	r.timesSent = 0
 }
 
-// soundStep is the least by which word of a survived run must be newer than the last to
+// minSuccessAdvance is the least by which word of a survived run must be newer than the last to
 // be handed on; ages lose the time that messages take.
-const soundStep = 2 * time.Second
+const minSuccessAdvance = 2 * time.Second
 
-// endDrift is by how much an end may look younger when its word comes round by several
+// maxAgeDrift is by how much an end may look younger when its word comes round by several
 // boxes, as ages lose the time that messages take.
-const endDrift = 500 * time.Millisecond
+const maxAgeDrift = 500 * time.Millisecond
 
-// counts tells whether an end at a time is later than the last survived run.
-func (r *endRecord) counts(at time.Time) bool {
-	return r.soundAt.IsZero() || at.After(r.soundAt.Add(endDrift))
+// isAfterSuccess tells whether an end at a time is later than the last survived run.
+func (r *requestHistory) isAfterSuccess(at time.Time) bool {
+	return r.lastSuccess.IsZero() || at.After(r.lastSuccess.Add(maxAgeDrift))
 }
 
-// acquit takes back all ends before a time.
-func (q *Quarantine) acquit(now time.Time, r *endRecord, at time.Time) {
-	r.soundAt = at
-	for endpoint, end := range r.ends {
-		if !r.counts(end) {
-			delete(r.ends, endpoint)
+// clearCrashes takes back all ends before a time.
+func (q *Quarantine) clearCrashes(now time.Time, r *requestHistory, at time.Time) {
+	r.lastSuccess = at
+	for endpoint, crashedAt := range r.crashes {
+		if !r.isAfterSuccess(crashedAt) {
+			delete(r.crashes, endpoint)
 		}
 	}
-	r.news(now)
+	r.markChanged(now)
 }
 
-// proved tells whether an endpoint survived the request a short while ago, at this box.
-func (q *Quarantine) proved(now time.Time, request Digest) bool {
-	at, ok := q.sound[request]
+// wasRecentlyCleared tells whether an endpoint survived the request a short while ago, at this box.
+func (q *Quarantine) wasRecentlyCleared(now time.Time, request Digest) bool {
+	at, ok := q.clearedAt[request]
 	return ok && now.Sub(at) <= q.rules.ClearedFor
 }
 
-// remember takes a request among the sound ones, in place of the oldest.
-func (q *Quarantine) remember(now time.Time, request Digest) {
-	if _, known := q.sound[request]; !known {
-		if len(q.order) >= q.rules.MaxCleared {
-			delete(q.sound, q.order[0])
-			q.order = q.order[1:]
+// markCleared takes a request among the sound ones, in place of the oldest.
+func (q *Quarantine) markCleared(now time.Time, request Digest) {
+	if _, known := q.clearedAt[request]; !known {
+		if len(q.clearedOrder) >= q.rules.MaxCleared {
+			delete(q.clearedAt, q.clearedOrder[0])
+			q.clearedOrder = q.clearedOrder[1:]
 		}
-		q.order = append(q.order, request)
+		q.clearedOrder = append(q.clearedOrder, request)
 	}
-	q.sound[request] = now
+	q.clearedAt[request] = now
 }
 
 // makeRoom forgets a record when there are too many: the one with the fewest ends, and the
@@ -101,16 +101,16 @@
 	if len(q.records) < q.rules.MaxRecords {
 		return true
 	}
-	var least Digest
-	var found *endRecord
+	var evicted Digest
+	var weakest *requestHistory
 	for request, r := range q.records {
-		if found == nil || cmp.Or(cmp.Compare(len(r.ends), len(found.ends)), r.last.Compare(found.last)) < 0 {
-			least, found = request, r
+		if weakest == nil || cmp.Or(cmp.Compare(len(r.crashes), len(weakest.crashes)), r.lastCrash.Compare(weakest.lastCrash)) < 0 {
+			evicted, weakest = request, r
 		}
 	}
-	if len(found.ends) > 1 || found.last.After(at) {
+	if len(weakest.crashes) > 1 || weakest.lastCrash.After(at) {
 		return false
 	}
-	delete(q.records, least)
+	delete(q.records, evicted)
 	return true
 }
--- a/core/rate_limiter.go
+++ b/core/rate_limiter.go
@@ -21,74 +21,74 @@
 }
 
 // SplitRate divides a rate: into how many sends, and after how long each may be repeated.
-func (r RateLimiterRules) SplitRate(perSecond float64) (units int, each time.Duration) {
+func (r RateLimiterRules) SplitRate(perSecond float64) (units int, interval time.Duration) {
 	if perSecond <= 0 {
 		return 0, r.UnitInterval
 	}
 	units = int(min(perSecond*r.UnitInterval.Seconds(), float64(r.MaxUnits)))
 	units = max(units, 1)
-	seconds := min(float64(units)/perSecond, mostPause.Seconds())
+	seconds := min(float64(units)/perSecond, maxUnitInterval.Seconds())
 	return units, time.Duration(seconds * float64(time.Second))
 }
 
-// mostPause bounds the time between two sends to an endpoint that takes next to nothing.
-const mostPause = 10 * time.Minute
+// maxUnitInterval bounds the time between two sends to an endpoint that takes next to nothing.
+const maxUnitInterval = 10 * time.Minute
 
 // RateLimiter keeps one box's sends to an endpoint that takes a rate only: each of the box's
 // units is used once in a while, and the units take turns, so that neither the begin of a
 // limit nor the end of a lull sends all at once.
 type RateLimiter struct {
-	rules RateLimiterRules
-	draw  func() float64
-	each  time.Duration
-	used  []time.Time // when each unit was used last
-	held  []time.Time // when planned sends took theirs, oldest first
+	rules        RateLimiterRules
+	random       func() float64
+	interval     time.Duration
+	lastUsed     []time.Time // when each unit was used last
+	reservations []time.Time // when planned sends took theirs, oldest first
 }
 
 // NewRateLimiter builds one without units. Draw gives numbers from 0 to 1 that set the turns of
 // boxes apart.
-func NewRateLimiter(rules RateLimiterRules, draw func() float64) *RateLimiter {
+func NewRateLimiter(rules RateLimiterRules, random func() float64) *RateLimiter {
 	return &RateLimiter{
-		rules: rules,
-		draw:  draw,
+		rules:  rules,
+		random: random,
 	}
 }
 
 // Set takes how many units are this box's, and after how long each may be used again.
-func (p *RateLimiter) Set(now time.Time, share int, each time.Duration) {
-	p.each = each
-	for len(p.used) > share {
-		p.dropIdlest()
+func (l *RateLimiter) Set(now time.Time, share int, interval time.Duration) {
+	l.interval = interval
+	for len(l.lastUsed) > share {
+		l.dropLeastRecentlyUsed()
 	}
 	// Another box may have used a unit a moment ago.
-	added := share - len(p.used)
+	added := share - len(l.lastUsed)
 	for i := range added {
-		rest := (float64(i) + p.draw()) / float64(added)
-		p.used = append(p.used, now.Add(-time.Duration(rest*float64(each))))
+		elapsed := (float64(i) + l.random()) / float64(added)
+		l.lastUsed = append(l.lastUsed, now.Add(-time.Duration(elapsed*float64(interval))))
 	}
 }
 
-// dropIdlest gives up the unit that was used longest ago: what was sent lately counts on.
-func (p *RateLimiter) dropIdlest() {
-	idlest := 0
-	for i, at := range p.used {
-		if at.Before(p.used[idlest]) {
-			idlest = i
+// dropLeastRecentlyUsed gives up the unit that was used longest ago: what was sent lately counts on.
+func (l *RateLimiter) dropLeastRecentlyUsed() {
+	oldest := 0
+	for i, at := range l.lastUsed {
+		if at.Before(l.lastUsed[oldest]) {
+			oldest = i
 		}
 	}
-	p.used = append(p.used[:idlest], p.used[idlest+1:]...)
+	l.lastUsed = append(l.lastUsed[:oldest], l.lastUsed[oldest+1:]...)
 }
 
 // CanReserve tells whether one more send may be planned.
-func (p *RateLimiter) CanReserve(now time.Time) bool {
-	p.held = since(p.held, now.Add(-p.rules.ReservationLifetime))
-	return p.ready(now) > len(p.held)
+func (l *RateLimiter) CanReserve(now time.Time) bool {
+	l.reservations = dropUntil(l.reservations, now.Add(-l.rules.ReservationLifetime))
+	return l.countReady(now) > len(l.reservations)
 }
 
-func (p *RateLimiter) ready(now time.Time) int {
+func (l *RateLimiter) countReady(now time.Time) int {
 	n := 0
-	for _, at := range p.used {
-		if now.Sub(at) >= p.each {
+	for _, at := range l.lastUsed {
+		if now.Sub(at) >= l.interval {
 			n++
 		}
 	}
@@ -96,32 +96,32 @@
 }
 
 // Reserve keeps a unit for a send that is planned, if one is free.
-func (p *RateLimiter) Reserve(now time.Time) bool {
-	if !p.CanReserve(now) {
+func (l *RateLimiter) Reserve(now time.Time) bool {
+	if !l.CanReserve(now) {
 		return false
 	}
-	p.held = append(p.held, now)
+	l.reservations = append(l.reservations, now)
 	return true
 }
 
 // CancelReservation gives a unit back that was kept.
-func (p *RateLimiter) CancelReservation() {
-	if len(p.held) > 0 {
-		p.held = p.held[1:]
+func (l *RateLimiter) CancelReservation() {
+	if len(l.reservations) > 0 {
+		l.reservations = l.reservations[1:]
 	}
 }
 
 // Acquire uses a unit, which was kept for the send or is free; false says that there is none.
-func (p *RateLimiter) Acquire(now time.Time, held bool) bool {
-	if held {
-		p.CancelReservation()
+func (l *RateLimiter) Acquire(now time.Time, reserved bool) bool {
+	if reserved {
+		l.CancelReservation()
 	}
-	if !p.CanReserve(now) {
+	if !l.CanReserve(now) {
 		return false
 	}
-	for i, at := range p.used {
-		if now.Sub(at) >= p.each {
-			p.used[i] = now
+	for i, at := range l.lastUsed {
+		if now.Sub(at) >= l.interval {
+			l.lastUsed[i] = now
 			break
 		}
 	}
@@ -129,23 +129,23 @@
 }
 
 // Next gives when one more send may be planned, or tells that the box has no unit.
-func (p *RateLimiter) Next(now time.Time) (time.Duration, bool) {
-	if len(p.used) == 0 {
+func (l *RateLimiter) Next(now time.Time) (time.Duration, bool) {
+	if len(l.lastUsed) == 0 {
 		return 0, false
 	}
-	if p.CanReserve(now) {
+	if l.CanReserve(now) {
 		return 0, true
 	}
-	next := mostPause
-	for _, at := range p.used {
-		if left := p.each - now.Sub(at); left > 0 {
-			next = min(next, left)
+	next := maxUnitInterval
+	for _, at := range l.lastUsed {
+		if remaining := l.interval - now.Sub(at); remaining > 0 {
+			next = min(next, remaining)
 		}
 	}
-	return min(next, p.each), true
+	return min(next, l.interval), true
 }
 
 // IsIdle tells whether nothing is counted any more.
-func (p *RateLimiter) IsIdle(now time.Time) bool {
-	return p.CanReserve(now) && len(p.held) == 0 && p.ready(now) == len(p.used)
+func (l *RateLimiter) IsIdle(now time.Time) bool {
+	return l.CanReserve(now) && len(l.reservations) == 0 && l.countReady(now) == len(l.lastUsed)
 }
--- a/core/readers.go
+++ b/core/readers.go
@@ -15,18 +15,18 @@
 // link of 10 Mbit/s, in which the reader hears of no other change, and 0.04 s of one of
 // 200 Mbit/s.
 func ReaderRank(self Peer, others []Peer) int {
-	before := 0
+	ahead := 0
 	for _, other := range others {
-		if readsBefore(other, self) {
-			before++
+		if ranksBefore(other, self) {
+			ahead++
 		}
 	}
-	return before
+	return ahead
 }
 
-func readsBefore(a, b Peer) bool {
-	if ours, theirs := linkTier(a), linkTier(b); ours != theirs {
-		return ours > theirs
+func ranksBefore(a, b Peer) bool {
+	if tierA, tierB := linkTier(a), linkTier(b); tierA != tierB {
+		return tierA > tierB
 	}
 	return readerWeight(a) > readerWeight(b)
 }
--- a/core/roster.go
+++ b/core/roster.go
@@ -59,18 +59,18 @@
 // answer: word of far boxes comes round too seldom in a large fleet for silence
 // to say anything.
 type Roster struct {
-	rules   RosterRules
-	self    Peer
-	members map[string]*rosterEntry
-	order   []string // the members' names, sorted
-	next    int      // whose turn it is to be told
-	met     bool     // whether any box answered since the start
+	rules     RosterRules
+	self      Peer
+	members   map[string]*rosterEntry
+	names     []string // the members' names, sorted
+	nextIndex int      // whose turn it is to be told
+	contacted bool     // whether any box answered since the start
 }
 
 type rosterEntry struct {
 	Peer
-	heard time.Time
-	told  int // how often since the last change
+	lastHeard time.Time
+	timesSent int // how often since the last change
 }
 
 // NewRoster builds the roster of a box that knows nobody.
@@ -90,16 +90,16 @@
 
 // RecordContact takes the word of a box about itself, which goes before all others'.
 func (r *Roster) RecordContact(now time.Time, m Peer) {
-	r.met = true
+	r.contacted = true
 	m.Silence = 0
 	m.Suspect = false
-	r.take(now, m, true)
+	r.mergePeer(now, m, true)
 }
 
 // Merge takes what a box heard about others.
 func (r *Roster) Merge(now time.Time, members []Peer) {
 	for _, m := range members {
-		r.take(now, m, false)
+		r.mergePeer(now, m, false)
 	}
 }
 
@@ -107,7 +107,7 @@
 // count: what was heard is so much older, and must not clear others' suspicions.
 func (r *Roster) HandleSuspension(d time.Duration) {
 	for _, e := range r.members {
-		e.heard = e.heard.Add(-d)
+		e.lastHeard = e.lastHeard.Add(-d)
 	}
 }
 
@@ -115,71 +115,71 @@
 // of lately, by this box or others.
 func (r *Roster) RecordNoAnswer(now time.Time, address netip.AddrPort) {
 	for _, e := range r.members {
-		if e.Address == address && !e.Suspect && now.Sub(e.heard) > r.rules.MinSilence {
+		if e.Address == address && !e.Suspect && now.Sub(e.lastHeard) > r.rules.MinSilence {
 			e.Suspect = true
-			e.told = 0
+			e.timesSent = 0
 		}
 	}
 }
 
-func (r *Roster) take(now time.Time, m Peer, direct bool) {
+func (r *Roster) mergePeer(now time.Time, m Peer, isDirect bool) {
 	if m.Box == r.self.Box || m.Silence > r.rules.MaxSilence || m.Silence < 0 {
 		return
 	}
-	heard := now.Add(-m.Silence)
+	lastHeard := now.Add(-m.Silence)
 	known := r.members[m.Box]
 	if known == nil {
-		r.add(m, heard)
+		r.add(m, lastHeard)
 		return
 	}
 	if m.Suspect && known.InstanceID == m.InstanceID {
-		r.accuse(now, known, heard)
+		r.mergeSuspicion(now, known, lastHeard)
 		return
 	}
-	if !heard.After(known.heard) {
+	if !lastHeard.After(known.lastHeard) {
 		return
 	}
-	if !direct && known.InstanceID == m.InstanceID {
+	if !isDirect && known.InstanceID == m.InstanceID {
 		// Leaving is for good within one life, and old word of a suspect is
 		// from before it fell silent.
 		m.Leaving = m.Leaving || known.Leaving
 		m.Suspect = known.Suspect && m.Silence > r.rules.ClearWithin
 	}
 	if m.Leaving != known.Leaving || m.Suspect != known.Suspect || m.InstanceID != known.InstanceID {
-		known.told = 0
+		known.timesSent = 0
 	}
 	known.Peer = m
-	known.heard = heard
+	known.lastHeard = lastHeard
 }
 
-// accuse takes another's suspicion, or contradicts it by what is known here.
-func (r *Roster) accuse(now time.Time, known *rosterEntry, heard time.Time) {
-	if now.Sub(known.heard) <= r.rules.MinSilence {
-		known.told = 0
+// mergeSuspicion takes another's suspicion, or contradicts it by what is known here.
+func (r *Roster) mergeSuspicion(now time.Time, known *rosterEntry, lastHeard time.Time) {
+	if now.Sub(known.lastHeard) <= r.rules.MinSilence {
+		known.timesSent = 0
 		return
 	}
-	if heard.After(known.heard) {
-		known.heard = heard
+	if lastHeard.After(known.lastHeard) {
+		known.lastHeard = lastHeard
 	}
 	if !known.Suspect {
 		known.Suspect = true
-		known.told = 0
+		known.timesSent = 0
 	}
 }
 
-func (r *Roster) add(m Peer, heard time.Time) {
+func (r *Roster) add(m Peer, lastHeard time.Time) {
 	r.members[m.Box] = &rosterEntry{
-		Peer:  m,
-		heard: heard,
+		Peer:      m,
+		lastHeard: lastHeard,
 	}
-	at, _ := slices.BinarySearch(r.order, m.Box)
-	r.order = slices.Insert(r.order, at, m.Box)
+	at, _ := slices.BinarySearch(r.names, m.Box)
+	r.names = slices.Insert(r.names, at, m.Box)
 }
 
 // DropSilent drops boxes that have been silent for long.
 func (r *Roster) DropSilent(now time.Time) {
-	r.order = slices.DeleteFunc(r.order, func(box string) bool {
-		if now.Sub(r.members[box].heard) <= r.rules.MaxSilence {
+	r.names = slices.DeleteFunc(r.names, func(box string) bool {
+		if now.Sub(r.members[box].lastHeard) <= r.rules.MaxSilence {
 			return false
 		}
 		delete(r.members, box)
@@ -196,15 +196,15 @@
 
 // All gives every box that is known, by name.
 func (r *Roster) All(now time.Time) []Peer {
-	all := make([]Peer, 0, len(r.order))
-	for _, box := range r.order {
-		all = append(all, r.members[box].as(now))
+	all := make([]Peer, 0, len(r.names))
+	for _, box := range r.names {
+		all = append(all, r.members[box].snapshot(now))
 	}
 	return all
 }
 
 // HasContact tells whether any box answered since the start.
-func (r *Roster) HasContact() bool { return r.met }
+func (r *Roster) HasContact() bool { return r.contacted }
 
 // Sharers counts the boxes that share a budget: this one, and all that were
 // heard of within the rules' time. It shrinks late on purpose: a box that is
@@ -212,16 +212,16 @@
 func (r *Roster) Sharers(now time.Time) int {
 	n := 1
 	for _, e := range r.members {
-		if now.Sub(e.heard) <= r.rules.BudgetSilence {
+		if now.Sub(e.lastHeard) <= r.rules.BudgetSilence {
 			n++
 		}
 	}
 	return n
 }
 
-// as gives an entry as it is told at a time.
-func (e *rosterEntry) as(now time.Time) Peer {
+// snapshot gives an entry as it is told at a time.
+func (e *rosterEntry) snapshot(now time.Time) Peer {
 	m := e.Peer
-	m.Silence = now.Sub(e.heard)
+	m.Silence = now.Sub(e.lastHeard)
 	return m
 }
--- a/core/send_budget.go
+++ b/core/send_budget.go
@@ -20,59 +20,59 @@
 
 // SendBudget counts one box's sends to one endpoint that bears only some in a second.
 type SendBudget struct {
-	rules SendBudgetRules
-	sent  []time.Time // in the last window, oldest first
-	held  []time.Time // when planned ones took their places, oldest first
+	rules        SendBudgetRules
+	sent         []time.Time // in the last window, oldest first
+	reservations []time.Time // when planned ones took their places, oldest first
 }
 
 // NewSendBudget builds a ration of which nothing is spent.
 func NewSendBudget(rules SendBudgetRules) *SendBudget { return &SendBudget{rules: rules} }
 
 // CanReserve tells whether one more send fits into the box's share.
-func (r *SendBudget) CanReserve(now time.Time, share int) bool {
-	r.sent = since(r.sent, now.Add(-r.rules.Window))
-	r.held = since(r.held, now.Add(-r.rules.ReservationLifetime))
-	return len(r.sent)+len(r.held) < share
+func (b *SendBudget) CanReserve(now time.Time, share int) bool {
+	b.sent = dropUntil(b.sent, now.Add(-b.rules.Window))
+	b.reservations = dropUntil(b.reservations, now.Add(-b.rules.ReservationLifetime))
+	return len(b.sent)+len(b.reservations) < share
 }
 
 // Reserve keeps a place for a send that is planned, if one is free.
-func (r *SendBudget) Reserve(now time.Time, share int) bool {
-	if !r.CanReserve(now, share) {
+func (b *SendBudget) Reserve(now time.Time, share int) bool {
+	if !b.CanReserve(now, share) {
 		return false
 	}
-	r.held = append(r.held, now)
+	b.reservations = append(b.reservations, now)
 	return true
 }
 
 // CancelReservation gives a place back that was kept.
-func (r *SendBudget) CancelReservation() {
-	if len(r.held) > 0 {
-		r.held = r.held[1:]
+func (b *SendBudget) CancelReservation() {
+	if len(b.reservations) > 0 {
+		b.reservations = b.reservations[1:]
 	}
 }
 
 // Acquire counts a send, which takes a place that was kept for it or a free one; false says
 // that there is none.
-func (r *SendBudget) Acquire(now time.Time, share int, held bool) bool {
-	if held {
-		r.CancelReservation()
+func (b *SendBudget) Acquire(now time.Time, share int, reserved bool) bool {
+	if reserved {
+		b.CancelReservation()
 	}
-	if !r.CanReserve(now, share) {
+	if !b.CanReserve(now, share) {
 		return false
 	}
-	r.sent = append(r.sent, now)
+	b.sent = append(b.sent, now)
 	return true
 }
 
 // IsIdle tells whether nothing is counted any more.
-func (r *SendBudget) IsIdle(now time.Time) bool {
-	r.CanReserve(now, 0)
-	return len(r.sent)+len(r.held) == 0
+func (b *SendBudget) IsIdle(now time.Time) bool {
+	b.CanReserve(now, 0)
+	return len(b.sent)+len(b.reservations) == 0
 }
 
-// since drops the times that aren't after a time.
-func since(times []time.Time, after time.Time) []time.Time {
-	for len(times) > 0 && !times[0].After(after) {
+// dropUntil drops the times that aren't after a time.
+func dropUntil(times []time.Time, cutoff time.Time) []time.Time {
+	for len(times) > 0 && !times[0].After(cutoff) {
 		times = times[1:]
 	}
 	return times
--- a/core/share_allocator.go
+++ b/core/share_allocator.go
@@ -34,51 +34,51 @@
 // the same unit, and a box that comes or goes changes the fewest. A box that is silent
 // keeps its units: it may be cut off from the others and not from what is divided.
 type ShareAllocator struct {
-	rules ShareRules
-	self  uint64 // the hash of this box's name
-	start time.Time
-	known map[string]*divisionEntry
+	rules     ShareRules
+	self      uint64 // the hash of this box's name
+	startedAt time.Time
+	members   map[string]*shareMember
 }
 
-type divisionEntry struct {
-	hash      uint64 // of the box's name
-	heard     time.Time
-	leftAt    time.Time // zero for a box that didn't say that it leaves
-	suspectAt time.Time // zero for one that isn't suspect
+type shareMember struct {
+	hash         uint64 // of the box's name
+	lastHeard    time.Time
+	leavingSince time.Time // zero for a box that didn't say that it leaves
+	suspectSince time.Time // zero for one that isn't suspect
 }
 
 // NewShareAllocator begins at a box's start.
 func NewShareAllocator(now time.Time, self string, rules ShareRules) *ShareAllocator {
 	return &ShareAllocator{
-		rules: rules,
-		self:  xxhash.Sum64String(self),
-		start: now,
-		known: make(map[string]*divisionEntry),
+		rules:     rules,
+		self:      xxhash.Sum64String(self),
+		startedAt: now,
+		members:   make(map[string]*shareMember),
 	}
 }
 
 // Observe takes what the roster knows of the others.
-func (d *ShareAllocator) Observe(now time.Time, others []Peer) {
+func (a *ShareAllocator) Observe(now time.Time, others []Peer) {
 	for _, p := range others {
-		e := d.known[p.Box]
+		e := a.members[p.Box]
 		if e == nil {
-			e = &divisionEntry{hash: xxhash.Sum64String(p.Box)}
-			d.known[p.Box] = e
+			e = &shareMember{hash: xxhash.Sum64String(p.Box)}
+			a.members[p.Box] = e
 		}
-		e.heard = now.Add(-p.Silence)
-		e.leftAt = begin(e.leftAt, now, p.Leaving)
-		e.suspectAt = begin(e.suspectAt, now, p.Suspect)
+		e.lastHeard = now.Add(-p.Silence)
+		e.leavingSince = conditionSince(e.leavingSince, now, p.Leaving)
+		e.suspectSince = conditionSince(e.suspectSince, now, p.Suspect)
 	}
-	for box, e := range d.known {
-		left := !e.leftAt.IsZero() && now.Sub(e.leftAt) > d.rules.LeftRetention
-		if left || now.Sub(e.heard) > d.rules.SilentRetention {
-			delete(d.known, box)
+	for box, e := range a.members {
+		hasLeft := !e.leavingSince.IsZero() && now.Sub(e.leavingSince) > a.rules.LeftRetention
+		if hasLeft || now.Sub(e.lastHeard) > a.rules.SilentRetention {
+			delete(a.members, box)
 		}
 	}
 }
 
-// begin gives since when something holds, or the zero time if it doesn't.
-func begin(since, now time.Time, holds bool) time.Time {
+// conditionSince gives since when something holds, or the zero time if it doesn't.
+func conditionSince(since, now time.Time, holds bool) time.Time {
 	if !holds {
 		return time.Time{}
 	}
@@ -89,55 +89,55 @@
 }
 
 // Share gives how many of some units of a thing are this box's.
-func (d *ShareAllocator) Share(now time.Time, thing string, units int) int {
-	if now.Sub(d.start) < d.rules.JoinDelay {
+func (a *ShareAllocator) Share(now time.Time, resource string, units int) int {
+	if now.Sub(a.startedAt) < a.rules.JoinDelay {
 		return 0
 	}
-	key := xxhash.Sum64String(thing)
-	others := make([]claimant, 0, len(d.known))
-	for _, e := range d.known {
-		others = append(others, claimant{
-			base:   finalize(key ^ e.hash),
-			unsure: d.unsure(e),
+	key := xxhash.Sum64String(resource)
+	contenders := make([]contender, 0, len(a.members))
+	for _, e := range a.members {
+		contenders = append(contenders, contender{
+			base:         splitmix64(key ^ e.hash),
+			mayBeUnaware: a.mayBeUnaware(e),
 		})
 	}
 	share := 0
 	for unit := range units {
-		if d.mine(finalize(key^d.self), others, uint64(unit)) {
+		if a.ownsUnit(splitmix64(key^a.self), contenders, uint64(unit)) {
 			share++
 		}
 	}
 	return share
 }
 
-// claimant is another box in the ranking for one thing.
-type claimant struct {
-	base   uint64
-	unsure bool // it may not know of this box
+// contender is another box in the ranking for one thing.
+type contender struct {
+	base         uint64
+	mayBeUnaware bool // it may not know of this box
 }
 
-// unsure tells whether a box was out of reach before it can have heard of this one.
-func (d *ShareAllocator) unsure(e *divisionEntry) bool {
-	return !e.suspectAt.IsZero() && e.suspectAt.Sub(d.start) < d.rules.UnawareWindow
+// mayBeUnaware tells whether a box was out of reach before it can have heard of this one.
+func (a *ShareAllocator) mayBeUnaware(e *shareMember) bool {
+	return !e.suspectSince.IsZero() && e.suspectSince.Sub(a.startedAt) < a.rules.UnawareWindow
 }
 
-// mine tells whether this box ranks first for a unit, and none of those that come next
+// ownsUnit tells whether this box ranks first for a unit, and none of those that come next
 // may take itself for the first.
-func (d *ShareAllocator) mine(own uint64, others []claimant, unit uint64) bool {
-	next := make([]claimant, 0, d.rules.ContestRanks+1)
-	weight := unitWeight(own, unit)
-	for _, c := range others {
+func (a *ShareAllocator) ownsUnit(ownBase uint64, contenders []contender, unit uint64) bool {
+	runnersUp := make([]contender, 0, a.rules.ContestRanks+1)
+	weight := unitWeight(ownBase, unit)
+	for _, c := range contenders {
 		w := unitWeight(c.base, unit)
 		if w > weight {
 			return false
 		}
-		next = insertByWeight(next, claimant{
-			base:   w,
-			unsure: c.unsure,
-		}, d.rules.ContestRanks)
+		runnersUp = insertByWeight(runnersUp, contender{
+			base:         w,
+			mayBeUnaware: c.mayBeUnaware,
+		}, a.rules.ContestRanks)
 	}
-	for _, c := range next {
-		if c.unsure {
+	for _, c := range runnersUp {
+		if c.mayBeUnaware {
 			return false
 		}
 	}
@@ -145,22 +145,22 @@
 }
 
 // insertByWeight keeps the heaviest of claimants, whose base is their weight here.
-func insertByWeight(all []claimant, c claimant, most int) []claimant {
-	at := len(all)
-	for at > 0 && all[at-1].base < c.base {
-		at--
+func insertByWeight(contenders []contender, c contender, limit int) []contender {
+	index := len(contenders)
+	for index > 0 && contenders[index-1].base < c.base {
+		index--
 	}
-	if at >= most {
-		return all
+	if index >= limit {
+		return contenders
 	}
-	all = append(all, claimant{})
-	copy(all[at+1:], all[at:])
-	all[at] = c
-	return all[:min(len(all), most)]
+	contenders = append(contenders, contender{})
+	copy(contenders[index+1:], contenders[index:])
+	contenders[index] = c
+	return contenders[:min(len(contenders), limit)]
 }
 
-// unitSteps sets the weights of one box's units apart: the odd number next to 2^64 over
+// unitStride sets the weights of one box's units apart: the odd number next to 2^64 over
 // the golden ratio.
-const unitSteps = 0x9e3779b97f4a7c15
+const unitStride = 0x9e3779b97f4a7c15
 
-func unitWeight(base, unit uint64) uint64 { return finalize(base + unit*unitSteps) }
+func unitWeight(base, unit uint64) uint64 { return splitmix64(base + unit*unitStride) }
--- a/core/source_selector.go
+++ b/core/source_selector.go
@@ -15,8 +15,8 @@
 }
 
 // NewerThan tells whether an offer has anything that is newer than another.
-func (o Advertisement) NewerThan(than Advertisement) bool {
-	return o.Configuration > than.Configuration || o.Changed > than.Changed
+func (a Advertisement) NewerThan(other Advertisement) bool {
+	return a.Configuration > other.Configuration || a.Changed > other.Changed
 }
 
 // SourceRules say how long a box is left alone before it is asked again.
@@ -45,15 +45,15 @@
 // tells boxes apart.
 type SourceSelector[K comparable] struct {
 	rules   SourceRules
-	holders []holder[K]
+	sources []source[K]
 }
 
-type holder[K comparable] struct {
-	key    K
-	offer  Advertisement
-	told   time.Time
-	after  time.Time // not asked before
-	failed int       // times in a row
+type source[K comparable] struct {
+	key           K
+	advertisement Advertisement
+	advertisedAt  time.Time
+	retryAt       time.Time // not asked before
+	failures      int       // times in a row
 }
 
 // NewSourceSelector builds a pull that knows nobody.
@@ -62,84 +62,84 @@
 }
 
 // RecordAdvertisement takes a box's word of what it has.
-func (p *SourceSelector[K]) RecordAdvertisement(now time.Time, key K, o Advertisement) {
-	h := p.find(key)
+func (s *SourceSelector[K]) RecordAdvertisement(now time.Time, key K, a Advertisement) {
+	h := s.find(key)
 	if h == nil {
-		p.holders = append(p.holders, holder[K]{key: key})
-		h = &p.holders[len(p.holders)-1]
+		s.sources = append(s.sources, source[K]{key: key})
+		h = &s.sources[len(s.sources)-1]
 	}
-	h.offer.Configuration = max(h.offer.Configuration, o.Configuration)
-	h.offer.Changed = max(h.offer.Changed, o.Changed)
-	h.told = now
+	h.advertisement.Configuration = max(h.advertisement.Configuration, a.Configuration)
+	h.advertisement.Changed = max(h.advertisement.Changed, a.Changed)
+	h.advertisedAt = now
 }
 
 // Next gives the box to ask now, and what it offered: of those that are not to be left
 // alone, any of the newest, by draw, so that many askers spread over all that
 // have it. Without one, it gives how long to wait; zero says that there is nothing
 // newer to ask for.
-func (p *SourceSelector[K]) Next(now time.Time, have Advertisement, draw func(n int) int) (key K, o Advertisement, wait time.Duration) {
-	p.holders = slices.DeleteFunc(p.holders, func(h holder[K]) bool {
-		return !h.offer.NewerThan(have) || now.Sub(h.told) > p.rules.AdvertisementLifetime
+func (s *SourceSelector[K]) Next(now time.Time, current Advertisement, pick func(n int) int) (key K, a Advertisement, wait time.Duration) {
+	s.sources = slices.DeleteFunc(s.sources, func(h source[K]) bool {
+		return !h.advertisement.NewerThan(current) || now.Sub(h.advertisedAt) > s.rules.AdvertisementLifetime
 	})
-	var newest []holder[K]
-	for _, h := range p.holders {
-		if left := h.after.Sub(now); left > 0 {
-			if wait == 0 || left < wait {
-				wait = left
+	var newest []source[K]
+	for _, h := range s.sources {
+		if remaining := h.retryAt.Sub(now); remaining > 0 {
+			if wait == 0 || remaining < wait {
+				wait = remaining
 			}
 			continue
 		}
-		if len(newest) > 0 && newest[0].offer.NewerThan(h.offer) {
+		if len(newest) > 0 && newest[0].advertisement.NewerThan(h.advertisement) {
 			continue
 		}
-		if len(newest) > 0 && h.offer.NewerThan(newest[0].offer) {
+		if len(newest) > 0 && h.advertisement.NewerThan(newest[0].advertisement) {
 			newest = newest[:0]
 		}
 		newest = append(newest, h)
 	}
 	if len(newest) == 0 {
-		return key, o, wait
+		return key, a, wait
 	}
-	h := newest[draw(len(newest))]
-	return h.key, h.offer, 0
+	h := newest[pick(len(newest))]
+	return h.key, h.advertisement, 0
 }
 
 // Busy notes that a box gives to others at present.
-func (p *SourceSelector[K]) Busy(now time.Time, key K) {
-	if h := p.find(key); h != nil {
-		h.after = now.Add(p.rules.Busy)
+func (s *SourceSelector[K]) Busy(now time.Time, key K) {
+	if h := s.find(key); h != nil {
+		h.retryAt = now.Add(s.rules.Busy)
 	}
 }
 
 // Failed notes that a box didn't give what it offered.
-func (p *SourceSelector[K]) Failed(now time.Time, key K) {
-	h := p.find(key)
+func (s *SourceSelector[K]) Failed(now time.Time, key K) {
+	h := s.find(key)
 	if h == nil {
 		return
 	}
-	h.after = now.Add(min(p.rules.Failed<<h.failed, p.rules.MaxBackoff))
-	h.failed = min(h.failed+1, doublings)
+	h.retryAt = now.Add(min(s.rules.Failed<<h.failures, s.rules.MaxBackoff))
+	h.failures = min(h.failures+1, maxDoublings)
 }
 
-// doublings bounds the shift of a pause; far above any that the rules' bound allows.
-const doublings = 16
+// maxDoublings bounds the shift of a pause; far above any that the rules' bound allows.
+const maxDoublings = 16
 
 // RecordSuccess notes that a box gave what it was asked for.
-func (p *SourceSelector[K]) RecordSuccess(key K) {
-	if h := p.find(key); h != nil {
-		h.failed = 0
+func (s *SourceSelector[K]) RecordSuccess(key K) {
+	if h := s.find(key); h != nil {
+		h.failures = 0
 	}
 }
 
 // Remove drops a box that can't be asked any more.
-func (p *SourceSelector[K]) Remove(key K) {
-	p.holders = slices.DeleteFunc(p.holders, func(h holder[K]) bool { return h.key == key })
+func (s *SourceSelector[K]) Remove(key K) {
+	s.sources = slices.DeleteFunc(s.sources, func(h source[K]) bool { return h.key == key })
 }
 
-func (p *SourceSelector[K]) find(key K) *holder[K] {
-	i := slices.IndexFunc(p.holders, func(h holder[K]) bool { return h.key == key })
+func (s *SourceSelector[K]) find(key K) *source[K] {
+	i := slices.IndexFunc(s.sources, func(h source[K]) bool { return h.key == key })
 	if i < 0 {
 		return nil
 	}
-	return &p.holders[i]
+	return &s.sources[i]
 }
--- a/core/transfer_limiter.go
+++ b/core/transfer_limiter.go
@@ -24,14 +24,14 @@
 
 // TransferLimiter decides who may take a large copy now. K tells takers apart.
 type TransferLimiter[K comparable] struct {
-	rules  TransferRules
-	takers []taker[K]
+	rules     TransferRules
+	transfers []transfer[K]
 }
 
-type taker[K comparable] struct {
-	key   K
-	began time.Time
-	last  time.Time
+type transfer[K comparable] struct {
+	key        K
+	startedAt  time.Time
+	lastActive time.Time
 }
 
 // NewTransferLimiter builds a giving without takers.
@@ -40,17 +40,17 @@
 }
 
 // TryStart tells whether a taker may have its first part now.
-func (g *TransferLimiter[K]) TryStart(now time.Time, key K) bool {
-	g.takers = slices.DeleteFunc(g.takers, func(t taker[K]) bool {
-		return t.key == key || now.Sub(t.last) > g.rules.IdleTimeout
+func (l *TransferLimiter[K]) TryStart(now time.Time, key K) bool {
+	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer[K]) bool {
+		return t.key == key || now.Sub(t.lastActive) > l.rules.IdleTimeout
 	})
-	if len(g.takers) >= g.rules.MaxConcurrent {
+	if len(l.transfers) >= l.rules.MaxConcurrent {
 		return false
 	}
-	g.takers = append(g.takers, taker[K]{
-		key:   key,
-		began: now,
-		last:  now,
+	l.transfers = append(l.transfers, transfer[K]{
+		key:        key,
+		startedAt:  now,
+		lastActive: now,
 	})
 	return true
 }
@@ -58,21 +58,21 @@
 // RecordProgress notes that a taker has its next part. One that has begun always goes on, also after
 // others took the place of a taker that seemed to have left: what it has would
 // be lost otherwise.
-func (g *TransferLimiter[K]) RecordProgress(now time.Time, key K) {
-	if i := slices.IndexFunc(g.takers, func(t taker[K]) bool { return t.key == key }); i >= 0 {
-		g.takers[i].last = now
+func (l *TransferLimiter[K]) RecordProgress(now time.Time, key K) {
+	if i := slices.IndexFunc(l.transfers, func(t transfer[K]) bool { return t.key == key }); i >= 0 {
+		l.transfers[i].lastActive = now
 	}
 }
 
 // Finish notes that a taker gets its last part, and gives the time since its first.
-func (g *TransferLimiter[K]) Finish(now time.Time, key K) time.Duration {
-	var took time.Duration
-	g.takers = slices.DeleteFunc(g.takers, func(t taker[K]) bool {
+func (l *TransferLimiter[K]) Finish(now time.Time, key K) time.Duration {
+	var elapsed time.Duration
+	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer[K]) bool {
 		if t.key != key {
 			return false
 		}
-		took = now.Sub(t.began)
+		elapsed = now.Sub(t.startedAt)
 		return true
 	})
-	return took
+	return elapsed
 }
