--- a/core/failure_detector.go
+++ b/core/failure_detector.go
@@ -89,16 +89,16 @@
 
 func (d *FailureDetector) recordHeartbeat(now time.Time, box string) {
 	delete(d.reported, box)
-	r := d.monitored[box]
-	if r == nil {
-		r = &intervalStats{mean: 1}
-		d.monitored[box] = r
-	} else if !r.lastHeartbeat.IsZero() {
-		deviation := now.Sub(r.lastHeartbeat).Seconds() - r.mean
-		r.mean += intervalWeight * deviation
-		r.variance += intervalWeight * (deviation*deviation - r.variance)
+	stats := d.monitored[box]
+	if stats == nil {
+		stats = &intervalStats{mean: 1}
+		d.monitored[box] = stats
+	} else if !stats.lastHeartbeat.IsZero() {
+		deviation := now.Sub(stats.lastHeartbeat).Seconds() - stats.mean
+		stats.mean += intervalWeight * deviation
+		stats.variance += intervalWeight * (deviation*deviation - stats.variance)
 	}
-	r.lastHeartbeat = now
+	stats.lastHeartbeat = now
 }
 
 // Retain stops watching all but the named boxes.
@@ -113,9 +113,9 @@
 // OwnSuspects gives the boxes that this box itself finds silent.
 func (d *FailureDetector) OwnSuspects(now time.Time) []string {
 	var silent []string
-	for name, r := range d.monitored {
-		maxSilence := r.mean + d.rules.MaxDeviations*math.Sqrt(r.variance)
-		if silence := now.Sub(r.lastHeartbeat); silence > d.rules.MinSilence && silence.Seconds() > maxSilence {
+	for name, stats := range d.monitored {
+		maxSilence := stats.mean + d.rules.MaxDeviations*math.Sqrt(stats.variance)
+		if silence := now.Sub(stats.lastHeartbeat); silence > d.rules.MinSilence && silence.Seconds() > maxSilence {
 			silent = append(silent, name)
 		}
 	}
@@ -132,7 +132,7 @@
 			delete(d.reported, name)
 			continue
 		}
-		if r := d.monitored[name]; r != nil && now.Sub(r.lastHeartbeat) < d.rules.MinSilence {
+		if stats := d.monitored[name]; stats != nil && now.Sub(stats.lastHeartbeat) < d.rules.MinSilence {
 			continue
 		}
 		if !slices.Contains(all, name) {
--- a/core/group.go
+++ b/core/group.go
@@ -98,13 +98,13 @@
 		}
 	}
 	slices.SortFunc(ids, CompareByHash)
-	share := make(map[string]bool, len(ids))
+	preferred := make(map[string]bool, len(ids))
 	for i, id := range ids {
 		if i*g.groupCount/len(ids) == g.index {
-			share[id] = true
+			preferred[id] = true
 		}
 	}
-	return share
+	return preferred
 }
 
 // CompareByHash orders names the same way everywhere, and unlike their spelling.
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -74,7 +74,7 @@
 	if q.wasRecentlyCleared(now, request) {
 		return false
 	}
-	return q.add(now, request, endpoint, now)
+	return q.addCrash(now, request, endpoint, now)
 }
 
 // RecordSuccess takes a run of a request that its endpoint survived, and tells whether others
--- a/core/quarantine_gossip.go
+++ b/core/quarantine_gossip.go
@@ -23,8 +23,8 @@
 		if record.Cleared {
 			changed = q.mergeSuccess(now, record)
 		}
-		for _, e := range record.Crashes {
-			if q.add(now, record.Request, e.Endpoint, now.Add(-max(e.Age, 0))) {
+		for _, crash := range record.Crashes {
+			if q.addCrash(now, record.Request, crash.Endpoint, now.Add(-max(crash.Age, 0))) {
 				changed = true
 			}
 		}
@@ -47,7 +47,7 @@
 	if r == nil {
 		return
 	}
-	isOutdated := func(e Crash) bool { return !r.isAfterSuccess(now.Add(-max(e.Age, 0))) }
+	isOutdated := func(crash Crash) bool { return !r.isAfterSuccess(now.Add(-max(crash.Age, 0))) }
 	if slices.ContainsFunc(record.Crashes, isOutdated) {
 		r.timesSent = 0
 	}
--- a/core/quarantine_record.go
+++ b/core/quarantine_record.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// add takes one end, and tells whether it is new and counts.
-func (q *Quarantine) add(now time.Time, request Digest, endpoint string, at time.Time) bool {
+// addCrash takes one end, and tells whether it is new and counts.
+func (q *Quarantine) addCrash(now time.Time, request Digest, endpoint string, at time.Time) bool {
 	if now.Sub(at) > q.rules.Retention {
 		return false
 	}
--- a/core/rate_limiter_test.go
+++ b/core/rate_limiter_test.go
@@ -21,39 +21,39 @@
 	It("are no more than its units within the time of one, whatever was planned and given up", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			share := rapid.IntRange(0, 6).Draw(t, "share")
-			each := time.Duration(rapid.IntRange(100, 5000).Draw(t, "each")) * time.Millisecond
-			p := core.NewRateLimiter(rules, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
+			interval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "each")) * time.Millisecond
+			limiter := core.NewRateLimiter(rules, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
 			now := begin
-			p.Set(now, share, each)
-			held := 0
+			limiter.Set(now, share, interval)
+			reserved := 0
 			var sent []time.Time
 			for range 200 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 4).Draw(t, "what") {
 				case 0:
-					if p.Reserve(now) {
-						held++
+					if limiter.Reserve(now) {
+						reserved++
 					}
 				case 1:
-					if held > 0 {
-						held--
-						p.CancelReservation()
+					if reserved > 0 {
+						reserved--
+						limiter.CancelReservation()
 					}
 				case 2:
-					p.Set(now, share, each)
+					limiter.Set(now, share, interval)
 				default:
-					if p.Acquire(now, held > 0) {
+					if limiter.Acquire(now, reserved > 0) {
 						sent = append(sent, now)
 					}
-					held = max(held-1, 0)
+					reserved = max(reserved-1, 0)
 				}
 				first := 0
 				for i, at := range sent {
-					for at.Sub(sent[first]) >= each {
+					for at.Sub(sent[first]) >= interval {
 						first++
 					}
 					if i-first+1 > share {
-						t.Fatalf("%d sends within %s, %d allowed", i-first+1, each, share)
+						t.Fatalf("%d sends within %s, %d allowed", i-first+1, interval, share)
 					}
 				}
 			}
@@ -61,27 +61,27 @@
 	})
 
 	It("say when the next one may go", func() {
-		p := core.NewRateLimiter(rules, func() float64 { return 0.5 })
-		_, has := p.Next(begin)
-		Expect(has).To(BeFalse())
-		p.Set(begin, 1, 4*time.Second)
-		in, has := p.Next(begin)
-		Expect(has).To(BeTrue())
-		Expect(in).To(Equal(2 * time.Second))
-		now := begin.Add(in)
-		Expect(p.Acquire(now, false)).To(BeTrue())
-		Expect(p.Acquire(now.Add(3*time.Second), false)).To(BeFalse())
-		in, _ = p.Next(now.Add(3 * time.Second))
-		Expect(in).To(Equal(time.Second))
+		limiter := core.NewRateLimiter(rules, func() float64 { return 0.5 })
+		_, hasUnit := limiter.Next(begin)
+		Expect(hasUnit).To(BeFalse())
+		limiter.Set(begin, 1, 4*time.Second)
+		wait, hasUnit := limiter.Next(begin)
+		Expect(hasUnit).To(BeTrue())
+		Expect(wait).To(Equal(2 * time.Second))
+		now := begin.Add(wait)
+		Expect(limiter.Acquire(now, false)).To(BeTrue())
+		Expect(limiter.Acquire(now.Add(3*time.Second), false)).To(BeFalse())
+		wait, _ = limiter.Next(now.Add(3 * time.Second))
+		Expect(wait).To(Equal(time.Second))
 	})
 
 	It("count on when the box's share falls and rises again", func() {
-		p := core.NewRateLimiter(rules, func() float64 { return 0 })
-		p.Set(begin, 2, 4*time.Second)
+		limiter := core.NewRateLimiter(rules, func() float64 { return 0 })
+		limiter.Set(begin, 2, 4*time.Second)
 		now := begin.Add(10 * time.Second)
-		Expect(p.Acquire(now, false)).To(BeTrue())
-		p.Set(now, 1, 4*time.Second)
-		Expect(p.Acquire(now.Add(time.Second), false)).To(BeFalse())
+		Expect(limiter.Acquire(now, false)).To(BeTrue())
+		limiter.Set(now, 1, 4*time.Second)
+		Expect(limiter.Acquire(now.Add(time.Second), false)).To(BeFalse())
 	})
 
 	// Endpoints allow one and a half times what they named and five more, in any four
@@ -89,23 +89,23 @@
 	DescribeTable("are no more from all boxes together than the endpoint allows, and use what it takes",
 		func(boxes int, perSecond float64) {
 			const span = 4 * time.Second
-			most := int(1.5*perSecond*span.Seconds()) + 5
-			draw := rand.New(rand.NewPCG(uint64(boxes), math.Float64bits(perSecond)))
-			units, each := rules.SplitRate(perSecond)
-			var paces []*core.RateLimiter
+			maxSends := int(1.5*perSecond*span.Seconds()) + 5
+			random := rand.New(rand.NewPCG(uint64(boxes), math.Float64bits(perSecond)))
+			units, interval := rules.SplitRate(perSecond)
+			var limiters []*core.RateLimiter
 			for i := range boxes {
 				self := fmt.Sprintf("box-%d", i)
-				d := core.NewShareAllocator(begin, self, core.DefaultShareRules())
+				allocator := core.NewShareAllocator(begin, self, core.DefaultShareRules())
 				var others []core.Peer
 				for j := range boxes {
 					if j != i {
 						others = append(others, core.Peer{Box: fmt.Sprintf("box-%d", j)})
 					}
 				}
-				d.Observe(begin, others)
-				p := core.NewRateLimiter(rules, draw.Float64)
-				p.Set(begin, d.Share(begin.Add(time.Minute), "e-1", units), each)
-				paces = append(paces, p)
+				allocator.Observe(begin, others)
+				limiter := core.NewRateLimiter(rules, random.Float64)
+				limiter.Set(begin, allocator.Share(begin.Add(time.Minute), "e-1", units), interval)
+				limiters = append(limiters, limiter)
 			}
 			var sent []time.Time
 			// A rush, a lull after which every unit is free, and a rush again.
@@ -114,8 +114,8 @@
 					continue
 				}
 				now := begin.Add(time.Duration(ms) * time.Millisecond)
-				for _, p := range paces {
-					if p.Acquire(now, false) {
+				for _, limiter := range limiters {
+					if limiter.Acquire(now, false) {
 						sent = append(sent, now)
 					}
 				}
@@ -128,7 +128,7 @@
 				}
 				worst = max(worst, i-first+1)
 			}
-			Expect(worst).To(BeNumerically("<=", most))
+			Expect(worst).To(BeNumerically("<=", maxSends))
 			Expect(float64(len(sent))).To(BeNumerically(">=", 0.9*perSecond*45-float64(units)))
 		},
 		Entry("one box, next to nothing", 1, 0.2),
@@ -153,21 +153,21 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := begin.Add(rules.Retention)
 			ages := rapid.SliceOfNDistinct(rapid.IntRange(0, 15000), 1, 12, rapid.ID[int]).Draw(t, "ages")
-			var words []core.LimitRecord
+			var records []core.LimitRecord
 			for _, age := range ages {
-				words = append(words, core.LimitRecord{
+				records = append(records, core.LimitRecord{
 					Endpoint:  "e-1",
 					Limited:   rapid.Bool().Draw(t, "limited"),
 					PerSecond: float64(rapid.IntRange(1, 9).Draw(t, "rate")),
 					Age:       time.Duration(age) * time.Millisecond,
 				})
 			}
-			newest := slices.MinFunc(words, func(a, b core.LimitRecord) int { return int(a.Age - b.Age) })
-			l := core.NewLimits(rules)
-			for _, w := range append(rapid.Permutation(words).Draw(t, "first"), rapid.Permutation(words).Draw(t, "again")...) {
-				l.Merge(now, []core.LimitRecord{w})
+			newest := slices.MinFunc(records, func(a, b core.LimitRecord) int { return int(a.Age - b.Age) })
+			limits := core.NewLimits(rules)
+			for _, record := range append(rapid.Permutation(records).Draw(t, "first"), rapid.Permutation(records).Draw(t, "again")...) {
+				limits.Merge(now, []core.LimitRecord{record})
 			}
-			perSecond, limited := l.Lookup(now, "e-1")
+			perSecond, limited := limits.Lookup(now, "e-1")
 			if limited != newest.Limited || (limited && perSecond != newest.PerSecond) {
 				t.Fatalf("%v at %v, the newest is %+v", limited, perSecond, newest)
 			}
@@ -175,28 +175,28 @@
 	})
 
 	It("leaves out what nobody can mean", func() {
-		l := core.NewLimits(rules)
-		for _, w := range []core.LimitRecord{
+		limits := core.NewLimits(rules)
+		for _, record := range []core.LimitRecord{
 			{Endpoint: "e-1", Limited: true, PerSecond: math.NaN()},
 			{Endpoint: "e-1", Limited: true, PerSecond: -1},
 			{Endpoint: "e-1", Limited: true, PerSecond: math.Inf(1)},
 			{Endpoint: "e-1", Limited: true, PerSecond: 1, Age: -time.Second},
 			{Endpoint: "e-1", Limited: true, PerSecond: 1, Age: time.Hour},
 		} {
-			Expect(l.Merge(begin, []core.LimitRecord{w})).To(BeEmpty())
+			Expect(limits.Merge(begin, []core.LimitRecord{record})).To(BeEmpty())
 		}
-		Expect(l.IsEmpty()).To(BeTrue())
+		Expect(limits.IsEmpty()).To(BeTrue())
 	})
 
 	It("is told at once where it changed by more than a little", func() {
-		l := core.NewLimits(rules)
+		limits := core.NewLimits(rules)
 		limited := func(perSecond float64) bool {
-			return l.RecordAnswer(begin, core.LimitRecord{Endpoint: "e-1", Limited: true, PerSecond: perSecond})
+			return limits.RecordAnswer(begin, core.LimitRecord{Endpoint: "e-1", Limited: true, PerSecond: perSecond})
 		}
 		Expect(limited(4)).To(BeTrue())
 		Expect(limited(4.1)).To(BeFalse())
 		Expect(limited(3)).To(BeTrue())
-		Expect(l.RecordAnswer(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-1"})).To(BeTrue())
-		Expect(l.RecordAnswer(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-2"})).To(BeFalse())
+		Expect(limits.RecordAnswer(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-1"})).To(BeTrue())
+		Expect(limits.RecordAnswer(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-2"})).To(BeFalse())
 	})
 })
--- a/core/readers_test.go
+++ b/core/readers_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("who reads the store for all", func() {
-	box := func(name string, mbps uint32) core.Peer {
+	newPeer := func(name string, mbps uint32) core.Peer {
 		return core.Peer{
 			Box:      name,
 			LinkMbps: mbps,
@@ -26,13 +26,13 @@
 	}
 
 	It("are the boxes with the widest links", func() {
-		all := []core.Peer{box("a", 10), box("b", 200), box("c", 10), box("d", 190), box("e", 10), box("f", 10)}
+		all := []core.Peer{newPeer("a", 10), newPeer("b", 200), newPeer("c", 10), newPeer("d", 190), newPeer("e", 10), newPeer("f", 10)}
 		Expect(readers(all, 2)).To(Equal([]string{"b", "d"}))
 		Expect(readers(all, 3)).To(And(HaveLen(3), ContainElements("b", "d")))
 	})
 
 	It("are as many where no link's speed is known", func() {
-		all := []core.Peer{box("a", 0), box("b", 0), box("c", 0), box("d", 0)}
+		all := []core.Peer{newPeer("a", 0), newPeer("b", 0), newPeer("c", 0), newPeer("d", 0)}
 		Expect(readers(all, 2)).To(HaveLen(2))
 	})
 })
--- a/core/roster_fleet_test.go
+++ b/core/roster_fleet_test.go
@@ -13,28 +13,28 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// rosterBox is a box of a simulated fleet that greets as the boxes do.
-type rosterBox struct {
-	self    core.Peer
-	roster  *core.Roster
-	alive   []string
-	gone    int // boxes that it ceased to hold for there
-	down    bool
-	turn    int
-	visitor int // a box of another group that it greets for a while
+// simulatedBox is a box of a simulated fleet that greets as the boxes do.
+type simulatedBox struct {
+	self      core.Peer
+	roster    *core.Roster
+	alive     []string
+	lostPeers int // boxes that it ceased to hold for there
+	down      bool
+	turn      int
+	stranger  int // a box of another group that it greets for a while
 }
 
-// rosterFleet plays greetings in virtual time.
-type rosterFleet struct {
+// simulatedFleet plays greetings in virtual time.
+type simulatedFleet struct {
 	random *rand.Rand
 	now    time.Time
-	boxes  []*rosterBox
+	boxes  []*simulatedBox
 	index  map[string]int
 	rounds int
 }
 
-func newRosterFleet(size int) *rosterFleet {
-	f := &rosterFleet{
+func newSimulatedFleet(size int) *simulatedFleet {
+	f := &simulatedFleet{
 		random: rand.New(rand.NewPCG(1, uint64(size))),
 		now:    noon,
 		index:  make(map[string]int),
@@ -47,7 +47,7 @@
 			InstanceID: 1,
 		}
 		f.index[self.Box] = i
-		f.boxes = append(f.boxes, &rosterBox{
+		f.boxes = append(f.boxes, &simulatedBox{
 			self:   self,
 			roster: core.NewRoster(self, core.DefaultRosterRules()),
 		})
@@ -55,30 +55,30 @@
 	return f
 }
 
-// play lets every box greet one other each quarter of a second.
-func (f *rosterFleet) play(d time.Duration) {
+// run lets every box greet one other each quarter of a second.
+func (f *simulatedFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(250 * time.Millisecond) {
 		for _, i := range f.random.Perm(len(f.boxes)) {
 			if !f.boxes[i].down {
-				f.greet(i)
+				f.gossip(i)
 			}
 		}
 		f.rounds++
 	}
 }
 
-func (f *rosterFleet) greet(i int) {
+func (f *simulatedFleet) gossip(i int) {
 	b := f.boxes[i]
 	b.roster.DropSilent(f.now)
 	alive := b.roster.Alive(f.now)
-	b.look(alive)
-	if f.rounds%16 == 0 || f.boxes[b.visitor].down {
-		b.visitor = f.random.IntN(3)
+	b.observe(alive)
+	if f.rounds%16 == 0 || f.boxes[b.stranger].down {
+		b.stranger = f.random.IntN(3)
 		if len(alive) > 0 && f.random.IntN(8) > 0 {
-			b.visitor = f.index[alive[f.random.IntN(len(alive))].Box]
+			b.stranger = f.index[alive[f.random.IntN(len(alive))].Box]
 		}
 	}
-	partners := []int{b.visitor}
+	partners := []int{b.stranger}
 	for _, name := range core.GroupOf(b.self, alive, 10*len(f.boxes)).Members {
 		partners = append(partners, f.index[name])
 	}
@@ -89,37 +89,37 @@
 	case other.down:
 		b.roster.RecordNoAnswer(f.now, other.self.Address)
 	default:
-		told, answer := b.roster.Sample(f.now), other.roster.Sample(f.now)
-		other.roster.Merge(f.now, told)
+		sent, answer := b.roster.Sample(f.now), other.roster.Sample(f.now)
+		other.roster.Merge(f.now, sent)
 		other.roster.RecordContact(f.now, b.self)
 		b.roster.Merge(f.now, answer)
 		b.roster.RecordContact(f.now, other.self)
 	}
 }
 
-func (b *rosterBox) look(alive []core.Peer) {
+func (b *simulatedBox) observe(alive []core.Peer) {
 	var names []string
 	for _, m := range alive {
 		names = append(names, m.Box)
 	}
 	for _, name := range b.alive {
 		if !slices.Contains(names, name) {
-			b.gone++
+			b.lostPeers++
 		}
 	}
 	b.alive = names
 }
 
-func (f *rosterFleet) losses() int {
+func (f *simulatedFleet) countLost() int {
 	n := 0
 	for _, b := range f.boxes {
-		n += b.gone
+		n += b.lostPeers
 	}
 	return n
 }
 
-// holds counts how many of the others the boxes that are up hold for there.
-func (f *rosterFleet) holds() (least, most int) {
+// countAlive counts how many of the others the boxes that are up hold for there.
+func (f *simulatedFleet) countAlive() (least, most int) {
 	least = len(f.boxes)
 	for _, b := range f.boxes {
 		if !b.down {
@@ -135,25 +135,25 @@
 	// boxes held each other for gone some thousand times a second, their groups
 	// changed all the time, and each chose readers of its own.
 	It("hold every box for there while all answer, and only those for gone that don't", func() {
-		f := newRosterFleet(120)
-		f.play(15 * time.Second)
-		least, _ := f.holds()
+		f := newSimulatedFleet(120)
+		f.run(15 * time.Second)
+		least, _ := f.countAlive()
 		Expect(least).To(Equal(119))
-		Expect(f.losses()).To(BeZero())
+		Expect(f.countLost()).To(BeZero())
 
-		f.play(60 * time.Second)
-		Expect(f.losses()).To(BeZero())
+		f.run(60 * time.Second)
+		Expect(f.countLost()).To(BeZero())
 
 		for _, b := range f.boxes[100:] {
 			b.down = true
 		}
-		f.play(12 * time.Second)
-		least, most := f.holds()
+		f.run(12 * time.Second)
+		least, most := f.countAlive()
 		Expect(least).To(Equal(99))
 		Expect(most).To(Equal(99))
 		// A few are suspected at once, cleared by word from just before they fell
 		// silent, and suspected again.
-		Expect(f.losses()).To(BeNumerically("~", 100*20, 20))
+		Expect(f.countLost()).To(BeNumerically("~", 100*20, 20))
 
 		for _, b := range f.boxes[100:] {
 			b.down = false
@@ -161,21 +161,21 @@
 			b.roster = core.NewRoster(b.self, core.DefaultRosterRules())
 			b.alive = nil
 		}
-		f.play(10 * time.Second)
-		least, _ = f.holds()
+		f.run(10 * time.Second)
+		least, _ = f.countAlive()
 		Expect(least).To(Equal(119))
 	})
 
 	It("contradict a suspicion by fresher word", func() {
-		f := newRosterFleet(30)
-		f.play(10 * time.Second)
+		f := newSimulatedFleet(30)
+		f.run(10 * time.Second)
 		// One box finds three others silent that all others reach.
 		for _, other := range f.boxes[4:7] {
 			f.boxes[3].roster.RecordNoAnswer(f.now.Add(3*time.Second), other.self.Address)
 		}
-		f.play(6 * time.Second)
-		least, _ := f.holds()
+		f.run(6 * time.Second)
+		least, _ := f.countAlive()
 		Expect(least).To(Equal(29))
-		Expect(f.losses()).To(BeNumerically("<=", 3*30))
+		Expect(f.countLost()).To(BeNumerically("<=", 3*30))
 	})
 })
--- a/core/roster_test.go
+++ b/core/roster_test.go
@@ -19,7 +19,7 @@
 			Silence:    silence,
 		}
 	}
-	names := func(all []core.Peer) []string {
+	boxNames := func(all []core.Peer) []string {
 		var out []string
 		for _, p := range all {
 			out = append(out, p.Box)
@@ -32,7 +32,7 @@
 	It("knows boxes it met and boxes it heard of, and never itself", func() {
 		r.RecordContact(noon, peer("a", 1, 0))
 		r.Merge(noon, []core.Peer{peer("b", 1, time.Second), peer("self", 9, 0)})
-		Expect(names(r.Alive(noon))).To(Equal([]string{"a", "b"}))
+		Expect(boxNames(r.Alive(noon))).To(Equal([]string{"a", "b"}))
 		Expect(r.Sharers(noon)).To(Equal(3))
 	})
 
@@ -40,9 +40,9 @@
 		r.RecordContact(noon, peer("a", 1, 0))
 		soon := noon.Add(time.Second)
 		r.RecordNoAnswer(soon, netip.AddrPort{})
-		Expect(names(r.Alive(soon))).To(Equal([]string{"a"}))
+		Expect(boxNames(r.Alive(soon))).To(Equal([]string{"a"}))
 		later := noon.Add(3 * time.Second)
-		Expect(names(r.Alive(later))).To(Equal([]string{"a"}))
+		Expect(boxNames(r.Alive(later))).To(Equal([]string{"a"}))
 		r.RecordNoAnswer(later, netip.AddrPort{})
 		Expect(r.Alive(later)).To(BeEmpty())
 		Expect(r.Sharers(later)).To(Equal(2))
@@ -65,14 +65,14 @@
 		suspect.Suspect = true
 		r.RecordContact(noon, peer("a", 1, 0))
 		r.Merge(noon.Add(time.Second), []core.Peer{suspect})
-		Expect(names(r.Alive(noon.Add(time.Second)))).To(Equal([]string{"a"}))
+		Expect(boxNames(r.Alive(noon.Add(time.Second)))).To(Equal([]string{"a"}))
 		later := noon.Add(4 * time.Second)
 		r.Merge(later, []core.Peer{suspect})
 		Expect(r.Alive(later)).To(BeEmpty())
 		r.Merge(later, []core.Peer{peer("a", 1, 2*time.Second)}) // from before it fell silent
 		Expect(r.Alive(later)).To(BeEmpty())
 		r.Merge(later, []core.Peer{peer("a", 1, 100*time.Millisecond)})
-		Expect(names(r.Alive(later))).To(Equal([]string{"a"}))
+		Expect(boxNames(r.Alive(later))).To(Equal([]string{"a"}))
 	})
 
 	It("takes the word that is newer by age, not by arrival", func() {
@@ -90,7 +90,7 @@
 		r.Merge(noon.Add(time.Second), []core.Peer{peer("a", 1, 0)})
 		Expect(r.Alive(noon.Add(time.Second))).To(BeEmpty())
 		r.RecordContact(noon.Add(2*time.Second), peer("a", 2, 0))
-		Expect(names(r.Alive(noon.Add(2 * time.Second)))).To(Equal([]string{"a"}))
+		Expect(boxNames(r.Alive(noon.Add(2 * time.Second)))).To(Equal([]string{"a"}))
 	})
 
 	It("tells no more than a bounded sample: what changed first, and each member in turn", func() {
@@ -98,19 +98,19 @@
 		for i := range 300 {
 			r.Merge(noon, []core.Peer{peer(fmt.Sprintf("box-%03d", i), 1, 0)})
 		}
-		told := make(map[string]int)
-		tell := func() []core.Peer {
+		timesSent := make(map[string]int)
+		sendSample := func() []core.Peer {
 			sample := r.Sample(noon)
 			for _, p := range sample {
-				told[p.Box]++
+				timesSent[p.Box]++
 			}
 			return sample
 		}
 		for range 300 {
-			Expect(len(tell())).To(BeNumerically("<=", rules.MaxChanged+rules.MinRotated))
+			Expect(len(sendSample())).To(BeNumerically("<=", rules.MaxChanged+rules.MinRotated))
 		}
-		Expect(tell()).To(HaveLen(rules.Sample))
-		Expect(told).To(HaveLen(300))
+		Expect(sendSample()).To(HaveLen(rules.Sample))
+		Expect(timesSent).To(HaveLen(300))
 		later := noon.Add(4 * time.Second)
 		suspect := peer("box-200", 1, 4*time.Second)
 		suspect.Suspect = true
@@ -120,11 +120,11 @@
 			Expect(sample[0].Box).To(Equal("box-200"))
 			Expect(sample[0].Suspect).To(BeTrue())
 		}
-		clear(told)
+		clear(timesSent)
 		for range 300/rules.Sample + 1 {
-			tell()
+			sendSample()
 		}
-		Expect(told).To(HaveLen(300))
+		Expect(timesSent).To(HaveLen(300))
 	})
 
 	It("drops a box that was silent for long", func() {
--- a/core/send_budget_test.go
+++ b/core/send_budget_test.go
@@ -16,27 +16,27 @@
 	It("are no more than its share in any second, whatever was planned and given up", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			share := rapid.IntRange(0, 5).Draw(t, "share")
-			r := core.NewSendBudget(core.DefaultSendBudgetRules())
+			budget := core.NewSendBudget(core.DefaultSendBudgetRules())
 			now := begin
-			held := 0
+			reserved := 0
 			var sent []time.Time
 			for range 200 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
-					if r.Reserve(now, share) {
-						held++
+					if budget.Reserve(now, share) {
+						reserved++
 					}
 				case 1:
-					if held > 0 {
-						held--
-						r.CancelReservation()
+					if reserved > 0 {
+						reserved--
+						budget.CancelReservation()
 					}
 				default:
-					if r.Acquire(now, share, held > 0) {
+					if budget.Acquire(now, share, reserved > 0) {
 						sent = append(sent, now)
 					}
-					held = max(held-1, 0)
+					reserved = max(reserved-1, 0)
 				}
 				first := 0
 				for i, at := range sent {
@@ -52,18 +52,18 @@
 	})
 
 	It("find the place that was kept for them", func() {
-		r := core.NewSendBudget(core.DefaultSendBudgetRules())
-		Expect(r.Reserve(begin, 1)).To(BeTrue())
-		Expect(r.CanReserve(begin, 1)).To(BeFalse())
-		Expect(r.Acquire(begin.Add(time.Second), 1, true)).To(BeTrue())
-		Expect(r.Acquire(begin.Add(2*time.Second), 1, false)).To(BeFalse())
-		Expect(r.Acquire(begin.Add(2200*time.Millisecond), 1, false)).To(BeTrue())
+		budget := core.NewSendBudget(core.DefaultSendBudgetRules())
+		Expect(budget.Reserve(begin, 1)).To(BeTrue())
+		Expect(budget.CanReserve(begin, 1)).To(BeFalse())
+		Expect(budget.Acquire(begin.Add(time.Second), 1, true)).To(BeTrue())
+		Expect(budget.Acquire(begin.Add(2*time.Second), 1, false)).To(BeFalse())
+		Expect(budget.Acquire(begin.Add(2200*time.Millisecond), 1, false)).To(BeTrue())
 	})
 
 	It("lose a place whose plan was never carried out", func() {
-		r := core.NewSendBudget(core.DefaultSendBudgetRules())
-		Expect(r.Reserve(begin, 1)).To(BeTrue())
-		Expect(r.CanReserve(begin.Add(5*time.Second), 1)).To(BeTrue())
-		Expect(r.IsIdle(begin.Add(5 * time.Second))).To(BeTrue())
+		budget := core.NewSendBudget(core.DefaultSendBudgetRules())
+		Expect(budget.Reserve(begin, 1)).To(BeTrue())
+		Expect(budget.CanReserve(begin.Add(5*time.Second), 1)).To(BeTrue())
+		Expect(budget.IsIdle(begin.Add(5 * time.Second))).To(BeTrue())
 	})
 })
--- a/core/share_allocator_bench_test.go
+++ b/core/share_allocator_bench_test.go
@@ -13,14 +13,14 @@
 // with the pair of box and endpoint hashed each time.
 func BenchmarkShareOfAColdEndpoint(b *testing.B) {
 	begin := time.Unix(1000, 0)
-	d := core.NewShareAllocator(begin, "box-0", core.DefaultShareRules())
+	allocator := core.NewShareAllocator(begin, "box-0", core.DefaultShareRules())
 	var others []core.Peer
 	for i := range 300 {
 		others = append(others, core.Peer{Box: fmt.Sprintf("box-%d", i+1)})
 	}
 	now := begin.Add(time.Minute)
-	d.Observe(now, others)
+	allocator.Observe(now, others)
 	for i := 0; b.Loop(); i++ {
-		d.Share(now, fmt.Sprintf("e-%d", i%1000), 34)
+		allocator.Share(now, fmt.Sprintf("e-%d", i%1000), 34)
 	}
 }
--- a/core/source_selector.go
+++ b/core/source_selector.go
@@ -63,14 +63,14 @@
 
 // RecordAdvertisement takes a box's word of what it has.
 func (s *SourceSelector[K]) RecordAdvertisement(now time.Time, key K, a Advertisement) {
-	h := s.find(key)
-	if h == nil {
+	src := s.find(key)
+	if src == nil {
 		s.sources = append(s.sources, source[K]{key: key})
-		h = &s.sources[len(s.sources)-1]
+		src = &s.sources[len(s.sources)-1]
 	}
-	h.advertisement.Configuration = max(h.advertisement.Configuration, a.Configuration)
-	h.advertisement.Changed = max(h.advertisement.Changed, a.Changed)
-	h.advertisedAt = now
+	src.advertisement.Configuration = max(src.advertisement.Configuration, a.Configuration)
+	src.advertisement.Changed = max(src.advertisement.Changed, a.Changed)
+	src.advertisedAt = now
 }
 
 // Next gives the box to ask now, and what it offered: of those that are not to be left
@@ -78,47 +78,47 @@
 // have it. Without one, it gives how long to wait; zero says that there is nothing
 // newer to ask for.
 func (s *SourceSelector[K]) Next(now time.Time, current Advertisement, pick func(n int) int) (key K, a Advertisement, wait time.Duration) {
-	s.sources = slices.DeleteFunc(s.sources, func(h source[K]) bool {
-		return !h.advertisement.NewerThan(current) || now.Sub(h.advertisedAt) > s.rules.AdvertisementLifetime
+	s.sources = slices.DeleteFunc(s.sources, func(src source[K]) bool {
+		return !src.advertisement.NewerThan(current) || now.Sub(src.advertisedAt) > s.rules.AdvertisementLifetime
 	})
 	var newest []source[K]
-	for _, h := range s.sources {
-		if remaining := h.retryAt.Sub(now); remaining > 0 {
+	for _, src := range s.sources {
+		if remaining := src.retryAt.Sub(now); remaining > 0 {
 			if wait == 0 || remaining < wait {
 				wait = remaining
 			}
 			continue
 		}
-		if len(newest) > 0 && newest[0].advertisement.NewerThan(h.advertisement) {
+		if len(newest) > 0 && newest[0].advertisement.NewerThan(src.advertisement) {
 			continue
 		}
-		if len(newest) > 0 && h.advertisement.NewerThan(newest[0].advertisement) {
+		if len(newest) > 0 && src.advertisement.NewerThan(newest[0].advertisement) {
 			newest = newest[:0]
 		}
-		newest = append(newest, h)
+		newest = append(newest, src)
 	}
 	if len(newest) == 0 {
 		return key, a, wait
 	}
-	h := newest[pick(len(newest))]
-	return h.key, h.advertisement, 0
+	src := newest[pick(len(newest))]
+	return src.key, src.advertisement, 0
 }
 
 // Busy notes that a box gives to others at present.
 func (s *SourceSelector[K]) Busy(now time.Time, key K) {
-	if h := s.find(key); h != nil {
-		h.retryAt = now.Add(s.rules.Busy)
+	if src := s.find(key); src != nil {
+		src.retryAt = now.Add(s.rules.Busy)
 	}
 }
 
 // Failed notes that a box didn't give what it offered.
 func (s *SourceSelector[K]) Failed(now time.Time, key K) {
-	h := s.find(key)
-	if h == nil {
+	src := s.find(key)
+	if src == nil {
 		return
 	}
-	h.retryAt = now.Add(min(s.rules.Failed<<h.failures, s.rules.MaxBackoff))
-	h.failures = min(h.failures+1, maxDoublings)
+	src.retryAt = now.Add(min(s.rules.Failed<<src.failures, s.rules.MaxBackoff))
+	src.failures = min(src.failures+1, maxDoublings)
 }
 
 // maxDoublings bounds the shift of a pause; far above any that the rules' bound allows.
@@ -126,18 +126,18 @@
 
 // RecordSuccess notes that a box gave what it was asked for.
 func (s *SourceSelector[K]) RecordSuccess(key K) {
-	if h := s.find(key); h != nil {
-		h.failures = 0
+	if src := s.find(key); src != nil {
+		src.failures = 0
 	}
 }
 
 // Remove drops a box that can't be asked any more.
 func (s *SourceSelector[K]) Remove(key K) {
-	s.sources = slices.DeleteFunc(s.sources, func(h source[K]) bool { return h.key == key })
+	s.sources = slices.DeleteFunc(s.sources, func(src source[K]) bool { return src.key == key })
 }
 
 func (s *SourceSelector[K]) find(key K) *source[K] {
-	i := slices.IndexFunc(s.sources, func(h source[K]) bool { return h.key == key })
+	i := slices.IndexFunc(s.sources, func(src source[K]) bool { return src.key == key })
 	if i < 0 {
 		return nil
 	}
