--- a/core/failure_detector.go
+++ b/core/failure_detector.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// FailureDetectorRules bound when a silent box is suspected.
+// FailureDetectorRules configure when a silent box is suspected.
 type FailureDetectorRules struct {
-	MinSilence     time.Duration // silence that is never suspect
-	MaxDeviations  float64       // silence in deviations of the usual interval
-	ReportLifetime time.Duration // how long another's suspicion counts
+	MinSilence     time.Duration // a shorter silence is never suspicious
+	MaxDeviations  float64       // standard deviations above the mean heartbeat interval that are tolerated
+	ReportLifetime time.Duration // how long a peer's report of a suspect counts
 }
 
-// DefaultFailureDetectorRules gives the bounds that the processes use.
+// DefaultFailureDetectorRules returns the rules used in production.
 func DefaultFailureDetectorRules() FailureDetectorRules {
 	return FailureDetectorRules{
 		MinSilence:     2500 * time.Millisecond,
@@ -22,43 +22,44 @@
 	}
 }
 
-// HeartbeatReceived tells that a box answered a heartbeat.
+// HeartbeatReceived is the event that a box answered a heartbeat.
 type HeartbeatReceived struct {
 	EventBase
 	Box string
 }
 
-// HeartbeatExpected tells that a box is watched from now on.
+// HeartbeatExpected is the event that heartbeats of a box are expected from now on.
 type HeartbeatExpected struct {
 	EventBase
 	Box string
 }
 
-// SuspectsReported tells whom a peer suspects from its own observation.
+// SuspectsReported is the event that a peer reported the boxes that it suspects itself.
 type SuspectsReported struct {
 	EventBase
 	From  string
 	Boxes []string
 }
 
-// FailureDetector says which boxes are likely dead: by the rhythm of each box's own
-// heartbeats and not by one time-out for all.
+// FailureDetector suspects boxes that have been silent for too long, compared with the
+// mean and variance of their own heartbeat intervals instead of a fixed timeout.
 type FailureDetector struct {
 	rules     FailureDetectorRules
 	monitored map[string]*intervalStats
-	reported  map[string]time.Time
+	reported  map[string]time.Time // when a peer last reported the box as suspect
 }
 
+// intervalStats holds moving averages of a box's heartbeat interval, in seconds.
 type intervalStats struct {
 	lastHeartbeat time.Time
 	mean          float64
 	variance      float64
 }
 
-// intervalWeight is the weight of the newest interval.
+// intervalWeight is the weight of the newest interval in the moving averages.
 const intervalWeight = 0.1
 
-// NewFailureDetector starts with no box watched.
+// NewFailureDetector returns a detector that monitors no box.
 func NewFailureDetector(rules FailureDetectorRules) *FailureDetector {
 	return &FailureDetector{
 		rules:     rules,
@@ -101,7 +102,7 @@
 	stats.lastHeartbeat = now
 }
 
-// Retain stops watching all but the named boxes.
+// Retain stops monitoring all boxes but the named ones.
 func (d *FailureDetector) Retain(boxes []string) {
 	for name := range d.monitored {
 		if !slices.Contains(boxes, name) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// OwnSuspects gives the boxes that this box itself finds silent.
+// OwnSuspects returns the boxes that this box itself finds silent, sorted.
 func (d *FailureDetector) OwnSuspects(now time.Time) []string {
 	var silent []string
 	for name, stats := range d.monitored {
@@ -123,8 +124,8 @@
 	return silent
 }
 
-// Suspects gives the boxes that this box or a peer suspects; one's own fresh sight
-// of a box goes before a peer's suspicion.
+// Suspects returns the boxes that this box or a peer suspects, sorted. A peer's report is
+// ignored for a box that this one heard of within MinSilence.
 func (d *FailureDetector) Suspects(now time.Time) []string {
 	all := d.OwnSuspects(now)
 	for name, at := range d.reported {
--- a/core/group.go
+++ b/core/group.go
@@ -9,47 +9,42 @@
 )
 
 const (
-	// minGroupSize is about how many boxes work as one where each has engines of
-	// its own: small enough that each can tell all others what it places, and
-	// large enough that their uneven shares of the callers even out.
+	// minGroupSize is the size of a group whose boxes have enough engines of their own:
+	// small enough that each box can broadcast its placements to all others, large enough
+	// to even out their shares of the traffic.
 	minGroupSize = 12
-	// maxGroupSize bounds the connections between the boxes of a group.
+	// maxGroupSize bounds the connections within a group.
 	maxGroupSize = 48
-	// minGroupEngines is how many engines a group should have: of six or eight, an
-	// operator who takes several away at once can leave one group with none
-	// while others have all theirs. Each engine takes about as many prompts at
-	// any size of fleet, so that a box hears no more placements in a larger
-	// group with the same engines.
+	// minGroupEngines is how many engines a group should have. With fewer, removing
+	// several at once may leave one group without any.
 	minGroupEngines = 16
-	// singleGroupBoxes is the size up to which all boxes are one group, whatever their
-	// zones and engines.
+	// singleGroupBoxes is the fleet size up to which all boxes form one group, whatever
+	// their zones and engines.
 	singleGroupBoxes = 24
-	// singleGroupEngines is how many engines one group of all boxes may have: a box hears of
-	// each prompt that the group places, 1 to 1.5 a second at an engine and some 100
-	// bytes, which is a half of the 23 KB/s that a box may take for control.
+	// singleGroupEngines is the number of engines up to which all boxes of a larger fleet
+	// form one group. It bounds the placements that each box receives.
 	singleGroupEngines = 72
-	// maxSingleGroupBoxes bounds the connections of such a group.
+	// maxSingleGroupBoxes bounds the connections within such a group.
 	maxSingleGroupBoxes = 96
 )
 
-// Group is a part of a fleet that serves mostly by endpoints of its own. It
-// follows from the roster; boxes whose rosters differ for a moment only share
-// an endpoint more or less.
+// Group is a part of a fleet whose boxes prefer the same endpoints. It is derived from the
+// roster; while the rosters of two boxes differ, their groups may overlap.
 type Group struct {
-	Members    []string // the others of the group
-	zone       string   // whose boxes and endpoints it has; empty for all zones
-	index      int
-	groupCount int // of groups in the zone
+	Members    []string // the other boxes of the group
+	zone       string   // of its boxes and endpoints; empty for all zones
+	index      int      // of the group among groupCount
+	groupCount int      // number of groups in the zone
 }
 
-// EndpointLocation is what a group's share of endpoints is drawn from.
+// EndpointLocation identifies an endpoint and its availability zone.
 type EndpointLocation struct {
 	ID   string
 	Zone string
 }
 
-// GroupSize gives about how many boxes work as one in a fleet with some engines.
-// It goes in steps, so that groups stay as they are while engines come and go.
+// GroupSize returns the intended group size for a fleet. It changes in steps, so that groups
+// stay stable while engines come and go.
 func GroupSize(boxes, engines int) int {
 	size := minGroupSize
 	for size < maxGroupSize && engines > 0 && size*engines < minGroupEngines*boxes {
@@ -58,14 +53,13 @@
 	return size
 }
 
-// isSingleGroup tells whether all boxes are one group: each knows then what any other places,
-// and no engine is a stranger's.
+// isSingleGroup reports whether all boxes of a fleet form one group.
 func isSingleGroup(boxes, engines int) bool {
 	return boxes <= singleGroupBoxes || (boxes <= maxSingleGroupBoxes && engines > 0 && engines <= singleGroupEngines)
 }
 
-// GroupOf gives the group of a box among those that are there; engines are those
-// of all zones.
+// GroupOf returns the group of a box. The others are all other live boxes, and engines is
+// the number of engines in all zones.
 func GroupOf(self Peer, others []Peer, engines int) Group {
 	all := append([]Peer{self}, others...)
 	g := Group{groupCount: 1}
@@ -89,7 +83,7 @@
 	return g
 }
 
-// PreferredEndpoints gives the endpoints that the group uses first.
+// PreferredEndpoints returns the IDs of the endpoints that the group uses first.
 func (g Group) PreferredEndpoints(endpoints []EndpointLocation) map[string]bool {
 	var ids []string
 	for _, e := range endpoints {
@@ -107,7 +101,8 @@
 	return preferred
 }
 
-// CompareByHash orders names the same way everywhere, and unlike their spelling.
+// CompareByHash orders names by their hashes: the same order on every box, but not
+// alphabetical.
 func CompareByHash(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
--- a/core/limits.go
+++ b/core/limits.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// LimitRules say how long the word of an endpoint's limit counts.
+// LimitRules configure how reported endpoint limits are merged and when they expire.
 type LimitRules struct {
-	Retention  time.Duration // since the newest answer that told of it, at any box
-	SettleTime time.Duration // in which answers that were under way may say otherwise
-	MinChange  float64       // the part by which a limit must change to be told at once
+	Retention  time.Duration // how long a limit holds after the newest answer that any box received
+	SettleTime time.Duration // how long after a limit answers without one are ignored: they may predate it
+	MinChange  float64       // relative change of a limit that is broadcast at once
 }
 
-// DefaultLimitRules fit fleets in which word of each answer reaches all boxes within some
-// seconds, and endpoints that get at least some requests meanwhile.
+// DefaultLimitRules returns the rules for fleets in which gossip reaches all boxes within
+// seconds.
 func DefaultLimitRules() LimitRules {
 	return LimitRules{
 		Retention:  20 * time.Second,
@@ -23,29 +23,28 @@
 	}
 }
 
-// LimitRecord is what a box tells of an endpoint's limit.
+// LimitRecord is the gossip record of an endpoint's rate limit.
 type LimitRecord struct {
 	Endpoint  string        `cbor:"1,keyasint"`
 	Limited   bool          `cbor:"2,keyasint,omitempty"`
-	PerSecond float64       `cbor:"3,keyasint,omitempty"` // requests, from all boxes together
-	Age       time.Duration `cbor:"4,keyasint,omitempty"` // since the answer that said so
+	PerSecond float64       `cbor:"3,keyasint,omitempty"` // requests per second, for all boxes together
+	Age       time.Duration `cbor:"4,keyasint,omitempty"` // time since the endpoint's answer
 }
 
-// Limits is what a box knows, by itself and from others, of how much endpoints take. The
-// newest answer of an endpoint to any box counts, so that order, repetition and loss of
-// messages don't matter.
+// Limits holds the rate limits that endpoints reported to any box. For each endpoint the
+// newest answer wins, so records may be merged in any order and more than once.
 type Limits struct {
 	rules LimitRules
-	known map[string]limitEntry
+	known map[string]limitEntry // by endpoint
 }
 
 type limitEntry struct {
 	limited   bool
 	perSecond float64
-	at        time.Time
+	at        time.Time // of the endpoint's answer
 }
 
-// NewLimits builds a table in which no endpoint is limited.
+// NewLimits returns a table in which no endpoint is limited.
 func NewLimits(rules LimitRules) *Limits {
 	return &Limits{
 		rules: rules,
@@ -53,8 +52,8 @@
 	}
 }
 
-// RecordAnswer takes an endpoint's answer to this box, and tells whether others should hear of
-// it at once.
+// RecordAnswer records an endpoint's answer to this box. It reports whether the limit
+// changed enough to be broadcast at once.
 func (l *Limits) RecordAnswer(now time.Time, record LimitRecord) bool {
 	before, known := l.known[record.Endpoint]
 	if !record.Limited && (!known || (before.limited && now.Sub(before.at) < l.rules.SettleTime)) {
@@ -63,7 +62,7 @@
 	return l.update(record, now)
 }
 
-// Merge takes what other boxes told, and gives what of it is worth handing on at once.
+// Merge merges records from other boxes and returns those that are worth forwarding at once.
 func (l *Limits) Merge(now time.Time, records []LimitRecord) []LimitRecord {
 	var updates []LimitRecord
 	for _, record := range records {
@@ -81,7 +80,7 @@
 	return updates
 }
 
-// update notes a word, and tells whether it differs from the one before.
+// update stores a record and reports whether it differs notably from the previous one.
 func (l *Limits) update(record LimitRecord, at time.Time) bool {
 	before := l.known[record.Endpoint]
 	l.known[record.Endpoint] = limitEntry{
@@ -95,8 +94,8 @@
 	return record.Limited && math.Abs(record.PerSecond-before.perSecond) > l.rules.MinChange*before.perSecond
 }
 
-// Lookup gives the requests a second that an endpoint takes from all boxes together, if it
-// named a limit.
+// Lookup returns an endpoint's limit in requests per second, for all boxes together, and
+// whether one is in force.
 func (l *Limits) Lookup(now time.Time, endpoint string) (perSecond float64, limited bool) {
 	known := l.known[endpoint]
 	if !known.limited || now.Sub(known.at) >= l.rules.Retention {
@@ -105,10 +104,10 @@
 	return known.perSecond, true
 }
 
-// IsEmpty tells whether nothing is known of any endpoint.
+// IsEmpty reports whether the table has no entry for any endpoint.
 func (l *Limits) IsEmpty() bool { return len(l.known) == 0 }
 
-// Expire drops words that are too old, and gives those of them that named limits.
+// Expire removes expired entries and returns the endpoints whose limits expired.
 func (l *Limits) Expire(now time.Time) []string {
 	var expired []string
 	for endpoint, known := range l.known {
@@ -123,7 +122,8 @@
 	return expired
 }
 
-// HandleSuspension takes that the machine was suspended for a time that its clock didn't count.
+// HandleSuspension ages all entries by the time that the machine was suspended, which the
+// monotonic clock doesn't count.
 func (l *Limits) HandleSuspension(d time.Duration) {
 	for endpoint, known := range l.known {
 		known.at = known.at.Add(-d)
@@ -131,7 +131,7 @@
 	}
 }
 
-// All gives every word that is kept, with its age.
+// All returns a record of every entry, with its current age.
 func (l *Limits) All(now time.Time) []LimitRecord {
 	all := make([]LimitRecord, 0, len(l.known))
 	for endpoint, known := range l.known {
@@ -145,7 +145,7 @@
 	return all
 }
 
-// Sample gives up to some of the words, drawn anew each time.
+// Sample returns up to limit records, chosen at random.
 func (l *Limits) Sample(now time.Time, limit int) []LimitRecord {
 	all := l.All(now)
 	if len(all) > limit {
--- a/core/member.go
+++ b/core/member.go
@@ -8,16 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Incarnation numbers the lives of one named process; a later one is higher.
+// Incarnation numbers the successive processes of one box; a later process has a higher
+// number.
 type Incarnation uint64
 
-// Box is one life of one box.
+// Box identifies one process of a box.
 type Box struct {
 	Name        string
 	Incarnation Incarnation
 }
 
-// Member is one box as the platform lists it.
+// Member is a box as listed by the platform.
 type Member struct {
 	Name      string         `json:"name"`
 	Zone      string         `json:"zone,omitzero"`
@@ -28,13 +29,13 @@
 	Leaving   bool           `json:"leaving,omitempty"`
 }
 
-// EndpointStatus is one endpoint as the platform lists it.
+// EndpointStatus is an endpoint as listed by the platform.
 type EndpointStatus struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// List is one version of the platform's list of live and leaving boxes.
+// List is one version of the platform's list of boxes, live and leaving, and endpoints.
 type List struct {
 	Version   uint64           `json:"version"`
 	Age       time.Duration    `json:"age"`
@@ -42,7 +43,7 @@
 	Endpoints []EndpointStatus `json:"endpoints,omitempty"`
 }
 
-// Member finds a box by name, or nil.
+// Member returns the box with the given name, or nil.
 func (l *List) Member(name string) *Member {
 	if l == nil {
 		return nil
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// forClaimOwners is the part of a list by which claims find their homes. It is what is
-// kept and handed over of a replaced list, for an hour and to every newcomer.
+// forClaimOwners returns a copy with only the fields that ClaimOwner needs. Replaced lists
+// are kept for a while and sent to boxes that join, so they should be small.
 func (l *List) forClaimOwners() *List {
 	trimmed := &List{
 		Version: l.Version,
@@ -72,7 +73,7 @@
 	return trimmed
 }
 
-// ClaimOwners are the boxes that can be home to claims: all that are not leaving.
+// ClaimOwners returns the names of all boxes that can own claims: those that aren't leaving.
 func (l *List) ClaimOwners() map[string]bool {
 	owners := make(map[string]bool, len(l.Boxes))
 	for i := range l.Boxes {
@@ -83,7 +84,7 @@
 	return owners
 }
 
-// Leaving reports whether an endpoint is leaving or is not listed at all.
+// Leaving reports whether an endpoint is leaving or not listed at all.
 func (l *List) Leaving(endpoint string) bool {
 	for i := range l.Endpoints {
 		if l.Endpoints[i].Name == endpoint {
@@ -93,8 +94,8 @@
 	return true
 }
 
-// ClaimOwner gives the box that a key belongs to: the live box with the highest
-// rendezvous score. Boxes for which skip answers true are passed over.
+// ClaimOwner returns the box that owns the claims of a key: the one with the highest
+// rendezvous score that isn't leaving. Boxes for which skip returns true are passed over.
 func (l *List) ClaimOwner(key string, skip func(box string) bool) string {
 	best := ""
 	var highest uint64
@@ -112,30 +113,31 @@
 	return best
 }
 
-// Without gives the list as it is without a box.
+// Without returns a copy of the list without a box.
 func (l *List) Without(box string) *List {
 	reduced := *l
 	reduced.Boxes = slices.DeleteFunc(slices.Clone(l.Boxes), func(m Member) bool { return m.Name == box })
 	return &reduced
 }
 
-// RendezvousScore is the rendezvous weight of a box for a key.
+// RendezvousScore returns the score of a box for a key in rendezvous hashing.
 func RendezvousScore(key, box string) uint64 { return hashedScore(xxhash.Sum64String(key), box) }
 
-// hashedScore spreads a key's hash with a box's, so that a key is hashed once for all boxes.
+// hashedScore is RendezvousScore for a key that is already hashed, so that ranking many
+// boxes hashes the key once.
 func hashedScore(keyHash uint64, box string) uint64 {
 	return splitmix64(keyHash ^ xxhash.Sum64String(box))
 }
 
-// splitmix64 is the finalizer of splitmix64: each bit given changes half of those that
-// come out.
+// splitmix64 is the finalizer of the SplitMix64 generator: flipping any input bit flips
+// about half of the output bits.
 func splitmix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// TopByScore gives the n names with the highest scores for a key, best first.
+// TopByScore returns the n names with the highest scores for a key, best first.
 func TopByScore(key string, names []string, n int) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -151,13 +153,13 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// ListSnapshot is a list together with the moment at which it was last confirmed.
+// ListSnapshot is a list with the time at which it was last confirmed as current.
 type ListSnapshot struct {
 	List        *List
 	ConfirmedAt time.Time
 }
 
-// Fresh reports whether the reading was confirmed within the bound.
+// Fresh reports whether the list was confirmed within the bound.
 func (s *ListSnapshot) Fresh(now time.Time, bound time.Duration) bool {
 	return s.List != nil && now.Sub(s.ConfirmedAt) <= bound
 }
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -7,22 +7,20 @@
 	"time"
 )
 
-// QuarantineRules bound when a request is kept from the endpoints, and what is remembered.
+// QuarantineRules configure when a request is quarantined and how much is remembered.
 type QuarantineRules struct {
-	CrashThreshold int           // of endpoints under a request, before it is quarantined
-	Duration       time.Duration // since the last end, how long it is
-	Retention      time.Duration // since the last end, after which it is forgotten
-	MaxRecords     int           // the most requests that are remembered
-	MaxCleared     int           // the most requests that are remembered as sound
-	ClearedFor     time.Duration // since a run that an endpoint survived, how long it proves the request sound
+	CrashThreshold int           // endpoint crashes during a request that quarantine it
+	Duration       time.Duration // how long a quarantine lasts after the last crash
+	Retention      time.Duration // how long crashes are remembered after the last one
+	MaxRecords     int           // maximum number of requests with recorded crashes
+	MaxCleared     int           // maximum number of requests remembered as cleared
+	ClearedFor     time.Duration // how long after a successful run crashes aren't held against a request
 }
 
-// DefaultQuarantineRules gives the rules that the boxes use. One end under a request is
-// chance, and so is a second while a fleet of nine engines loses one a second (a caller who
-// tries again meets the next with a probability of a ninth); three without one run that an
-// endpoint survived are not. A client that repeats by itself has given up after the hold;
-// then a single further end renews it. The records are all requests under way at some ten
-// engines that end at once; the sound ones are those of half a minute at a box.
+// DefaultQuarantineRules returns the rules used in production. The threshold allows for
+// two coincidental crashes, as when a retried request meets failing engines. Duration
+// exceeds the time for which clients retry by themselves; Retention is longer, so that one
+// more crash renews the quarantine.
 func DefaultQuarantineRules() QuarantineRules {
 	return QuarantineRules{
 		CrashThreshold: 3,
@@ -34,31 +32,33 @@
 	}
 }
 
-// Crash is the end of an endpoint under a request.
+// Crash is the crash of an endpoint while it ran a request.
 type Crash struct {
-	Endpoint string        `cbor:"1,keyasint"` // its incarnation
-	Age      time.Duration `cbor:"2,keyasint"` // since it ended, by whom tells
+	Endpoint string        `cbor:"1,keyasint"` // identifies the endpoint's process
+	Age      time.Duration `cbor:"2,keyasint"` // time since the crash, at the sender
 }
 
-// Quarantine knows the requests under which endpoints ended, at this box and others, and
-// says which of them no endpoint may get. What boxes know of one request is a set of
-// ends and the time of the last run that an endpoint survived, so that it doesn't matter
-// in which order, by whom or how often a box is told.
+// Quarantine records the requests during which endpoints crashed, at this and other boxes,
+// and decides which of them must not be sent to any endpoint. The state of a request is a
+// set of crashes and the time of the last successful run, so boxes may merge records in
+// any order and more than once.
 type Quarantine struct {
 	rules        QuarantineRules
 	records      map[Digest]*requestHistory
-	clearedAt    map[Digest]time.Time
-	clearedOrder []Digest // of sound, the oldest first
+	clearedAt    map[Digest]time.Time // last successful runs at this box
+	clearedOrder []Digest             // keys of clearedAt, oldest entry first
 }
 
+// requestHistory holds the crashes during one request since its last successful run.
 type requestHistory struct {
-	crashes     map[string]time.Time
-	lastSuccess time.Time // ends before it count for nothing
-	lastCrash   time.Time // the last end
-	changedAt   time.Time // when this box last learned something of it
-	timesSent   int       // in how many messages since
+	crashes     map[string]time.Time // by endpoint
+	lastSuccess time.Time            // earlier crashes don't count
+	lastCrash   time.Time
+	changedAt   time.Time // when this box last learned something new
+	timesSent   int       // number of gossip messages since changedAt
 }
 
+// NewQuarantine returns a quarantine without any recorded crash.
 // NewQuarantine builds one that knows of no end.
 func NewQuarantine(rules QuarantineRules) *Quarantine {
 	return &Quarantine{
@@ -68,8 +68,8 @@
 	}
 }
 
-// Crashed takes the end of an endpoint under a request, as this box saw it, and tells
-// whether it says anything against the request.
+// Crashed records that an endpoint crashed while it ran a request of this box. It reports
+// whether the crash counts against the request.
 func (q *Quarantine) Crashed(now time.Time, request Digest, endpoint string) bool {
 	if q.wasRecentlyCleared(now, request) {
 		return false
@@ -77,8 +77,9 @@
 	return q.addCrash(now, request, endpoint, now)
 }
 
-// RecordSuccess takes a run of a request that its endpoint survived, and tells whether others
-// should know: two ends or more speak against the request.
+// RecordSuccess records a successful run of a request at this box, which clears it of
+// earlier crashes. It reports whether to notify other boxes: they are when two or more
+// crashes counted against the request.
 func (q *Quarantine) RecordSuccess(now time.Time, request Digest) bool {
 	q.markCleared(now, request)
 	r := q.records[request]
@@ -90,7 +91,8 @@
 	return hadSeveral
 }
 
-// QuarantinedUntil tells whether a request is quarantined, and until when.
+// QuarantinedUntil returns when a request's quarantine ends, and whether it is quarantined
+// now.
 func (q *Quarantine) QuarantinedUntil(now time.Time, request Digest) (time.Time, bool) {
 	r := q.records[request]
 	if r == nil || len(r.crashes) < q.rules.CrashThreshold {
@@ -100,7 +102,7 @@
 	return until, now.Before(until)
 }
 
-// All gives the requests that are quarantined, those that ended endpoints last first.
+// All returns the quarantined requests, those with the latest crashes first.
 func (q *Quarantine) All(now time.Time) []Digest {
 	var all []Digest
 	for request := range q.records {
@@ -114,7 +116,7 @@
 	return all
 }
 
-// Crashes gives the endpoints that ended under a request, sorted.
+// Crashes returns the endpoints that crashed during a request, sorted.
 func (q *Quarantine) Crashes(request Digest) []string {
 	r := q.records[request]
 	if r == nil {
--- a/core/quarantine_gossip.go
+++ b/core/quarantine_gossip.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// CrashRecord is what a box tells others of a request under which endpoints ended.
+// CrashRecord is the gossip record of a request during which endpoints crashed.
 type CrashRecord struct {
 	Request Digest        `cbor:"1,keyasint"`
 	Crashes []Crash       `cbor:"2,keyasint,omitempty"`
-	Cleared bool          `cbor:"3,keyasint,omitempty"` // an endpoint survived it
-	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since then, by whom tells
+	Cleared bool          `cbor:"3,keyasint,omitempty"` // the request ran successfully
+	Age     time.Duration `cbor:"4,keyasint,omitempty"` // time since the successful run, at the sender
 }
 
-// Merge takes what another box tells, and gives the part of it that this box didn't know
-// and what it has to say against it itself.
+// Merge merges records from another box. It returns those that were new to this box, and
+// corrections: records of requests that this box has recently seen succeed.
 func (q *Quarantine) Merge(now time.Time, received []CrashRecord) (updates, corrections []CrashRecord) {
 	for _, record := range received {
 		changed := false
@@ -40,8 +40,8 @@
 	return updates, corrections
 }
 
-// scheduleCorrection lets a box that tells of ends from before a survived run hear of that run with
-// the next messages.
+// scheduleCorrection sends the record of a request again with the next messages if another
+// box still reports crashes from before its last successful run.
 func (q *Quarantine) scheduleCorrection(now time.Time, record CrashRecord) {
 	r := q.records[record.Request]
 	if r == nil {
@@ -53,11 +53,11 @@
 	}
 }
 
-// mergeSuccess takes word that an endpoint survived a request.
+// mergeSuccess merges a reported successful run and reports whether it is new.
 func (q *Quarantine) mergeSuccess(now time.Time, record CrashRecord) bool {
 	r := q.records[record.Request]
 	at := now.Add(-max(record.Age, 0))
-	// Word that came round has the time that its box gave it, less the time that it took.
+	// A relayed record of the known run looks newer by its time in transit.
 	if r == nil || !at.After(r.lastSuccess.Add(minSuccessAdvance)) {
 		return false
 	}
@@ -65,7 +65,7 @@
 	return true
 }
 
-// Lookup gives what to tell about one request, or false for nothing.
+// Lookup returns the gossip record of a request, and whether there is one.
 func (q *Quarantine) Lookup(now time.Time, request Digest) (CrashRecord, bool) {
 	r := q.records[request]
 	if r == nil {
@@ -74,28 +74,27 @@
 	return r.toRecord(now, request), true
 }
 
-// The records of one message to another box; one of three ends takes some 130 bytes, one
-// of a single end 75.
+// These constants bound the records in one message. A record of three crashes takes about
+// 130 bytes, one of a single crash 75.
 const (
-	// maxRepeatedRecords and severalTellings are for news of requests with two ends or more, or with a
-	// survived run: told
-	// often enough, as with changes of the roster, to reach a thousand boxes.
+	// maxRepeatedRecords bounds the new records of requests with several crashes or with a
+	// successful run. Each is sent repeatedRecordSends times, enough to reach a thousand
+	// boxes.
 	maxRepeatedRecords  = 24
 	repeatedRecordSends = 12
-	// maxSingleRecords and singleTellings are for news of one end. There is one for each request
-	// that ran at a server that crashed, most of them chance; each box of a group has it from
-	// the box that saw it, and all of these tell other groups.
+	// maxSingleRecords bounds the new records of one crash. A crashing server leaves one
+	// for each request that it ran, most of them coincidental. The box that saw the crash
+	// sends it to its group, whose boxes send it to other groups.
 	maxSingleRecords  = 8
 	singleRecordSends = 3
-	// maxStandingRecords are the records with two ends or more that are no longer news, in turns:
-	// boxes that start or were cut off know none of them. With eight messages a second that
-	// is 4 KB a second of the 23 that a box has for control, and 24 records come round in a
-	// second.
+	// maxStandingRecords bounds the records with several crashes that aren't new. They are
+	// sent in turn to boxes that have started or were cut off.
 	maxStandingRecords = 4
 )
 
-// Sample gives the records that another box should know: those that are new, and some of
-// those that speak against a request. Those told the least go first.
+// Sample returns the records for one message to another box: new ones, and some that still
+// count against a request. Records that were sent least often go first. It also removes
+// expired records.
 func (q *Quarantine) Sample(now time.Time) []CrashRecord {
 	var repeated, single, standing []Digest
 	for request, r := range q.records {
@@ -121,10 +120,11 @@
 	return out
 }
 
-// hasSingleCrash tells whether a single end speaks against a request, and nothing for it.
+// hasSingleCrash reports whether there is one crash and no successful run.
 func (r *requestHistory) hasSingleCrash() bool { return len(r.crashes) == 1 && r.lastSuccess.IsZero() }
 
-// leastSent gives some of the requests, those told of the least first, and the newest of them.
+// leastSent returns up to limit requests whose records were sent least often, those that
+// changed last first among equals.
 func (q *Quarantine) leastSent(requests []Digest, limit int) []Digest {
 	slices.SortFunc(requests, func(a, b Digest) int {
 		x, y := q.records[a], q.records[b]
@@ -133,6 +133,7 @@
 	return requests[:min(len(requests), limit)]
 }
 
+// toRecord returns the history as a gossip record.
 func (r *requestHistory) toRecord(now time.Time, request Digest) CrashRecord {
 	record := CrashRecord{Request: request}
 	for _, endpoint := range slices.Sorted(maps.Keys(r.crashes)) {
--- a/core/quarantine_record.go
+++ b/core/quarantine_record.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// addCrash takes one end, and tells whether it is new and counts.
+// addCrash adds a crash to a request's history. It reports whether the crash is new and
+// counts against the request.
 func (q *Quarantine) addCrash(now time.Time, request Digest, endpoint string, at time.Time) bool {
 	if now.Sub(at) > q.rules.Retention {
 		return false
@@ -24,7 +25,7 @@
 	if len(r.crashes) > q.rules.CrashThreshold {
 		oldestCrash := r.oldestCrash()
 		if !at.After(r.crashes[oldestCrash]) {
-			return false // it was dropped before
+			return false // older than the crashes that are kept
 		}
 		delete(r.crashes, oldestCrash)
 	}
@@ -36,7 +37,7 @@
 	return true
 }
 
-// oldestCrash gives the endpoint that ended first.
+// oldestCrash returns the endpoint that crashed first.
 func (r *requestHistory) oldestCrash() string {
 	oldestCrash := ""
 	for endpoint, at := range r.crashes {
@@ -52,20 +53,22 @@
 	r.timesSent = 0
 }
 
-// minSuccessAdvance is the least by which word of a survived run must be newer than the last to
-// be handed on; ages lose the time that messages take.
+// minSuccessAdvance is how much later than the known one a reported successful run must be
+// to count as new. Ages don't include the time in transit, so a relayed record of the same
+// run looks slightly newer.
 const minSuccessAdvance = 2 * time.Second
 
-// maxAgeDrift is by how much an end may look younger when its word comes round by several
-// boxes, as ages lose the time that messages take.
+// maxAgeDrift bounds how much younger a crash may look after its record was relayed by
+// several boxes, for the same reason.
 const maxAgeDrift = 500 * time.Millisecond
 
-// isAfterSuccess tells whether an end at a time is later than the last survived run.
+// isAfterSuccess reports whether a crash at the given time is later than the last
+// successful run.
 func (r *requestHistory) isAfterSuccess(at time.Time) bool {
 	return r.lastSuccess.IsZero() || at.After(r.lastSuccess.Add(maxAgeDrift))
 }
 
-// clearCrashes takes back all ends before a time.
+// clearCrashes records a successful run at the given time and removes earlier crashes.
 func (q *Quarantine) clearCrashes(now time.Time, r *requestHistory, at time.Time) {
 	r.lastSuccess = at
 	for endpoint, crashedAt := range r.crashes {
@@ -76,13 +79,14 @@
 	r.markChanged(now)
 }
 
-// wasRecentlyCleared tells whether an endpoint survived the request a short while ago, at this box.
+// wasRecentlyCleared reports whether the request ran successfully at this box within
+// ClearedFor.
 func (q *Quarantine) wasRecentlyCleared(now time.Time, request Digest) bool {
 	at, ok := q.clearedAt[request]
 	return ok && now.Sub(at) <= q.rules.ClearedFor
 }
 
-// markCleared takes a request among the sound ones, in place of the oldest.
+// markCleared records a successful run at this box, evicting the oldest entry when full.
 func (q *Quarantine) markCleared(now time.Time, request Digest) {
 	if _, known := q.clearedAt[request]; !known {
 		if len(q.clearedOrder) >= q.rules.MaxCleared {
@@ -94,9 +98,10 @@
 	q.clearedAt[request] = now
 }
 
-// makeRoom forgets a record when there are too many: the one with the fewest ends, and the
-// oldest of these, unless the new one's end is older still. So all boxes keep the same ones,
-// and don't take from each other in turns what they forgot.
+// makeRoom reports whether a record of a crash at the given time fits in. When the table is
+// full it evicts the record with the fewest crashes, the oldest of these, but neither one
+// with several crashes nor one newer than the given time. All boxes thus keep the same
+// records, and don't keep sending each other evicted ones.
 func (q *Quarantine) makeRoom(at time.Time) bool {
 	if len(q.records) < q.rules.MaxRecords {
 		return true
--- a/core/rate_limiter.go
+++ b/core/rate_limiter.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// RateLimiterRules say how a rate that is divided among boxes is kept.
+// RateLimiterRules configure how a rate is divided into units and enforced.
 type RateLimiterRules struct {
-	UnitInterval        time.Duration // about how long one unit, a send, lasts
-	MaxUnits            int           // units at most, so that to divide them stays cheap
-	ReservationLifetime time.Duration // how long a send that was planned keeps its unit
+	UnitInterval        time.Duration // approximate time after which a unit may be used again
+	MaxUnits            int           // maximum number of units, to keep dividing them cheap
+	ReservationLifetime time.Duration // after which an unused reservation expires
 }
 
-// DefaultRateLimiterRules keep rates that endpoints judge over four seconds: a unit lasts longer
-// than that, so that none counts twice. A planned send keeps its unit as long as the
-// longest plan lasts, as in DefaultRationRules.
+// DefaultRateLimiterRules returns rules for endpoints that enforce their limits over
+// windows of four seconds: with a longer UnitInterval no unit counts twice in a window.
+// ReservationLifetime is that of DefaultSendBudgetRules.
 func DefaultRateLimiterRules() RateLimiterRules {
 	return RateLimiterRules{
 		UnitInterval:        5 * time.Second,
@@ -20,7 +20,8 @@
 	}
 }
 
-// SplitRate divides a rate: into how many sends, and after how long each may be repeated.
+// SplitRate divides a rate into units. It returns their number and the interval after which
+// each may be used again.
 func (r RateLimiterRules) SplitRate(perSecond float64) (units int, interval time.Duration) {
 	if perSecond <= 0 {
 		return 0, r.UnitInterval
@@ -31,22 +32,22 @@
 	return units, time.Duration(seconds * float64(time.Second))
 }
 
-// maxUnitInterval bounds the time between two sends to an endpoint that takes next to nothing.
+// maxUnitInterval bounds the interval between sends for very low rates.
 const maxUnitInterval = 10 * time.Minute
 
-// RateLimiter keeps one box's sends to an endpoint that takes a rate only: each of the box's
-// units is used once in a while, and the units take turns, so that neither the begin of a
-// limit nor the end of a lull sends all at once.
+// RateLimiter limits one box's sends to an endpoint to its share of a rate. The share is a
+// number of units, each good for one send per interval. Units become free one after the
+// other, so neither a new limit nor the end of an idle period causes a burst.
 type RateLimiter struct {
 	rules        RateLimiterRules
 	random       func() float64
 	interval     time.Duration
-	lastUsed     []time.Time // when each unit was used last
-	reservations []time.Time // when planned sends took theirs, oldest first
+	lastUsed     []time.Time // of each unit
+	reservations []time.Time // when each was made, oldest first
 }
 
-// NewRateLimiter builds one without units. Draw gives numbers from 0 to 1 that set the turns of
-// boxes apart.
+// NewRateLimiter returns a limiter without units. Random returns numbers in [0, 1), which
+// spread the sends of different boxes over the interval.
 func NewRateLimiter(rules RateLimiterRules, random func() float64) *RateLimiter {
 	return &RateLimiter{
 		rules:  rules,
@@ -54,13 +55,13 @@
 	}
 }
 
-// Set takes how many units are this box's, and after how long each may be used again.
+// Set changes the box's number of units and the interval after which each may be used again.
 func (l *RateLimiter) Set(now time.Time, share int, interval time.Duration) {
 	l.interval = interval
 	for len(l.lastUsed) > share {
 		l.dropLeastRecentlyUsed()
 	}
-	// Another box may have used a unit a moment ago.
+	// Another box may just have used an added unit, so each waits for part of an interval.
 	added := share - len(l.lastUsed)
 	for i := range added {
 		elapsed := (float64(i) + l.random()) / float64(added)
@@ -68,7 +69,8 @@
 	}
 }
 
-// dropLeastRecentlyUsed gives up the unit that was used longest ago: what was sent lately counts on.
+// dropLeastRecentlyUsed removes the unit that was used longest ago, so that recent sends
+// still count.
 func (l *RateLimiter) dropLeastRecentlyUsed() {
 	oldest := 0
 	for i, at := range l.lastUsed {
@@ -79,12 +81,13 @@
 	l.lastUsed = append(l.lastUsed[:oldest], l.lastUsed[oldest+1:]...)
 }
 
-// CanReserve tells whether one more send may be planned.
+// CanReserve reports whether a unit is free for one more send.
 func (l *RateLimiter) CanReserve(now time.Time) bool {
 	l.reservations = dropUntil(l.reservations, now.Add(-l.rules.ReservationLifetime))
 	return l.countReady(now) > len(l.reservations)
 }
 
+// countReady returns the number of units that may be used again.
 func (l *RateLimiter) countReady(now time.Time) int {
 	n := 0
 	for _, at := range l.lastUsed {
@@ -95,7 +98,7 @@
 	return n
 }
 
-// Reserve keeps a unit for a send that is planned, if one is free.
+// Reserve reserves a unit for a planned send and reports whether one was free.
 func (l *RateLimiter) Reserve(now time.Time) bool {
 	if !l.CanReserve(now) {
 		return false
@@ -104,14 +107,15 @@
 	return true
 }
 
-// CancelReservation gives a unit back that was kept.
+// CancelReservation cancels the oldest reservation.
 func (l *RateLimiter) CancelReservation() {
 	if len(l.reservations) > 0 {
 		l.reservations = l.reservations[1:]
 	}
 }
 
-// Acquire uses a unit, which was kept for the send or is free; false says that there is none.
+// Acquire uses a unit for a send, in place of a reservation if there is one for it. It
+// reports false if no unit is free.
 func (l *RateLimiter) Acquire(now time.Time, reserved bool) bool {
 	if reserved {
 		l.CancelReservation()
@@ -128,7 +132,7 @@
 	return true
 }
 
-// Next gives when one more send may be planned, or tells that the box has no unit.
+// Next returns the time until a unit may be free, or false if the box has no unit.
 func (l *RateLimiter) Next(now time.Time) (time.Duration, bool) {
 	if len(l.lastUsed) == 0 {
 		return 0, false
@@ -145,7 +149,7 @@
 	return min(next, l.interval), true
 }
 
-// IsIdle tells whether nothing is counted any more.
+// IsIdle reports whether all units are free and none is reserved.
 func (l *RateLimiter) IsIdle(now time.Time) bool {
 	return l.CanReserve(now) && len(l.reservations) == 0 && l.countReady(now) == len(l.lastUsed)
 }
--- a/core/readers.go
+++ b/core/readers.go
@@ -6,14 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// readerKey is what boxes' names are hashed with to rank them as readers.
+// readerKey salts the hashes by which boxes are ranked as readers.
 const readerKey = "readers"
 
-// ReaderRank gives a box's place, from 0, in the order in which boxes read the store for
-// all: those with the widest links go first, and among links of about the same speed
-// those that rendezvous hashing ranks first. A configuration of 0.77 MB takes 0.65 s of a
-// link of 10 Mbit/s, in which the reader hears of no other change, and 0.04 s of one of
-// 200 Mbit/s.
+// ReaderRank returns a box's rank, from 0, among the boxes that may read the store on
+// behalf of all. Boxes with faster links rank first, since reading a large configuration
+// delays other messages; links of similar speed are ranked by rendezvous hashing.
 func ReaderRank(self Peer, others []Peer) int {
 	ahead := 0
 	for _, other := range others {
@@ -24,6 +22,7 @@
 	return ahead
 }
 
+// ranksBefore reports whether box a ranks before box b as a reader.
 func ranksBefore(a, b Peer) bool {
 	if tierA, tierB := linkTier(a), linkTier(b); tierA != tierB {
 		return tierA > tierB
@@ -31,8 +30,9 @@
 	return readerWeight(a) > readerWeight(b)
 }
 
-// linkTier puts links whose speeds differ by less than about twice into one class, so
-// that reading isn't all one zone's where speeds differ a little.
+// linkTier groups links by powers of two of their speed, so that small differences in speed
+// don't concentrate the readers in one zone.
 func linkTier(p Peer) int { return bits.Len32(p.LinkMbps) }
 
+// readerWeight returns the rendezvous score of a box as a reader.
 func readerWeight(p Peer) uint64 { return xxhash.Sum64String(p.Box + "/" + readerKey) }
--- a/core/roster.go
+++ b/core/roster.go
@@ -6,39 +6,37 @@
 	"time"
 )
 
-// Peer is what a box tells others about itself or another box.
+// Peer is the gossip record of a box.
 type Peer struct {
 	Box        string         `cbor:"1,keyasint"`
 	Zone       string         `cbor:"2,keyasint,omitempty"`
 	Address    netip.AddrPort `cbor:"3,keyasint"` // for other boxes
-	InstanceID uint64         `cbor:"4,keyasint"` // drawn at the process's start
-	Silence    time.Duration  `cbor:"5,keyasint"` // since it was last heard of, by whom tells
+	InstanceID uint64         `cbor:"4,keyasint"` // random; identifies the box's process
+	Silence    time.Duration  `cbor:"5,keyasint"` // time since the sender last heard of the box
 	Leaving    bool           `cbor:"6,keyasint,omitempty"`
-	Suspect    bool           `cbor:"7,keyasint,omitempty"` // a box that greets it got no answer
-	LinkMbps   uint32         `cbor:"8,keyasint,omitempty"` // of the box's link; 0 when unknown
+	Suspect    bool           `cbor:"7,keyasint,omitempty"` // the box didn't answer a gossip message
+	LinkMbps   uint32         `cbor:"8,keyasint,omitempty"` // speed of the box's link; 0 if unknown
 }
 
-// RosterRules bound what a roster keeps and tells.
+// RosterRules configure how long boxes are remembered and how many are sent in a message.
 type RosterRules struct {
-	MinSilence      time.Duration // a box heard of within this is never suspect
-	ClearWithin     time.Duration // word of a suspect that is newer than this clears it
-	MaxAliveSilence time.Duration // silence after which a box isn't taken to be there
-	MaxSilence      time.Duration // silence after which a box is dropped
-	BudgetSilence   time.Duration // how long a silent box still counts among those that share a budget
-	Sample          int           // members told in one message
-	MaxChanged      int           // the most told in one message because something changed
-	MinRotated      int           // the fewest told in turn
-	ChangeSends     int           // how often a change is told
-}
-
-// DefaultRosterRules gives the rules that the boxes use. Least is some rounds of
-// greetings, so that a lost one suspects nobody; Fresh is half of it, so that word
-// from before a box fell silent doesn't clear it. Unheard is far above the time
-// in which word of every member comes round at some hundred boxes; it ends
-// those whom nobody greets any more. The share is above any window of a budget,
-// so that a box that is cut off never takes the others' part; the sample keeps
-// a message to about a kilobyte at any size of fleet. Changes are told often
-// enough that they reach a thousand boxes.
+	MinSilence      time.Duration // a box silent for less is never suspect
+	ClearWithin     time.Duration // a suspect is cleared if it was heard of within this time
+	MaxAliveSilence time.Duration // a box silent for longer isn't considered alive
+	MaxSilence      time.Duration // a box silent for longer is removed
+	BudgetSilence   time.Duration // a box silent for longer no longer shares budgets
+	Sample          int           // boxes sent in one message, unless more have changed
+	MaxChanged      int           // maximum number of changed boxes sent in one message
+	MinRotated      int           // minimum number of boxes sent in rotation
+	ChangeSends     int           // how often each change is sent
+}
+
+// DefaultRosterRules returns the rules used in production. MinSilence covers several gossip
+// rounds, so that one lost message makes no box suspect. ClearWithin is half of it, so that
+// a record from before a box fell silent doesn't clear it. MaxAliveSilence far exceeds the
+// time in which the records of all boxes come round in a fleet of some hundred boxes.
+// BudgetSilence exceeds the window of any budget, so that a box that is cut off doesn't
+// claim the others' shares. ChangeSends is enough to reach a thousand boxes.
 func DefaultRosterRules() RosterRules {
 	return RosterRules{
 		MinSilence:      2500 * time.Millisecond,
@@ -53,27 +51,26 @@
 	}
 }
 
-// Roster knows the other boxes: from what they say themselves, and from what
-// others heard of them. Ages travel in place of times, since no two boxes'
-// clocks agree. A box is taken to be there until one that greeted it got no
-// answer: word of far boxes comes round too seldom in a large fleet for silence
-// to say anything.
+// Roster is a box's membership view of the fleet, from direct contacts and from gossip.
+// Records carry ages instead of times, since clocks differ between boxes. A box counts as
+// alive until a gossip message to it goes unanswered; silence alone says little, because
+// records of distant boxes arrive rarely in a large fleet.
 type Roster struct {
 	rules     RosterRules
 	self      Peer
 	members   map[string]*rosterEntry
-	names     []string // the members' names, sorted
-	nextIndex int      // whose turn it is to be told
-	contacted bool     // whether any box answered since the start
+	names     []string // of the members, sorted
+	nextIndex int      // in names, of the member last sent in rotation
+	contacted bool     // whether any box has been in contact since the start
 }
 
 type rosterEntry struct {
 	Peer
 	lastHeard time.Time
-	timesSent int // how often since the last change
+	timesSent int // since the last change
 }
 
-// NewRoster builds the roster of a box that knows nobody.
+// NewRoster returns a roster that contains only the box itself.
 func NewRoster(self Peer, rules RosterRules) *Roster {
 	return &Roster{
 		rules:   rules,
@@ -82,13 +79,13 @@
 	}
 }
 
-// Self gives the box's own entry.
+// Self returns the box's own record.
 func (r *Roster) Self() Peer { return r.self }
 
 // MarkLeaving marks the box itself as leaving.
 func (r *Roster) MarkLeaving() { r.self.Leaving = true }
 
-// RecordContact takes the word of a box about itself, which goes before all others'.
+// RecordContact merges the record that a box sent about itself, which overrides gossip.
 func (r *Roster) RecordContact(now time.Time, m Peer) {
 	r.contacted = true
 	m.Silence = 0
@@ -96,23 +93,23 @@
 	r.mergePeer(now, m, true)
 }
 
-// Merge takes what a box heard about others.
+// Merge merges records of other boxes received by gossip.
 func (r *Roster) Merge(now time.Time, members []Peer) {
 	for _, m := range members {
 		r.mergePeer(now, m, false)
 	}
 }
 
-// HandleSuspension takes that the machine was suspended for a time, which the steady clock didn't
-// count: what was heard is so much older, and must not clear others' suspicions.
+// HandleSuspension ages all records by the time that the machine was suspended, which the
+// monotonic clock doesn't count. Otherwise they could clear other boxes' suspicions.
 func (r *Roster) HandleSuspension(d time.Duration) {
 	for _, e := range r.members {
 		e.lastHeard = e.lastHeard.Add(-d)
 	}
 }
 
-// RecordNoAnswer suspects a box that didn't answer a greeting, unless it was heard
-// of lately, by this box or others.
+// RecordNoAnswer marks a box as suspect that didn't answer a gossip message, unless this
+// box heard of it within MinSilence.
 func (r *Roster) RecordNoAnswer(now time.Time, address netip.AddrPort) {
 	for _, e := range r.members {
 		if e.Address == address && !e.Suspect && now.Sub(e.lastHeard) > r.rules.MinSilence {
@@ -122,6 +119,7 @@
 	}
 }
 
+// mergePeer merges one record; isDirect is set if the box sent it about itself.
 func (r *Roster) mergePeer(now time.Time, m Peer, isDirect bool) {
 	if m.Box == r.self.Box || m.Silence > r.rules.MaxSilence || m.Silence < 0 {
 		return
@@ -140,8 +138,8 @@
 		return
 	}
 	if !isDirect && known.InstanceID == m.InstanceID {
-		// Leaving is for good within one life, and old word of a suspect is
-		// from before it fell silent.
+		// A process never stops leaving, and an old record of a suspect may predate
+		// its silence.
 		m.Leaving = m.Leaving || known.Leaving
 		m.Suspect = known.Suspect && m.Silence > r.rules.ClearWithin
 	}
@@ -152,7 +150,8 @@
 	known.lastHeard = lastHeard
 }
 
-// mergeSuspicion takes another's suspicion, or contradicts it by what is known here.
+// mergeSuspicion marks a box as suspect, or has its record sent again to contradict the
+// suspicion if this box heard of it within MinSilence.
 func (r *Roster) mergeSuspicion(now time.Time, known *rosterEntry, lastHeard time.Time) {
 	if now.Sub(known.lastHeard) <= r.rules.MinSilence {
 		known.timesSent = 0
@@ -167,6 +166,7 @@
 	}
 }
 
+// add adds a box that isn't in the roster.
 func (r *Roster) add(m Peer, lastHeard time.Time) {
 	r.members[m.Box] = &rosterEntry{
 		Peer:      m,
@@ -176,7 +176,7 @@
 	r.names = slices.Insert(r.names, at, m.Box)
 }
 
-// DropSilent drops boxes that have been silent for long.
+// DropSilent removes boxes that have been silent for longer than MaxSilence.
 func (r *Roster) DropSilent(now time.Time) {
 	r.names = slices.DeleteFunc(r.names, func(box string) bool {
 		if now.Sub(r.members[box].lastHeard) <= r.rules.MaxSilence {
@@ -187,14 +187,14 @@
 	})
 }
 
-// Alive gives the boxes that are likely there, by name.
+// Alive returns the boxes that are probably alive, sorted by name.
 func (r *Roster) Alive(now time.Time) []Peer {
 	return slices.DeleteFunc(r.All(now), func(m Peer) bool {
 		return m.Leaving || m.Suspect || m.Silence > r.rules.MaxAliveSilence
 	})
 }
 
-// All gives every box that is known, by name.
+// All returns all known other boxes, sorted by name.
 func (r *Roster) All(now time.Time) []Peer {
 	all := make([]Peer, 0, len(r.names))
 	for _, box := range r.names {
@@ -203,12 +203,12 @@
 	return all
 }
 
-// HasContact tells whether any box answered since the start.
+// HasContact reports whether any box has been in contact since the start.
 func (r *Roster) HasContact() bool { return r.contacted }
 
-// Sharers counts the boxes that share a budget: this one, and all that were
-// heard of within the rules' time. It shrinks late on purpose: a box that is
-// cut off must not take itself for the only one.
+// Sharers returns the number of boxes that share a budget: this one and all those heard of
+// within BudgetSilence. Silent boxes count for a while, so that a box that is cut off
+// doesn't take the whole budget.
 func (r *Roster) Sharers(now time.Time) int {
 	n := 1
 	for _, e := range r.members {
@@ -219,7 +219,7 @@
 	return n
 }
 
-// snapshot gives an entry as it is told at a time.
+// snapshot returns the entry's record with its current silence.
 func (e *rosterEntry) snapshot(now time.Time) Peer {
 	m := e.Peer
 	m.Silence = now.Sub(e.lastHeard)
--- a/core/roster_sample.go
+++ b/core/roster_sample.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sample gives what to tell another box: what changed, those told least often
-// first, and then all members in turn, so that word of each comes round.
+// Sample returns the records for one message to another box: changed ones, those sent least
+// often first, and then others in rotation.
 func (r *Roster) Sample(now time.Time) []Peer {
 	if len(r.names) <= r.rules.Sample {
 		return r.All(now)
@@ -27,8 +27,7 @@
 	return out
 }
 
-// nextChanged gives the members of which news are to be told, and counts them as
-// told.
+// nextChanged returns the changed members to send next, and counts them as sent.
 func (r *Roster) nextChanged() []*rosterEntry {
 	var all []*rosterEntry
 	for _, box := range r.names {
--- a/core/send_budget.go
+++ b/core/send_budget.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// SendBudgetRules say how what an endpoint bears is counted.
+// SendBudgetRules configure how sends to an endpoint are counted.
 type SendBudgetRules struct {
-	Window              time.Duration // in which no more than the share are sent
-	ReservationLifetime time.Duration // how long a send that was planned keeps its place
+	Window              time.Duration // sliding window of the budget
+	ReservationLifetime time.Duration // after which an unused reservation expires
 }
 
-// DefaultSendBudgetRules count a second and what two sends' ways to an endpoint may differ by.
-// A planned send keeps its place as long as the longest plan lasts: a run's move, of 2.5 s,
-// and the wait for its copy.
+// DefaultSendBudgetRules returns rules for budgets per second. The window is a little
+// longer, since sends may take different times to reach the endpoint. ReservationLifetime
+// covers the longest delay between plan and send: the move of a running request.
 func DefaultSendBudgetRules() SendBudgetRules {
 	return SendBudgetRules{
 		Window:              1100 * time.Millisecond,
@@ -18,24 +18,24 @@
 	}
 }
 
-// SendBudget counts one box's sends to one endpoint that bears only some in a second.
+// SendBudget limits the number of one box's sends to an endpoint within a sliding window.
 type SendBudget struct {
 	rules        SendBudgetRules
-	sent         []time.Time // in the last window, oldest first
-	reservations []time.Time // when planned ones took their places, oldest first
+	sent         []time.Time // sends within the window, oldest first
+	reservations []time.Time // when each was made, oldest first
 }
 
-// NewSendBudget builds a ration of which nothing is spent.
+// NewSendBudget returns a budget of which nothing is spent.
 func NewSendBudget(rules SendBudgetRules) *SendBudget { return &SendBudget{rules: rules} }
 
-// CanReserve tells whether one more send fits into the box's share.
+// CanReserve reports whether the box's share has room for one more send.
 func (b *SendBudget) CanReserve(now time.Time, share int) bool {
 	b.sent = dropUntil(b.sent, now.Add(-b.rules.Window))
 	b.reservations = dropUntil(b.reservations, now.Add(-b.rules.ReservationLifetime))
 	return len(b.sent)+len(b.reservations) < share
 }
 
-// Reserve keeps a place for a send that is planned, if one is free.
+// Reserve reserves room for a planned send and reports whether there was any.
 func (b *SendBudget) Reserve(now time.Time, share int) bool {
 	if !b.CanReserve(now, share) {
 		return false
@@ -44,15 +44,15 @@
 	return true
 }
 
-// CancelReservation gives a place back that was kept.
+// CancelReservation cancels the oldest reservation.
 func (b *SendBudget) CancelReservation() {
 	if len(b.reservations) > 0 {
 		b.reservations = b.reservations[1:]
 	}
 }
 
-// Acquire counts a send, which takes a place that was kept for it or a free one; false says
-// that there is none.
+// Acquire counts a send, in place of a reservation if there is one for it. It reports false
+// if the share has no room.
 func (b *SendBudget) Acquire(now time.Time, share int, reserved bool) bool {
 	if reserved {
 		b.CancelReservation()
@@ -64,13 +64,13 @@
 	return true
 }
 
-// IsIdle tells whether nothing is counted any more.
+// IsIdle reports whether there are neither sends in the window nor reservations.
 func (b *SendBudget) IsIdle(now time.Time) bool {
 	b.CanReserve(now, 0)
 	return len(b.sent)+len(b.reservations) == 0
 }
 
-// dropUntil drops the times that aren't after a time.
+// dropUntil removes leading times up to and including the cutoff.
 func dropUntil(times []time.Time, cutoff time.Time) []time.Time {
 	for len(times) > 0 && !times[0].After(cutoff) {
 		times = times[1:]
--- a/core/share_allocator.go
+++ b/core/share_allocator.go
@@ -6,19 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShareRules bound who has a part of what is divided among all boxes.
+// ShareRules configure which boxes get a share of a resource and when.
 type ShareRules struct {
-	JoinDelay       time.Duration // since its start, before which a box has none
-	SilentRetention time.Duration // how long a silent box keeps its part
-	LeftRetention   time.Duration // how long one that said that it leaves does
-	UnawareWindow   time.Duration // a box that was suspect this long after this one's start may not know of it
-	ContestRanks    int           // ranks below this box's in which such a box may claim the same
+	JoinDelay       time.Duration // how long after its start a box has no share
+	SilentRetention time.Duration // how long a silent box keeps its share
+	LeftRetention   time.Duration // how long a box that announced its exit keeps its share
+	UnawareWindow   time.Duration // a box suspected within this time after this box's start may not know of it
+	ContestRanks    int           // how many boxes ranked next for a unit are checked for being unaware of this one
 }
 
-// DefaultShareRules fit boxes that hear of each other within some seconds. The memory
-// is above any time for which parts of a fleet lose each other, an hour: who forgot the
-// others would take their parts. What the dead had is unused as long. Contests keep parts
-// from being claimed twice while boxes are added and others are cut off.
+// DefaultShareRules returns the rules for boxes that hear of each other within seconds.
+// SilentRetention exceeds any expected network partition, since boxes that forgot the
+// others would claim their units too. ContestRanks keeps units from being claimed twice
+// while boxes join and others are partitioned off.
 func DefaultShareRules() ShareRules {
 	return ShareRules{
 		JoinDelay:       5 * time.Second,
@@ -29,10 +29,10 @@
 	}
 }
 
-// ShareAllocator shares units out among all boxes without asking any: each unit is the box's
-// that rendezvous hashing ranks first, so that boxes who know the same others never claim
-// the same unit, and a box that comes or goes changes the fewest. A box that is silent
-// keeps its units: it may be cut off from the others and not from what is divided.
+// ShareAllocator divides the units of a resource, such as an endpoint's rate limit, among
+// all boxes without coordination. Rendezvous hashing assigns each unit to one box, so boxes
+// with the same membership view never claim the same unit, and few units move when a box
+// joins or leaves. A silent box keeps its units: it may still reach the resource.
 type ShareAllocator struct {
 	rules     ShareRules
 	self      uint64 // the hash of this box's name
@@ -40,14 +40,15 @@
 	members   map[string]*shareMember
 }
 
+// shareMember is another box among which units are divided.
 type shareMember struct {
 	hash         uint64 // of the box's name
 	lastHeard    time.Time
-	leavingSince time.Time // zero for a box that didn't say that it leaves
-	suspectSince time.Time // zero for one that isn't suspect
+	leavingSince time.Time // zero unless the box announced its exit
+	suspectSince time.Time // zero unless the box is suspect
 }
 
-// NewShareAllocator begins at a box's start.
+// NewShareAllocator returns the allocator of a box that starts now.
 func NewShareAllocator(now time.Time, self string, rules ShareRules) *ShareAllocator {
 	return &ShareAllocator{
 		rules:     rules,
@@ -57,7 +58,8 @@
 	}
 }
 
-// Observe takes what the roster knows of the others.
+// Observe updates the members from the roster's other boxes, and removes those whose
+// retention has passed.
 func (a *ShareAllocator) Observe(now time.Time, others []Peer) {
 	for _, p := range others {
 		e := a.members[p.Box]
@@ -77,7 +79,7 @@
 	}
 }
 
-// conditionSince gives since when something holds, or the zero time if it doesn't.
+// conditionSince returns since when a condition has held, or the zero time if it doesn't.
 func conditionSince(since, now time.Time, holds bool) time.Time {
 	if !holds {
 		return time.Time{}
@@ -88,7 +90,7 @@
 	return since
 }
 
-// Share gives how many of some units of a thing are this box's.
+// Share returns how many units of a resource belong to this box.
 func (a *ShareAllocator) Share(now time.Time, resource string, units int) int {
 	if now.Sub(a.startedAt) < a.rules.JoinDelay {
 		return 0
@@ -110,19 +112,19 @@
 	return share
 }
 
-// contender is another box in the ranking for one thing.
+// contender is another box in the ranking for a unit.
 type contender struct {
-	base         uint64
-	mayBeUnaware bool // it may not know of this box
+	base         uint64 // hash of resource and box; in a ranking, the weight for the unit
+	mayBeUnaware bool   // the box may not know of this one
 }
 
-// mayBeUnaware tells whether a box was out of reach before it can have heard of this one.
+// mayBeUnaware reports whether a box was suspected before it can have heard of this one.
 func (a *ShareAllocator) mayBeUnaware(e *shareMember) bool {
 	return !e.suspectSince.IsZero() && e.suspectSince.Sub(a.startedAt) < a.rules.UnawareWindow
 }
 
-// ownsUnit tells whether this box ranks first for a unit, and none of those that come next
-// may take itself for the first.
+// ownsUnit reports whether this box ranks first for a unit and none of the boxes ranked
+// next may claim it because they are unaware of this box.
 func (a *ShareAllocator) ownsUnit(ownBase uint64, contenders []contender, unit uint64) bool {
 	runnersUp := make([]contender, 0, a.rules.ContestRanks+1)
 	weight := unitWeight(ownBase, unit)
@@ -144,7 +146,8 @@
 	return true
 }
 
-// insertByWeight keeps the heaviest of claimants, whose base is their weight here.
+// insertByWeight inserts a contender into a list sorted by descending weight, which base
+// holds here, and keeps the first ones up to the limit.
 func insertByWeight(contenders []contender, c contender, limit int) []contender {
 	index := len(contenders)
 	for index > 0 && contenders[index-1].base < c.base {
@@ -159,8 +162,8 @@
 	return contenders[:min(len(contenders), limit)]
 }
 
-// unitStride sets the weights of one box's units apart: the odd number next to 2^64 over
-// the golden ratio.
+// unitStride separates the weights of one box's units: the odd number nearest to 2^64
+// divided by the golden ratio.
 const unitStride = 0x9e3779b97f4a7c15
 
 func unitWeight(base, unit uint64) uint64 { return splitmix64(base + unit*unitStride) }
--- a/core/source_selector.go
+++ b/core/source_selector.go
@@ -7,29 +7,28 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Advertisement says how new the views are that a box has: the version of its configuration
-// and the last change of its list. Zero says nothing of either.
+// Advertisement states how new a box's views are: the version of its configuration and the
+// last change of its endpoint list. Zero means unknown.
 type Advertisement struct {
 	Configuration uint64
 	Changed       routing.Revision
 }
 
-// NewerThan tells whether an offer has anything that is newer than another.
+// NewerThan reports whether either view is newer than in the other advertisement.
 func (a Advertisement) NewerThan(other Advertisement) bool {
 	return a.Configuration > other.Configuration || a.Changed > other.Changed
 }
 
-// SourceRules say how long a box is left alone before it is asked again.
+// SourceRules configure when a source of snapshots is asked again.
 type SourceRules struct {
-	Busy                  time.Duration // after it said that it gives to others
-	Failed                time.Duration // after it didn't give; doubled with each time in a row
-	MaxBackoff            time.Duration // bounds the doubling
-	AdvertisementLifetime time.Duration // after which an offer that nobody repeated is forgotten
+	Busy                  time.Duration // backoff after a source reported that it is busy
+	Failed                time.Duration // backoff after a failure, doubled for each further one in a row
+	MaxBackoff            time.Duration // bounds the doubled backoff
+	AdvertisementLifetime time.Duration // after which an advertisement that isn't repeated expires
 }
 
-// DefaultSourceRules gives the rules that the boxes use. A copy of 50 KB, which is a
-// configuration of 2,850 routes, takes 40 to 80 ms on a link of 10 Mbit/s: to ask a busy
-// box again after half of that costs two or three small messages.
+// DefaultSourceRules returns the rules used in production. The Busy backoff is about half
+// the time of one transfer on a slow link.
 func DefaultSourceRules() SourceRules {
 	return SourceRules{
 		Busy:                  30 * time.Millisecond,
@@ -39,10 +38,9 @@
 	}
 }
 
-// SourceSelector decides whom to ask for newer views, one at a time. It remembers everyone who
-// offered some until this box has them: a box that waits to be told again after a
-// question that failed is without them for as long, 3 s in one of 73 boxes' logs. K
-// tells boxes apart.
+// SourceSelector selects the boxes from which this box fetches newer views, one at a time.
+// It remembers all advertisements until this box has caught up, so that a failed request
+// can be retried without waiting for the next advertisement. K identifies sources.
 type SourceSelector[K comparable] struct {
 	rules   SourceRules
 	sources []source[K]
@@ -52,16 +50,16 @@
 	key           K
 	advertisement Advertisement
 	advertisedAt  time.Time
-	retryAt       time.Time // not asked before
-	failures      int       // times in a row
+	retryAt       time.Time // the source isn't asked before
+	failures      int       // in a row
 }
 
-// NewSourceSelector builds a pull that knows nobody.
+// NewSourceSelector returns a selector without sources.
 func NewSourceSelector[K comparable](rules SourceRules) *SourceSelector[K] {
 	return &SourceSelector[K]{rules: rules}
 }
 
-// RecordAdvertisement takes a box's word of what it has.
+// RecordAdvertisement records which views a source has.
 func (s *SourceSelector[K]) RecordAdvertisement(now time.Time, key K, a Advertisement) {
 	src := s.find(key)
 	if src == nil {
@@ -73,10 +71,9 @@
 	src.advertisedAt = now
 }
 
-// Next gives the box to ask now, and what it offered: of those that are not to be left
-// alone, any of the newest, by draw, so that many askers spread over all that
-// have it. Without one, it gives how long to wait; zero says that there is nothing
-// newer to ask for.
+// Next returns the source to ask now and its advertisement: one of those with the newest
+// views that aren't backing off, chosen by pick to spread the load. If there is none it
+// returns the time to wait, or zero if no source has newer views than the current ones.
 func (s *SourceSelector[K]) Next(now time.Time, current Advertisement, pick func(n int) int) (key K, a Advertisement, wait time.Duration) {
 	s.sources = slices.DeleteFunc(s.sources, func(src source[K]) bool {
 		return !src.advertisement.NewerThan(current) || now.Sub(src.advertisedAt) > s.rules.AdvertisementLifetime
@@ -104,14 +101,14 @@
 	return src.key, src.advertisement, 0
 }
 
-// Busy notes that a box gives to others at present.
+// Busy records that a source is busy with other transfers.
 func (s *SourceSelector[K]) Busy(now time.Time, key K) {
 	if src := s.find(key); src != nil {
 		src.retryAt = now.Add(s.rules.Busy)
 	}
 }
 
-// Failed notes that a box didn't give what it offered.
+// Failed records that a request to a source failed.
 func (s *SourceSelector[K]) Failed(now time.Time, key K) {
 	src := s.find(key)
 	if src == nil {
@@ -121,17 +118,17 @@
 	src.failures = min(src.failures+1, maxDoublings)
 }
 
-// maxDoublings bounds the shift of a pause; far above any that the rules' bound allows.
+// maxDoublings bounds the shift of the backoff.
 const maxDoublings = 16
 
-// RecordSuccess notes that a box gave what it was asked for.
+// RecordSuccess records that a source delivered its views.
 func (s *SourceSelector[K]) RecordSuccess(key K) {
 	if src := s.find(key); src != nil {
 		src.failures = 0
 	}
 }
 
-// Remove drops a box that can't be asked any more.
+// Remove removes a source that can't be asked any more.
 func (s *SourceSelector[K]) Remove(key K) {
 	s.sources = slices.DeleteFunc(s.sources, func(src source[K]) bool { return src.key == key })
 }
--- a/core/transfer_limiter.go
+++ b/core/transfer_limiter.go
@@ -5,16 +5,14 @@
 	"time"
 )
 
-// TransferRules bound what a box gives at once.
+// TransferRules configure the transfers of snapshots that one box sends.
 type TransferRules struct {
-	MaxConcurrent int           // whole copies on their way at a time
-	IdleTimeout   time.Duration // after which a taker that asks for no further part has left
+	MaxConcurrent int           // maximum number of concurrent transfers
+	IdleTimeout   time.Duration // after which a receiver that requests no further part counts as gone
 }
 
-// DefaultTransferRules gives the rules that the boxes use. Of 17 copies that share one
-// link none is whole before all are; of two, both soon are, and their takers give in
-// their turn: after n rounds 3^n boxes have it. A taker asks for its next part within some
-// tens of milliseconds on a link of 10 Mbit/s.
+// DefaultTransferRules returns the rules used in production. With few concurrent transfers
+// the first receivers finish early and become senders themselves.
 func DefaultTransferRules() TransferRules {
 	return TransferRules{
 		MaxConcurrent: 2,
@@ -22,7 +20,8 @@
 	}
 }
 
-// TransferLimiter decides who may take a large copy now. K tells takers apart.
+// TransferLimiter limits how many large snapshots a box sends at a time. K identifies
+// receivers.
 type TransferLimiter[K comparable] struct {
 	rules     TransferRules
 	transfers []transfer[K]
@@ -34,12 +33,13 @@
 	lastActive time.Time
 }
 
-// NewTransferLimiter builds a giving without takers.
+// NewTransferLimiter returns a limiter without transfers.
 func NewTransferLimiter[K comparable](rules TransferRules) *TransferLimiter[K] {
 	return &TransferLimiter[K]{rules: rules}
 }
 
-// TryStart tells whether a taker may have its first part now.
+// TryStart starts a transfer to a receiver if the limit allows it, and reports whether it
+// did. A transfer to the same receiver is replaced.
 func (l *TransferLimiter[K]) TryStart(now time.Time, key K) bool {
 	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer[K]) bool {
 		return t.key == key || now.Sub(t.lastActive) > l.rules.IdleTimeout
@@ -55,16 +55,16 @@
 	return true
 }
 
-// RecordProgress notes that a taker has its next part. One that has begun always goes on, also after
-// others took the place of a taker that seemed to have left: what it has would
-// be lost otherwise.
+// RecordProgress records that a receiver gets its next part. A transfer that was dropped as
+// idle may continue beyond the limit, so that the parts already sent aren't lost.
 func (l *TransferLimiter[K]) RecordProgress(now time.Time, key K) {
 	if i := slices.IndexFunc(l.transfers, func(t transfer[K]) bool { return t.key == key }); i >= 0 {
 		l.transfers[i].lastActive = now
 	}
 }
 
-// Finish notes that a taker gets its last part, and gives the time since its first.
+// Finish records that a receiver gets its last part, and returns the duration of the
+// transfer.
 func (l *TransferLimiter[K]) Finish(now time.Time, key K) time.Duration {
 	var elapsed time.Duration
 	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer[K]) bool {
