--- a/core/group_test.go
+++ b/core/group_test.go
@@ -9,7 +9,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-var _ = Describe("the groups of a fleet", func() {
+var _ = Describe("groups of a fleet", func() {
 	newFleet := func(perZone, zones int) []core.Peer {
 		var all []core.Peer
 		for z := range zones {
@@ -39,13 +39,13 @@
 		return core.GroupOf(all[i], append(others, all[i+1:]...), engines)
 	}
 
-	It("is one for a small fleet, with all endpoints", func() {
+	It("put a small fleet with all its endpoints into one group", func() {
 		group := groupOf(newFleet(3, 3), 4, 9)
 		Expect(group.Members).To(HaveLen(8))
 		Expect(group.PreferredEndpoints(newEndpoints(3, 3))).To(HaveLen(9))
 	})
 
-	It("are of one zone and bounded at any size, and share all endpoints out", func() {
+	It("stay within one zone, are bounded in size and cover all endpoints", func() {
 		for _, perZone := range []int{18, 26, 100} {
 			all := newFleet(perZone, 3)
 			used := make(map[string]int)
@@ -60,7 +60,7 @@
 		}
 	})
 
-	It("are larger where boxes have few engines, in steps and bounded", func() {
+	It("are larger when boxes have few engines, in steps and up to a bound", func() {
 		Expect(core.GroupSize(470, 5300)).To(Equal(12))
 		Expect(core.GroupSize(78, 45)).To(Equal(48))
 		Expect(core.GroupSize(78, 38)).To(Equal(48))
@@ -71,14 +71,14 @@
 		Expect(group.PreferredEndpoints(newEndpoints(15, 3))).To(HaveLen(15))
 	})
 
-	It("is one where all boxes together have few engines", func() {
+	It("put a larger fleet with few engines into one group", func() {
 		group := groupOf(newFleet(26, 3), 30, 45)
 		Expect(group.Members).To(HaveLen(77))
 		Expect(group.PreferredEndpoints(newEndpoints(15, 3))).To(HaveLen(45))
 		Expect(groupOf(newFleet(26, 3), 30, 73).Members).To(HaveLen(25))
 	})
 
-	It("agree with each other", func() {
+	It("have symmetric membership", func() {
 		all := newFleet(26, 3)
 		group := groupOf(all, 7, 45)
 		for i, p := range all {
--- a/core/member_test.go
+++ b/core/member_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-var _ = Describe("rendezvous over the list", func() {
-	It("moves only what belonged to a box that left, and spreads it", func() {
+var _ = Describe("rendezvous hashing over the list", func() {
+	It("moves only the keys of a box that left, and spreads them", func() {
 		before := newList(20)
 		after := before.Without("box-7")
 		moved, newOwners := 0, make(map[string]bool)
@@ -37,7 +37,7 @@
 		Expect(len(newOwners)).To(BeNumerically(">", 12))
 	})
 
-	It("gives an endpoint two owners, and one box both halves only when it is alone", func() {
+	It("gives an endpoint two different owners unless there is only one box", func() {
 		for i := range 200 {
 			name := fmt.Sprint("engine-", i)
 			list := newList(5)
@@ -47,7 +47,7 @@
 		}
 	})
 
-	It("keeps an endpoint's owners in its region, in two zones, while the region has a box", func() {
+	It("chooses an endpoint's owners in two zones of its region while the region has a box", func() {
 		list := newList(24)
 		for i := range list.Boxes {
 			list.Boxes[i].Zone = fmt.Sprint("zone-", i%6)
@@ -66,7 +66,7 @@
 		Expect(list.Member(core.NewOwners(list).Of("engine-1", "zone-1", 0)).Region).To(Equal("region-1"))
 	})
 
-	It("passes leaving boxes over", func() {
+	It("passes over leaving boxes", func() {
 		list := newList(3)
 		list.Boxes[1].Leaving = true
 		for i := range 100 {
@@ -75,7 +75,7 @@
 	})
 })
 
-var _ = Describe("suspicion", func() {
+var _ = Describe("the failure detector", func() {
 	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 	sendHeartbeats := func(detector *core.FailureDetector, box string, every time.Duration, n int) time.Time {
@@ -87,7 +87,7 @@
 		return now
 	}
 
-	It("goes by each box's own rhythm and not by one time-out", func() {
+	It("adapts to each box's heartbeat interval", func() {
 		detector := core.NewFailureDetector(core.DefaultFailureDetectorRules())
 		last := sendHeartbeats(detector, "steady", time.Second, 50)
 		Expect(detector.OwnSuspects(last.Add(2 * time.Second))).To(BeEmpty())
@@ -97,7 +97,7 @@
 		Expect(slowDetector.OwnSuspects(last.Add(4 * time.Second))).To(BeEmpty())
 	})
 
-	It("lets one's own fresh sight go before a peer's suspicion, which fades", func() {
+	It("prefers its own recent heartbeat over a peer's report, which expires", func() {
 		detector := core.NewFailureDetector(core.DefaultFailureDetectorRules())
 		last := sendHeartbeats(detector, "seen", time.Second, 5)
 		detector.Step(last, core.SuspectsReported{From: "peer", Boxes: []string{"seen", "unseen"}})
@@ -107,7 +107,7 @@
 })
 
 var _ = Describe("a retry budget", func() {
-	It("bounds retries to a part of first tries", func() {
+	It("bounds retries to a fraction of first attempts", func() {
 		b := core.NewRetryBudget(0.1, 5)
 		retries := 0
 		for range 1000 {
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("a request's digest", func() {
-	It("differs where parts are divided in another way", func() {
+	It("depends on how the content is divided into parts", func() {
 		Expect(core.NewDigest([]byte("ab"), []byte("c"))).NotTo(Equal(core.NewDigest([]byte("a"), []byte("bc"))))
 	})
 })
@@ -36,41 +36,40 @@
 	BeforeEach(func() { q = core.NewQuarantine(rules) })
 	crash := func(at time.Duration, endpoint string) { q.Crashed(atOffset(at), crashingRequest, endpoint) }
 
-	It("holds a request after three endpoints, and not after one that was told of three times", func() {
+	It("holds a request after crashes of three endpoints, not after three reports of one", func() {
 		for range 3 {
 			crash(0, "e-1")
 		}
 		crash(time.Second, "e-2")
 		Expect(isQuarantined(q, atOffset(time.Second))).To(BeFalse())
 		crash(2*time.Second, "e-3")
-		until, is := q.QuarantinedUntil(atOffset(3*time.Second), crashingRequest)
-		Expect(is).To(BeTrue())
+		until, quarantined := q.QuarantinedUntil(atOffset(3*time.Second), crashingRequest)
+		Expect(quarantined).To(BeTrue())
 		Expect(until).To(Equal(atOffset(2*time.Second + rules.Duration)))
 		Expect(q.All(atOffset(3 * time.Second))).To(Equal([]core.Digest{crashingRequest}))
 	})
 
-	// Word of ends that comes round by several boxes looks younger by the time that its
-	// messages took: a request that an endpoint had survived was held by 29 of 30 boxes, as
-	// the same three ends came again with ages just below that of the survived run.
-	It("isn't begun anew by ends of before a survived run whose word comes round", func() {
+	// Relayed crash records look younger by their time in transit, so crashes from before a
+	// successful run could seem to follow it.
+	It("ignores relayed records of crashes from before a successful run", func() {
 		crashes := []core.Crash{{Endpoint: "e-1"}, {Endpoint: "e-2"}, {Endpoint: "e-3"}}
-		recordsAged := func(age time.Duration) []core.CrashRecord {
+		records := func(age time.Duration) []core.CrashRecord {
 			for i := range crashes {
 				crashes[i].Age = age
 			}
 			return []core.CrashRecord{{Request: crashingRequest, Crashes: crashes}}
 		}
-		q.Merge(atOffset(10*time.Millisecond), recordsAged(10*time.Millisecond))
+		q.Merge(atOffset(10*time.Millisecond), records(10*time.Millisecond))
 		Expect(isQuarantined(q, atOffset(10*time.Millisecond))).To(BeTrue())
 		q.Merge(atOffset(20*time.Millisecond), []core.CrashRecord{{Request: crashingRequest, Cleared: true, Age: 5 * time.Millisecond}})
 		Expect(isQuarantined(q, atOffset(20*time.Millisecond))).To(BeFalse())
-		q.Merge(atOffset(300*time.Millisecond), recordsAged(250*time.Millisecond))
+		q.Merge(atOffset(300*time.Millisecond), records(250*time.Millisecond))
 		Expect(isQuarantined(q, atOffset(300*time.Millisecond))).To(BeFalse())
-		q.Merge(atOffset(3*time.Second), recordsAged(0))
-		Expect(isQuarantined(q, atOffset(3*time.Second))).To(BeTrue(), "ends that are new count")
+		q.Merge(atOffset(3*time.Second), records(0))
+		Expect(isQuarantined(q, atOffset(3*time.Second))).To(BeTrue(), "new crashes count")
 	})
 
-	It("lets a request through when its time is over, and holds it again after one more end", func() {
+	It("releases a request after its duration, and holds it again after one more crash", func() {
 		crash(0, "e-1")
 		crash(0, "e-2")
 		crash(0, "e-3")
@@ -80,7 +79,7 @@
 		Expect(isQuarantined(q, atOffset(rules.Duration+time.Second))).To(BeTrue())
 	})
 
-	It("doesn't count ends before a run that an endpoint survived", func() {
+	It("doesn't count crashes before a successful run", func() {
 		crash(0, "e-1")
 		crash(time.Second, "e-2")
 		Expect(q.RecordSuccess(atOffset(2*time.Second), crashingRequest)).To(BeTrue())
@@ -89,9 +88,9 @@
 		Expect(q.Crashes(crashingRequest)).To(Equal([]string{"e-3"}))
 	})
 
-	// A request that many callers send alike runs at many endpoints at once; when a zone
-	// fails, several end under it in the same moment.
-	It("holds nothing against a request that ran well a moment ago, here or at another box", func() {
+	// Identical requests of many callers run at many endpoints at once, so when a zone
+	// fails several of these crash during the request at the same moment.
+	It("doesn't count crashes shortly after a successful run at this or another box", func() {
 		q.RecordSuccess(atOffset(0), crashingRequest)
 		for _, e := range []string{"e-1", "e-2", "e-3"} {
 			crash(time.Second, e)
@@ -110,7 +109,7 @@
 		Expect(isQuarantined(other, atOffset(2*time.Second))).To(BeFalse())
 	})
 
-	It("tells a box that starts of each held request, and others while they are new", func() {
+	It("keeps sending records of held requests, and others only while they are new", func() {
 		for i := range 3 {
 			crash(time.Duration(i)*time.Second, fmt.Sprintf("e-%d", i))
 		}
@@ -125,7 +124,7 @@
 		Expect(newBox.Sample(atOffset(5 * time.Second))).To(HaveLen(1))
 	})
 
-	It("keeps a bounded number of records, those with most ends, and takes none back in turns", func() {
+	It("keeps a bounded number of records, those with most crashes, and rejects evicted ones", func() {
 		crash(0, "e-1")
 		crash(0, "e-2")
 		for i := range 2 * rules.MaxRecords {
@@ -143,25 +142,25 @@
 		Expect(updates).To(BeEmpty())
 	})
 
-	It("tells of many requests with one end only some, and first of those with several", func() {
+	It("sends requests with several crashes first, and only some of those with one", func() {
 		for i := range 100 {
 			q.Crashed(atOffset(0), core.NewDigest(fmt.Appendf(nil, "other %d", i)), "e-1")
 		}
 		crash(0, "e-1")
 		crash(0, "e-2")
-		recordsAged := q.Sample(atOffset(time.Second))
-		Expect(recordsAged[0].Request).To(Equal(crashingRequest))
-		Expect(len(recordsAged)).To(BeNumerically("<", 12))
+		records := q.Sample(atOffset(time.Second))
+		Expect(records[0].Request).To(Equal(crashingRequest))
+		Expect(len(records)).To(BeNumerically("<", 12))
 	})
 
-	It("forgets what is long over", func() {
+	It("removes expired records", func() {
 		crash(0, "e-1")
 		Expect(q.Sample(atOffset(rules.Retention + time.Second))).To(BeEmpty())
 	})
 })
 
-// Boxes tell each other in any order, some words several times; in the end all say the
-// same of a request, however many ends and survived runs there were.
+// Boxes that exchange records in any order and repeatedly agree in the end, whatever crashes
+// and successful runs there were.
 func TestQuarantinesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 4
@@ -172,7 +171,7 @@
 		now := testStart
 		step := func() { now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second) }
 		exchange := func(from, to int) {
-			_, _ = all[to].Merge(now, all[from].Sample(now)) // the next samples tell the news as well
+			_, _ = all[to].Merge(now, all[from].Sample(now)) // later samples forward the updates
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
 			step()
@@ -183,7 +182,7 @@
 			case 2:
 				all[box].RecordSuccess(now, crashingRequest)
 			default:
-				// Often enough that what is told only while it is new is told no more.
+				// Fifteen exchanges exhaust the records that are sent only while they are new.
 				other := rapid.IntRange(0, boxes-1).Draw(t, "other")
 				for range rapid.SampledFrom([]int{1, 15}).Draw(t, "times") {
 					exchange(box, other)
@@ -199,7 +198,7 @@
 		}
 		for i, q := range all {
 			if isQuarantined(q, now) != isQuarantined(all[0], now) {
-				t.Fatalf("box %d says %v of the request, box 0 %v: ends %v and %v", i, isQuarantined(q, now), isQuarantined(all[0], now), q.Crashes(crashingRequest), all[0].Crashes(crashingRequest))
+				t.Fatalf("box %d: quarantined %v, box 0: quarantined %v; crashes %v and %v", i, isQuarantined(q, now), isQuarantined(all[0], now), q.Crashes(crashingRequest), all[0].Crashes(crashingRequest))
 			}
 		}
 	})
--- a/core/rate_limiter_test.go
+++ b/core/rate_limiter_test.go
@@ -14,11 +14,11 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-var _ = Describe("one box's sends to an endpoint that takes a rate", func() {
+var _ = Describe("the rate limiter", func() {
 	begin := time.Unix(1000, 0)
 	rules := core.DefaultRateLimiterRules()
 
-	It("are no more than its units within the time of one, whatever was planned and given up", func() {
+	It("allows no more sends per interval than units, whatever is reserved and canceled", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			share := rapid.IntRange(0, 6).Draw(t, "share")
 			interval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "each")) * time.Millisecond
@@ -60,7 +60,7 @@
 		})
 	})
 
-	It("say when the next one may go", func() {
+	It("returns the time until the next send", func() {
 		limiter := core.NewRateLimiter(rules, func() float64 { return 0.5 })
 		_, hasUnit := limiter.Next(begin)
 		Expect(hasUnit).To(BeFalse())
@@ -75,7 +75,7 @@
 		Expect(wait).To(Equal(time.Second))
 	})
 
-	It("count on when the box's share falls and rises again", func() {
+	It("still counts recent sends after the share shrinks", func() {
 		limiter := core.NewRateLimiter(rules, func() float64 { return 0 })
 		limiter.Set(begin, 2, 4*time.Second)
 		now := begin.Add(10 * time.Second)
@@ -84,9 +84,9 @@
 		Expect(limiter.Acquire(now.Add(time.Second), false)).To(BeFalse())
 	})
 
-	// Endpoints allow one and a half times what they named and five more, in any four
+	// Endpoints tolerate one and a half times their limit plus five requests in any four
 	// seconds, from all boxes together.
-	DescribeTable("are no more from all boxes together than the endpoint allows, and use what it takes",
+	DescribeTable("keeps all boxes together within the endpoint's limit and uses most of it",
 		func(boxes int, perSecond float64) {
 			const span = 4 * time.Second
 			maxSends := int(1.5*perSecond*span.Seconds()) + 5
@@ -108,7 +108,7 @@
 				limiters = append(limiters, limiter)
 			}
 			var sent []time.Time
-			// A rush, a lull after which every unit is free, and a rush again.
+			// A burst, an idle period after which every unit is free, and another burst.
 			for ms := 0; ms < 60000; ms += 20 {
 				if ms > 20000 && ms < 35000 {
 					continue
@@ -131,25 +131,25 @@
 			Expect(worst).To(BeNumerically("<=", maxSends))
 			Expect(float64(len(sent))).To(BeNumerically(">=", 0.9*perSecond*45-float64(units)))
 		},
-		Entry("one box, next to nothing", 1, 0.2),
-		Entry("eight boxes, less than one each", 8, 2.3),
+		Entry("one box, a very low rate", 1, 0.2),
+		Entry("eight boxes, less than one send per second each", 8, 2.3),
 		Entry("eight boxes", 8, 4.7),
-		Entry("eight boxes, many", 8, 120.0),
+		Entry("eight boxes, a high rate", 8, 120.0),
 		Entry("three hundred boxes", 300, 4.1),
-		Entry("three hundred boxes, many", 300, 90.0),
+		Entry("three hundred boxes, a high rate", 300, 90.0),
 	)
 
-	It("has no unit at an endpoint that takes nothing", func() {
+	It("has no unit for a limit of zero", func() {
 		units, _ := rules.SplitRate(0)
 		Expect(units).To(BeZero())
 	})
 })
 
-var _ = Describe("what boxes know of limits", func() {
+var _ = Describe("endpoint limits", func() {
 	begin := time.Unix(1000, 0)
 	rules := core.DefaultLimitRules()
 
-	It("is the endpoint's newest answer to any box, in whatever order word comes", func() {
+	It("follow the endpoint's newest answer to any box, in whatever order records arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := begin.Add(rules.Retention)
 			ages := rapid.SliceOfNDistinct(rapid.IntRange(0, 15000), 1, 12, rapid.ID[int]).Draw(t, "ages")
@@ -169,12 +169,12 @@
 			}
 			perSecond, limited := limits.Lookup(now, "e-1")
 			if limited != newest.Limited || (limited && perSecond != newest.PerSecond) {
-				t.Fatalf("%v at %v, the newest is %+v", limited, perSecond, newest)
+				t.Fatalf("got limited %v at %v, the newest record is %+v", limited, perSecond, newest)
 			}
 		})
 	})
 
-	It("leaves out what nobody can mean", func() {
+	It("ignore invalid and expired records", func() {
 		limits := core.NewLimits(rules)
 		for _, record := range []core.LimitRecord{
 			{Endpoint: "e-1", Limited: true, PerSecond: math.NaN()},
@@ -188,7 +188,7 @@
 		Expect(limits.IsEmpty()).To(BeTrue())
 	})
 
-	It("is told at once where it changed by more than a little", func() {
+	It("are broadcast at once only after a notable change", func() {
 		limits := core.NewLimits(rules)
 		limited := func(perSecond float64) bool {
 			return limits.RecordAnswer(begin, core.LimitRecord{Endpoint: "e-1", Limited: true, PerSecond: perSecond})
--- a/core/roster_fleet_test.go
+++ b/core/roster_fleet_test.go
@@ -13,18 +13,18 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// simulatedBox is a box of a simulated fleet that greets as the boxes do.
+// simulatedBox is a box of a simulated fleet that gossips as real boxes do.
 type simulatedBox struct {
 	self      core.Peer
 	roster    *core.Roster
 	alive     []string
-	lostPeers int // boxes that it ceased to hold for there
+	lostPeers int // how often another box ceased to be alive in its view
 	down      bool
 	turn      int
-	stranger  int // a box of another group that it greets for a while
+	stranger  int // index of its current gossip partner outside its group
 }
 
-// simulatedFleet plays greetings in virtual time.
+// simulatedFleet runs gossip in virtual time.
 type simulatedFleet struct {
 	random *rand.Rand
 	now    time.Time
@@ -55,7 +55,7 @@
 	return f
 }
 
-// run lets every box greet one other each quarter of a second.
+// run lets every box gossip with one other box each quarter of a second.
 func (f *simulatedFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(250 * time.Millisecond) {
 		for _, i := range f.random.Perm(len(f.boxes)) {
@@ -118,27 +118,26 @@
 	return n
 }
 
-// countAlive counts how many of the others the boxes that are up hold for there.
-func (f *simulatedFleet) countAlive() (least, most int) {
-	least = len(f.boxes)
+// countAlive returns the smallest and largest number of peers that running boxes see alive.
+func (f *simulatedFleet) countAlive() (fewest, most int) {
+	fewest = len(f.boxes)
 	for _, b := range f.boxes {
 		if !b.down {
-			least = min(least, len(b.alive))
+			fewest = min(fewest, len(b.alive))
 			most = max(most, len(b.alive))
 		}
 	}
-	return least, most
+	return fewest, most
 }
 
 var _ = Describe("rosters of a large fleet", func() {
-	// Silence judged far boxes: word of each came round too seldom, so that 300
-	// boxes held each other for gone some thousand times a second, their groups
-	// changed all the time, and each chose readers of its own.
-	It("hold every box for there while all answer, and only those for gone that don't", func() {
+	// Silence must not count against distant boxes, whose records arrive rarely: they would
+	// be lost and found all the time, and groups and readers would keep changing.
+	It("see every box alive while all answer, and only unresponsive ones as lost", func() {
 		f := newSimulatedFleet(120)
 		f.run(15 * time.Second)
-		least, _ := f.countAlive()
-		Expect(least).To(Equal(119))
+		fewest, _ := f.countAlive()
+		Expect(fewest).To(Equal(119))
 		Expect(f.countLost()).To(BeZero())
 
 		f.run(60 * time.Second)
@@ -148,10 +147,10 @@
 			b.down = true
 		}
 		f.run(12 * time.Second)
-		least, most := f.countAlive()
-		Expect(least).To(Equal(99))
+		fewest, most := f.countAlive()
+		Expect(fewest).To(Equal(99))
 		Expect(most).To(Equal(99))
-		// A few are suspected at once, cleared by word from just before they fell
+		// A few are suspected at once, cleared by records from just before they fell
 		// silent, and suspected again.
 		Expect(f.countLost()).To(BeNumerically("~", 100*20, 20))
 
@@ -162,20 +161,20 @@
 			b.alive = nil
 		}
 		f.run(10 * time.Second)
-		least, _ = f.countAlive()
-		Expect(least).To(Equal(119))
+		fewest, _ = f.countAlive()
+		Expect(fewest).To(Equal(119))
 	})
 
-	It("contradict a suspicion by fresher word", func() {
+	It("contradict a suspicion with newer records", func() {
 		f := newSimulatedFleet(30)
 		f.run(10 * time.Second)
-		// One box finds three others silent that all others reach.
+		// One box gets no answer from three others that all other boxes reach.
 		for _, other := range f.boxes[4:7] {
 			f.boxes[3].roster.RecordNoAnswer(f.now.Add(3*time.Second), other.self.Address)
 		}
 		f.run(6 * time.Second)
-		least, _ := f.countAlive()
-		Expect(least).To(Equal(29))
+		fewest, _ := f.countAlive()
+		Expect(fewest).To(Equal(29))
 		Expect(f.countLost()).To(BeNumerically("<=", 3*30))
 	})
 })
--- a/core/roster_test.go
+++ b/core/roster_test.go
@@ -12,10 +12,10 @@
 )
 
 var _ = Describe("a roster", func() {
-	peer := func(box string, life uint64, silence time.Duration) core.Peer {
+	newPeer := func(box string, instanceID uint64, silence time.Duration) core.Peer {
 		return core.Peer{
 			Box:        box,
-			InstanceID: life,
+			InstanceID: instanceID,
 			Silence:    silence,
 		}
 	}
@@ -26,81 +26,81 @@
 		}
 		return out
 	}
-	var r *core.Roster
-	BeforeEach(func() { r = core.NewRoster(peer("self", 1, 0), core.DefaultRosterRules()) })
+	var roster *core.Roster
+	BeforeEach(func() { roster = core.NewRoster(newPeer("self", 1, 0), core.DefaultRosterRules()) })
 
-	It("knows boxes it met and boxes it heard of, and never itself", func() {
-		r.RecordContact(noon, peer("a", 1, 0))
-		r.Merge(noon, []core.Peer{peer("b", 1, time.Second), peer("self", 9, 0)})
-		Expect(boxNames(r.Alive(noon))).To(Equal([]string{"a", "b"}))
-		Expect(r.Sharers(noon)).To(Equal(3))
+	It("contains boxes from contacts and from gossip, but not the box itself", func() {
+		roster.RecordContact(noon, newPeer("a", 1, 0))
+		roster.Merge(noon, []core.Peer{newPeer("b", 1, time.Second), newPeer("self", 9, 0)})
+		Expect(boxNames(roster.Alive(noon))).To(Equal([]string{"a", "b"}))
+		Expect(roster.Sharers(noon)).To(Equal(3))
 	})
 
-	It("suspects a silent box that doesn't answer, but still counts it among the sharers", func() {
-		r.RecordContact(noon, peer("a", 1, 0))
+	It("suspects a silent box that doesn't answer, but counts it among the sharers", func() {
+		roster.RecordContact(noon, newPeer("a", 1, 0))
 		soon := noon.Add(time.Second)
-		r.RecordNoAnswer(soon, netip.AddrPort{})
-		Expect(boxNames(r.Alive(soon))).To(Equal([]string{"a"}))
+		roster.RecordNoAnswer(soon, netip.AddrPort{})
+		Expect(boxNames(roster.Alive(soon))).To(Equal([]string{"a"}))
 		later := noon.Add(3 * time.Second)
-		Expect(boxNames(r.Alive(later))).To(Equal([]string{"a"}))
-		r.RecordNoAnswer(later, netip.AddrPort{})
-		Expect(r.Alive(later)).To(BeEmpty())
-		Expect(r.Sharers(later)).To(Equal(2))
-		Expect(r.Sharers(noon.Add(2 * time.Minute))).To(Equal(1))
+		Expect(boxNames(roster.Alive(later))).To(Equal([]string{"a"}))
+		roster.RecordNoAnswer(later, netip.AddrPort{})
+		Expect(roster.Alive(later)).To(BeEmpty())
+		Expect(roster.Sharers(later)).To(Equal(2))
+		Expect(roster.Sharers(noon.Add(2 * time.Minute))).To(Equal(1))
 	})
 
-	It("tells others how old its word is, a suspension of its machine counted", func() {
-		r.RecordContact(noon, peer("a", 1, 0))
-		r.HandleSuspension(4 * time.Second)
-		Expect(r.Sample(noon.Add(time.Second))[0].Silence).To(Equal(5 * time.Second))
+	It("includes a suspension of the machine in the ages that it sends", func() {
+		roster.RecordContact(noon, newPeer("a", 1, 0))
+		roster.HandleSuspension(4 * time.Second)
+		Expect(roster.Sample(noon.Add(time.Second))[0].Silence).To(Equal(5 * time.Second))
 	})
 
-	It("holds a box for gone that nobody speaks of any more", func() {
-		r.RecordContact(noon, peer("a", 1, 0))
-		Expect(r.Alive(noon.Add(time.Minute))).To(BeEmpty())
+	It("doesn't consider a box alive that was silent for too long", func() {
+		roster.RecordContact(noon, newPeer("a", 1, 0))
+		Expect(roster.Alive(noon.Add(time.Minute))).To(BeEmpty())
 	})
 
-	It("takes another's suspicion unless it heard of the box lately itself", func() {
-		suspect := peer("a", 1, 3*time.Second)
+	It("accepts a reported suspicion unless it heard of the box recently", func() {
+		suspect := newPeer("a", 1, 3*time.Second)
 		suspect.Suspect = true
-		r.RecordContact(noon, peer("a", 1, 0))
-		r.Merge(noon.Add(time.Second), []core.Peer{suspect})
-		Expect(boxNames(r.Alive(noon.Add(time.Second)))).To(Equal([]string{"a"}))
+		roster.RecordContact(noon, newPeer("a", 1, 0))
+		roster.Merge(noon.Add(time.Second), []core.Peer{suspect})
+		Expect(boxNames(roster.Alive(noon.Add(time.Second)))).To(Equal([]string{"a"}))
 		later := noon.Add(4 * time.Second)
-		r.Merge(later, []core.Peer{suspect})
-		Expect(r.Alive(later)).To(BeEmpty())
-		r.Merge(later, []core.Peer{peer("a", 1, 2*time.Second)}) // from before it fell silent
-		Expect(r.Alive(later)).To(BeEmpty())
-		r.Merge(later, []core.Peer{peer("a", 1, 100*time.Millisecond)})
-		Expect(boxNames(r.Alive(later))).To(Equal([]string{"a"}))
+		roster.Merge(later, []core.Peer{suspect})
+		Expect(roster.Alive(later)).To(BeEmpty())
+		roster.Merge(later, []core.Peer{newPeer("a", 1, 2*time.Second)}) // predates the box's silence
+		Expect(roster.Alive(later)).To(BeEmpty())
+		roster.Merge(later, []core.Peer{newPeer("a", 1, 100*time.Millisecond)})
+		Expect(boxNames(roster.Alive(later))).To(Equal([]string{"a"}))
 	})
 
-	It("takes the word that is newer by age, not by arrival", func() {
-		r.RecordContact(noon, peer("a", 2, 0))
-		r.Merge(noon.Add(time.Second), []core.Peer{peer("a", 1, 5*time.Second)})
-		Expect(r.All(noon)[0].InstanceID).To(BeEquivalentTo(2))
-		r.Merge(noon.Add(time.Second), []core.Peer{peer("a", 3, 100*time.Millisecond)})
-		Expect(r.All(noon)[0].InstanceID).To(BeEquivalentTo(3))
+	It("prefers the record that is newer by age, not by arrival", func() {
+		roster.RecordContact(noon, newPeer("a", 2, 0))
+		roster.Merge(noon.Add(time.Second), []core.Peer{newPeer("a", 1, 5*time.Second)})
+		Expect(roster.All(noon)[0].InstanceID).To(BeEquivalentTo(2))
+		roster.Merge(noon.Add(time.Second), []core.Peer{newPeer("a", 3, 100*time.Millisecond)})
+		Expect(roster.All(noon)[0].InstanceID).To(BeEquivalentTo(3))
 	})
 
-	It("keeps a box leaving within its life, and forgets that with the next life", func() {
-		leaving := peer("a", 1, 0)
+	It("keeps a process marked as leaving, but not the next process of the box", func() {
+		leaving := newPeer("a", 1, 0)
 		leaving.Leaving = true
-		r.RecordContact(noon, leaving)
-		r.Merge(noon.Add(time.Second), []core.Peer{peer("a", 1, 0)})
-		Expect(r.Alive(noon.Add(time.Second))).To(BeEmpty())
-		r.RecordContact(noon.Add(2*time.Second), peer("a", 2, 0))
-		Expect(boxNames(r.Alive(noon.Add(2 * time.Second)))).To(Equal([]string{"a"}))
+		roster.RecordContact(noon, leaving)
+		roster.Merge(noon.Add(time.Second), []core.Peer{newPeer("a", 1, 0)})
+		Expect(roster.Alive(noon.Add(time.Second))).To(BeEmpty())
+		roster.RecordContact(noon.Add(2*time.Second), newPeer("a", 2, 0))
+		Expect(boxNames(roster.Alive(noon.Add(2 * time.Second)))).To(Equal([]string{"a"}))
 	})
 
-	It("tells no more than a bounded sample: what changed first, and each member in turn", func() {
+	It("sends bounded samples: changed members first, then others in rotation", func() {
 		rules := core.DefaultRosterRules()
 		for i := range 300 {
-			r.Merge(noon, []core.Peer{peer(fmt.Sprintf("box-%03d", i), 1, 0)})
+			roster.Merge(noon, []core.Peer{newPeer(fmt.Sprintf("box-%03d", i), 1, 0)})
 		}
 		timesSent := make(map[string]int)
 		sendSample := func() []core.Peer {
-			sample := r.Sample(noon)
+			sample := roster.Sample(noon)
 			for _, p := range sample {
 				timesSent[p.Box]++
 			}
@@ -112,11 +112,11 @@
 		Expect(sendSample()).To(HaveLen(rules.Sample))
 		Expect(timesSent).To(HaveLen(300))
 		later := noon.Add(4 * time.Second)
-		suspect := peer("box-200", 1, 4*time.Second)
+		suspect := newPeer("box-200", 1, 4*time.Second)
 		suspect.Suspect = true
-		r.Merge(later, []core.Peer{suspect})
+		roster.Merge(later, []core.Peer{suspect})
 		for range rules.ChangeSends {
-			sample := r.Sample(later)
+			sample := roster.Sample(later)
 			Expect(sample[0].Box).To(Equal("box-200"))
 			Expect(sample[0].Suspect).To(BeTrue())
 		}
@@ -127,9 +127,9 @@
 		Expect(timesSent).To(HaveLen(300))
 	})
 
-	It("drops a box that was silent for long", func() {
-		r.RecordContact(noon, peer("a", 1, 0))
-		r.DropSilent(noon.Add(3 * time.Minute))
-		Expect(r.All(noon)).To(BeEmpty())
+	It("removes a box that was silent for long", func() {
+		roster.RecordContact(noon, newPeer("a", 1, 0))
+		roster.DropSilent(noon.Add(3 * time.Minute))
+		Expect(roster.All(noon)).To(BeEmpty())
 	})
 })
--- a/core/send_budget_test.go
+++ b/core/send_budget_test.go
@@ -10,10 +10,10 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-var _ = Describe("one box's sends to an endpoint that bears some a second", func() {
+var _ = Describe("the send budget", func() {
 	begin := time.Unix(1000, 0)
 
-	It("are no more than its share in any second, whatever was planned and given up", func() {
+	It("allows no more sends than the share in any second, whatever is reserved and canceled", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			share := rapid.IntRange(0, 5).Draw(t, "share")
 			budget := core.NewSendBudget(core.DefaultSendBudgetRules())
@@ -51,7 +51,7 @@
 		})
 	})
 
-	It("find the place that was kept for them", func() {
+	It("uses a reservation for the send that holds it", func() {
 		budget := core.NewSendBudget(core.DefaultSendBudgetRules())
 		Expect(budget.Reserve(begin, 1)).To(BeTrue())
 		Expect(budget.CanReserve(begin, 1)).To(BeFalse())
@@ -60,7 +60,7 @@
 		Expect(budget.Acquire(begin.Add(2200*time.Millisecond), 1, false)).To(BeTrue())
 	})
 
-	It("lose a place whose plan was never carried out", func() {
+	It("expires a reservation that is never used", func() {
 		budget := core.NewSendBudget(core.DefaultSendBudgetRules())
 		Expect(budget.Reserve(begin, 1)).To(BeTrue())
 		Expect(budget.CanReserve(begin.Add(5*time.Second), 1)).To(BeTrue())
--- a/core/share_allocator_bench_test.go
+++ b/core/share_allocator_bench_test.go
@@ -8,9 +8,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// A box works out its share of what one cold endpoint bears, among 300 others; a thousand
-// endpoints are cold when a zone comes back. 12 us with the boxes' names hashed once, 21 us
-// with the pair of box and endpoint hashed each time.
+// BenchmarkShareOfAColdEndpoint computes the share of one box among 300 others, as happens
+// for each of a thousand cold endpoints when a zone comes back.
 func BenchmarkShareOfAColdEndpoint(b *testing.B) {
 	begin := time.Unix(1000, 0)
 	allocator := core.NewShareAllocator(begin, "box-0", core.DefaultShareRules())
--- a/core/share_allocator_test.go
+++ b/core/share_allocator_test.go
@@ -12,7 +12,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-var _ = Describe("what is divided among all boxes", func() {
+var _ = Describe("the share allocator", func() {
 	begin := time.Unix(1000, 0)
 	now := begin.Add(time.Minute)
 	newPeers := func(prefix string, n int) []core.Peer {
@@ -30,15 +30,15 @@
 		}
 		return allocator
 	}
-	totalShare := func(all []*core.ShareAllocator, thing string, units int) int {
+	totalShare := func(all []*core.ShareAllocator, resource string, units int) int {
 		sum := 0
 		for _, allocator := range all {
-			sum += allocator.Share(now, thing, units)
+			sum += allocator.Share(now, resource, units)
 		}
 		return sum
 	}
 
-	It("is divided without rest where all know the same others", func() {
+	It("assigns every unit exactly once when all boxes know each other", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			boxes := newPeers("box", rapid.IntRange(1, 80).Draw(t, "boxes"))
 			units := rapid.IntRange(0, 60).Draw(t, "units")
@@ -47,18 +47,18 @@
 				all = append(all, newAllocator(b.Box, begin, boxes))
 			}
 			if got := totalShare(all, "e-1", units); got != units {
-				t.Fatalf("%d of %d units are claimed", got, units)
+				t.Fatalf("%d of %d units claimed", got, units)
 			}
 		})
 	})
 
-	It("gives a box that starts nothing until others have heard of it", func() {
+	It("gives a starting box no share until the others have heard of it", func() {
 		allocator := core.NewShareAllocator(now.Add(-4*time.Second), "box-0", core.DefaultShareRules())
 		Expect(allocator.Share(now, "e-1", 10)).To(BeZero())
 		Expect(allocator.Share(now.Add(2*time.Second), "e-1", 10)).To(Equal(10))
 	})
 
-	It("keeps the part of a box that is silent, and not that of one that left", func() {
+	It("keeps the share of a silent box, but not of one that left", func() {
 		boxes := newPeers("box", 2)
 		allocator := newAllocator("box-0", begin, boxes)
 		before := allocator.Share(now, "e-1", 10)
@@ -71,9 +71,9 @@
 		Expect(allocator.Share(now.Add(31*time.Minute), "e-1", 10)).To(Equal(10))
 	})
 
-	// A part of the fleet is cut off from the others, and not from the endpoints, while
-	// boxes are added: those that are cut off know nothing of the added ones.
-	It("is claimed twice by few while boxes are added and others are cut off", func() {
+	// Part of the fleet is partitioned off from the other boxes, but not from the
+	// endpoints, while boxes join that the isolated ones don't know.
+	It("claims few units twice while boxes join during a partition", func() {
 		const rounds = 1000
 		random := rand.New(rand.NewPCG(1, 2))
 		worst := 0.0
--- a/core/source_selector_test.go
+++ b/core/source_selector_test.go
@@ -11,72 +11,72 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-var _ = Describe("whom to ask for newer views", func() {
+var _ = Describe("the source selector", func() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rules := core.DefaultSourceRules()
 	pickFirst := func(int) int { return 0 }
-	advertise := func(v uint64) core.Advertisement { return core.Advertisement{Configuration: v} }
+	advertisement := func(v uint64) core.Advertisement { return core.Advertisement{Configuration: v} }
 	var selector *core.SourceSelector[string]
 	BeforeEach(func() { selector = core.NewSourceSelector[string](rules) })
 
-	It("is nobody when nobody has anything newer", func() {
-		selector.RecordAdvertisement(start, "a", advertise(3))
-		key, _, wait := selector.Next(start, advertise(3), pickFirst)
+	It("selects no source when none has newer views", func() {
+		selector.RecordAdvertisement(start, "a", advertisement(3))
+		key, _, wait := selector.Next(start, advertisement(3), pickFirst)
 		Expect(key).To(BeEmpty())
 		Expect(wait).To(BeZero())
 	})
 
-	It("is who has the newest, or an older one while that box is busy", func() {
-		selector.RecordAdvertisement(start, "a", advertise(4))
-		selector.RecordAdvertisement(start, "b", advertise(5))
-		key, found, _ := selector.Next(start, advertise(3), pickFirst)
+	It("selects the source with the newest views, or an older one while that is busy", func() {
+		selector.RecordAdvertisement(start, "a", advertisement(4))
+		selector.RecordAdvertisement(start, "b", advertisement(5))
+		key, found, _ := selector.Next(start, advertisement(3), pickFirst)
 		Expect(key).To(Equal("b"))
-		Expect(found).To(Equal(advertise(5)))
+		Expect(found).To(Equal(advertisement(5)))
 		selector.Busy(start, "b")
-		key, _, _ = selector.Next(start, advertise(3), pickFirst)
+		key, _, _ = selector.Next(start, advertisement(3), pickFirst)
 		Expect(key).To(Equal("a"))
-		key, _, _ = selector.Next(start.Add(rules.Busy), advertise(4), pickFirst)
+		key, _, _ = selector.Next(start.Add(rules.Busy), advertisement(4), pickFirst)
 		Expect(key).To(Equal("b"))
 	})
 
-	It("stays remembered until this box has it, though it failed", func() {
-		selector.RecordAdvertisement(start, "a", advertise(4))
+	It("keeps a failed source and retries it until this box has caught up", func() {
+		selector.RecordAdvertisement(start, "a", advertisement(4))
 		now := start
 		for range 6 {
 			selector.Failed(now, "a")
-			key, _, wait := selector.Next(now, advertise(3), pickFirst)
+			key, _, wait := selector.Next(now, advertisement(3), pickFirst)
 			Expect(key).To(BeEmpty())
 			Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<=", rules.MaxBackoff)))
 			now = now.Add(wait)
-			key, _, _ = selector.Next(now, advertise(3), pickFirst)
+			key, _, _ = selector.Next(now, advertisement(3), pickFirst)
 			Expect(key).To(Equal("a"))
 		}
-		_, _, wait := selector.Next(now, advertise(4), pickFirst)
+		_, _, wait := selector.Next(now, advertisement(4), pickFirst)
 		Expect(wait).To(BeZero())
 	})
 
-	It("is dropped with its connection, and forgotten when it says nothing for long", func() {
-		selector.RecordAdvertisement(start, "a", advertise(4))
+	It("forgets a removed source and an expired advertisement", func() {
+		selector.RecordAdvertisement(start, "a", advertisement(4))
 		selector.Remove("a")
-		key, _, wait := selector.Next(start, advertise(3), pickFirst)
+		key, _, wait := selector.Next(start, advertisement(3), pickFirst)
 		Expect(key).To(BeEmpty())
 		Expect(wait).To(BeZero())
-		selector.RecordAdvertisement(start, "b", advertise(4))
-		key, _, _ = selector.Next(start.Add(rules.AdvertisementLifetime+1), advertise(3), pickFirst)
+		selector.RecordAdvertisement(start, "b", advertisement(4))
+		key, _, _ = selector.Next(start.Add(rules.AdvertisementLifetime+1), advertisement(3), pickFirst)
 		Expect(key).To(BeEmpty())
 	})
 
-	It("is another one after a box of two that failed", func() {
-		selector.RecordAdvertisement(start, "a", advertise(4))
-		selector.RecordAdvertisement(start, "b", advertise(4))
+	It("selects another source after a failure", func() {
+		selector.RecordAdvertisement(start, "a", advertisement(4))
+		selector.RecordAdvertisement(start, "b", advertisement(4))
 		selector.Failed(start, "a")
-		key, _, _ := selector.Next(start, advertise(3), pickFirst)
+		key, _, _ := selector.Next(start, advertisement(3), pickFirst)
 		Expect(key).To(Equal("b"))
 	})
 })
 
-// Whatever boxes say and do, a box that something newer was offered to asks for it
-// again within the longest pause, as long as who offered it repeats that.
+// After any sequence of events, a box that is behind asks a source again within the maximum
+// backoff, as long as the source repeats its advertisement.
 func TestSourceSelectorKeepsAdvertisements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := core.DefaultSourceRules()
@@ -111,7 +111,7 @@
 		case found.NewerThan(current):
 			return
 		case wait <= 0 || wait > rules.MaxBackoff:
-			t.Fatalf("something newer is there, and the next question is in %v", wait)
+			t.Fatalf("newer views are advertised, but the next request is in %v", wait)
 		}
 	})
 }
--- a/core/transfer_limiter_test.go
+++ b/core/transfer_limiter_test.go
@@ -9,13 +9,13 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-var _ = Describe("giving large copies", func() {
+var _ = Describe("the transfer limiter", func() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rules := core.DefaultTransferRules()
 	var limiter *core.TransferLimiter[string]
 	BeforeEach(func() { limiter = core.NewTransferLimiter[string](rules) })
 
-	It("goes to a few at a time", func() {
+	It("bounds concurrent transfers", func() {
 		Expect(limiter.TryStart(start, "a")).To(BeTrue())
 		Expect(limiter.TryStart(start, "b")).To(BeTrue())
 		Expect(limiter.TryStart(start, "c")).To(BeFalse())
@@ -23,14 +23,14 @@
 		Expect(limiter.TryStart(start, "c")).To(BeTrue())
 	})
 
-	It("begins anew for a taker that asks anew", func() {
+	It("replaces the transfer of a receiver that starts again", func() {
 		limiter.TryStart(start, "a")
 		limiter.TryStart(start, "b")
 		Expect(limiter.TryStart(start.Add(time.Millisecond), "a")).To(BeTrue())
 		Expect(limiter.TryStart(start.Add(time.Millisecond), "c")).To(BeFalse())
 	})
 
-	It("waits for nobody who has stopped asking", func() {
+	It("frees the slot of an idle receiver", func() {
 		limiter.TryStart(start, "a")
 		limiter.TryStart(start, "b")
 		later := start.Add(rules.IdleTimeout)
