--- a/core/source_selector.go
+++ b/core/source_selector.go
@@ -10,13 +10,13 @@
 // Advertisement states how new a box's views are: the version of its configuration and the
 // last change of its endpoint list. Zero means unknown.
 type Advertisement struct {
-	Configuration uint64
-	Changed       routing.Revision
+	ConfigVersion uint64
+	ListRevision  routing.Revision
 }
 
 // NewerThan reports whether either view is newer than in the other advertisement.
 func (a Advertisement) NewerThan(other Advertisement) bool {
-	return a.Configuration > other.Configuration || a.Changed > other.Changed
+	return a.ConfigVersion > other.ConfigVersion || a.ListRevision > other.ListRevision
 }
 
 // SourceRules configure when a source of snapshots is asked again.
@@ -66,8 +66,8 @@
 		s.sources = append(s.sources, source[K]{key: key})
 		src = &s.sources[len(s.sources)-1]
 	}
-	src.advertisement.Configuration = max(src.advertisement.Configuration, a.Configuration)
-	src.advertisement.Changed = max(src.advertisement.Changed, a.Changed)
+	src.advertisement.ConfigVersion = max(src.advertisement.ConfigVersion, a.ConfigVersion)
+	src.advertisement.ListRevision = max(src.advertisement.ListRevision, a.ListRevision)
 	src.advertisedAt = now
 }
 
--- a/core/source_selector_test.go
+++ b/core/source_selector_test.go
@@ -15,7 +15,7 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rules := core.DefaultSourceRules()
 	pickFirst := func(int) int { return 0 }
-	advertisement := func(v uint64) core.Advertisement { return core.Advertisement{Configuration: v} }
+	advertisement := func(v uint64) core.Advertisement { return core.Advertisement{ConfigVersion: v} }
 	var selector *core.SourceSelector[string]
 	BeforeEach(func() { selector = core.NewSourceSelector[string](rules) })
 
@@ -88,7 +88,7 @@
 			box := rapid.IntRange(0, 3).Draw(t, "box")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				newest.Configuration++
+				newest.ConfigVersion++
 				selector.RecordAdvertisement(now, box, newest)
 			case 1:
 				selector.Busy(now, box)
