--- a/core/group.go
+++ b/core/group.go
@@ -29,11 +29,11 @@
 )
 
 // Group is a part of a fleet whose boxes prefer the same endpoints. It is derived from the
-// roster; while the rosters of two boxes differ, their groups may overlap.
+// roster; while the rosters of two boxes differ, so may their groups and preferences.
 type Group struct {
 	Members    []string // the other boxes of the group
-	zone       string   // of its boxes and endpoints; empty for all zones
-	index      int      // of the group among groupCount
+	zone       string   // zone of its boxes and endpoints; empty for all zones
+	index      int      // index of the group in its zone
 	groupCount int      // number of groups in the zone
 }
 
--- a/core/limits.go
+++ b/core/limits.go
@@ -35,13 +35,13 @@
 // newest answer wins, so records may be merged in any order and more than once.
 type Limits struct {
 	rules LimitRules
-	known map[string]limitEntry // by endpoint
+	known map[string]limitEntry // limits by endpoint
 }
 
 type limitEntry struct {
 	limited   bool
 	perSecond float64
-	at        time.Time // of the endpoint's answer
+	at        time.Time // time of the endpoint's answer
 }
 
 // NewLimits returns a table in which no endpoint is limited.
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -9,7 +9,7 @@
 
 // QuarantineRules configure when a request is quarantined and how much is remembered.
 type QuarantineRules struct {
-	CrashThreshold int           // endpoint crashes during a request that quarantine it
+	CrashThreshold int           // number of endpoint crashes that quarantine a request
 	Duration       time.Duration // how long a quarantine lasts after the last crash
 	Retention      time.Duration // how long crashes are remembered after the last one
 	MaxRecords     int           // maximum number of requests with recorded crashes
@@ -45,21 +45,20 @@
 type Quarantine struct {
 	rules        QuarantineRules
 	records      map[Digest]*requestHistory
-	clearedAt    map[Digest]time.Time // last successful runs at this box
+	clearedAt    map[Digest]time.Time // times of the last successful runs at this box
 	clearedOrder []Digest             // keys of clearedAt, oldest entry first
 }
 
 // requestHistory holds the crashes during one request since its last successful run.
 type requestHistory struct {
-	crashes     map[string]time.Time // by endpoint
-	lastSuccess time.Time            // earlier crashes don't count
+	crashes     map[string]time.Time // crash times by endpoint
+	lastSuccess time.Time            // time of the last successful run; earlier crashes don't count
 	lastCrash   time.Time
 	changedAt   time.Time // when this box last learned something new
 	timesSent   int       // number of gossip messages since changedAt
 }
 
 // NewQuarantine returns a quarantine without any recorded crash.
-// NewQuarantine builds one that knows of no end.
 func NewQuarantine(rules QuarantineRules) *Quarantine {
 	return &Quarantine{
 		rules:     rules,
@@ -78,7 +77,7 @@
 }
 
 // RecordSuccess records a successful run of a request at this box, which clears it of
-// earlier crashes. It reports whether to notify other boxes: they are when two or more
+// earlier crashes. It reports whether other boxes should be notified, because two or more
 // crashes counted against the request.
 func (q *Quarantine) RecordSuccess(now time.Time, request Digest) bool {
 	q.markCleared(now, request)
--- a/core/quarantine_record.go
+++ b/core/quarantine_record.go
@@ -48,6 +48,7 @@
 	return oldestCrash
 }
 
+// markChanged makes the record new again, so that it is sent to other boxes.
 func (r *requestHistory) markChanged(now time.Time) {
 	r.changedAt = now
 	r.timesSent = 0
--- a/core/rate_limiter.go
+++ b/core/rate_limiter.go
@@ -42,12 +42,12 @@
 	rules        RateLimiterRules
 	random       func() float64
 	interval     time.Duration
-	lastUsed     []time.Time // of each unit
+	lastUsed     []time.Time // last use of each unit
 	reservations []time.Time // when each was made, oldest first
 }
 
-// NewRateLimiter returns a limiter without units. Random returns numbers in [0, 1), which
-// spread the sends of different boxes over the interval.
+// NewRateLimiter returns a limiter without units. The function random returns numbers in
+// [0, 1), which spread the sends of different boxes over the interval.
 func NewRateLimiter(rules RateLimiterRules, random func() float64) *RateLimiter {
 	return &RateLimiter{
 		rules:  rules,
--- a/core/rate_limiter_test.go
+++ b/core/rate_limiter_test.go
@@ -21,15 +21,15 @@
 	It("allows no more sends per interval than units, whatever is reserved and canceled", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			share := rapid.IntRange(0, 6).Draw(t, "share")
-			interval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "each")) * time.Millisecond
-			limiter := core.NewRateLimiter(rules, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
+			interval := time.Duration(rapid.IntRange(100, 5000).Draw(t, "interval")) * time.Millisecond
+			limiter := core.NewRateLimiter(rules, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") })
 			now := begin
 			limiter.Set(now, share, interval)
 			reserved := 0
 			var sent []time.Time
 			for range 200 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
-				switch rapid.IntRange(0, 4).Draw(t, "what") {
+				switch rapid.IntRange(0, 4).Draw(t, "action") {
 				case 0:
 					if limiter.Reserve(now) {
 						reserved++
--- a/core/roster.go
+++ b/core/roster.go
@@ -10,7 +10,7 @@
 type Peer struct {
 	Box        string         `cbor:"1,keyasint"`
 	Zone       string         `cbor:"2,keyasint,omitempty"`
-	Address    netip.AddrPort `cbor:"3,keyasint"` // for other boxes
+	Address    netip.AddrPort `cbor:"3,keyasint"` // address for gossip from other boxes
 	InstanceID uint64         `cbor:"4,keyasint"` // random; identifies the box's process
 	Silence    time.Duration  `cbor:"5,keyasint"` // time since the sender last heard of the box
 	Leaving    bool           `cbor:"6,keyasint,omitempty"`
@@ -59,15 +59,16 @@
 	rules     RosterRules
 	self      Peer
 	members   map[string]*rosterEntry
-	names     []string // of the members, sorted
-	nextIndex int      // in names, of the member last sent in rotation
+	names     []string // names of the members, sorted
+	nextIndex int      // index in names of the member last sent in rotation
 	contacted bool     // whether any box has been in contact since the start
 }
 
+// rosterEntry is a member with the time at which it was last heard of.
 type rosterEntry struct {
 	Peer
 	lastHeard time.Time
-	timesSent int // since the last change
+	timesSent int // number of gossip messages since the last change
 }
 
 // NewRoster returns a roster that contains only the box itself.
@@ -108,8 +109,8 @@
 	}
 }
 
-// RecordNoAnswer marks a box as suspect that didn't answer a gossip message, unless this
-// box heard of it within MinSilence.
+// RecordNoAnswer marks the box at an address as suspect because it didn't answer a gossip
+// message, unless it was heard of within MinSilence.
 func (r *Roster) RecordNoAnswer(now time.Time, address netip.AddrPort) {
 	for _, e := range r.members {
 		if e.Address == address && !e.Suspect && now.Sub(e.lastHeard) > r.rules.MinSilence {
@@ -151,7 +152,7 @@
 }
 
 // mergeSuspicion marks a box as suspect, or has its record sent again to contradict the
-// suspicion if this box heard of it within MinSilence.
+// suspicion if the box was heard of within MinSilence.
 func (r *Roster) mergeSuspicion(now time.Time, known *rosterEntry, lastHeard time.Time) {
 	if now.Sub(known.lastHeard) <= r.rules.MinSilence {
 		known.timesSent = 0
--- a/core/send_budget_test.go
+++ b/core/send_budget_test.go
@@ -22,7 +22,7 @@
 			var sent []time.Time
 			for range 200 {
 				now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-				switch rapid.IntRange(0, 3).Draw(t, "what") {
+				switch rapid.IntRange(0, 3).Draw(t, "action") {
 				case 0:
 					if budget.Reserve(now, share) {
 						reserved++
--- a/core/share_allocator.go
+++ b/core/share_allocator.go
@@ -35,14 +35,14 @@
 // joins or leaves. A silent box keeps its units: it may still reach the resource.
 type ShareAllocator struct {
 	rules     ShareRules
-	self      uint64 // the hash of this box's name
+	self      uint64 // hash of this box's name
 	startedAt time.Time
 	members   map[string]*shareMember
 }
 
 // shareMember is another box among which units are divided.
 type shareMember struct {
-	hash         uint64 // of the box's name
+	hash         uint64 // hash of the box's name
 	lastHeard    time.Time
 	leavingSince time.Time // zero unless the box announced its exit
 	suspectSince time.Time // zero unless the box is suspect
@@ -166,4 +166,5 @@
 // divided by the golden ratio.
 const unitStride = 0x9e3779b97f4a7c15
 
+// unitWeight returns a box's rendezvous weight for a unit.
 func unitWeight(base, unit uint64) uint64 { return splitmix64(base + unit*unitStride) }
--- a/core/source_selector.go
+++ b/core/source_selector.go
@@ -46,12 +46,13 @@
 	sources []source[K]
 }
 
+// source is a box that advertised newer views.
 type source[K comparable] struct {
 	key           K
 	advertisement Advertisement
 	advertisedAt  time.Time
-	retryAt       time.Time // the source isn't asked before
-	failures      int       // in a row
+	retryAt       time.Time // end of the backoff
+	failures      int       // number of failures in a row
 }
 
 // NewSourceSelector returns a selector without sources.
--- a/core/source_selector_test.go
+++ b/core/source_selector_test.go
@@ -86,7 +86,7 @@
 		var newest core.Advertisement
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			box := rapid.IntRange(0, 3).Draw(t, "box")
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0:
 				newest.ConfigVersion++
 				selector.RecordAdvertisement(now, box, newest)
--- a/core/transfer_limiter.go
+++ b/core/transfer_limiter.go
@@ -27,6 +27,7 @@
 	transfers []transfer[K]
 }
 
+// transfer is a transfer in progress.
 type transfer[K comparable] struct {
 	key        K
 	startedAt  time.Time
