--- a/core/quarantine_record.go
+++ b/core/quarantine_record.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// add takes one end, and tells whether it is new and counts.
-func (q *Quarantine) add(now time.Time, request Digest, endpoint string, at time.Time) bool {
+// addCrash adds a crash to a request's history. It reports whether the crash is new and
+// counts against the request.
+func (q *Quarantine) addCrash(now time.Time, request Digest, endpoint string, at time.Time) bool {
 	if now.Sub(at) > q.rules.Retention {
 		return false
 	}
@@ -15,102 +16,107 @@
 		if !q.makeRoom(at) {
 			return false
 		}
-		r = &endRecord{ends: make(map[string]time.Time)}
+		r = &requestHistory{crashes: make(map[string]time.Time)}
 		q.records[request] = r
 	}
-	if _, known := r.ends[endpoint]; known || !r.counts(at) {
+	if _, known := r.crashes[endpoint]; known || !r.isAfterSuccess(at) {
 		return false
 	}
-	if len(r.ends) > q.rules.CrashThreshold {
-		oldest := r.oldest()
-		if !at.After(r.ends[oldest]) {
-			return false // it was dropped before
+	if len(r.crashes) > q.rules.CrashThreshold {
+		oldestCrash := r.oldestCrash()
+		if !at.After(r.crashes[oldestCrash]) {
+			return false // older than the crashes that are kept
 		}
-		delete(r.ends, oldest)
+		delete(r.crashes, oldestCrash)
 	}
-	r.ends[endpoint] = at
-	if at.After(r.last) {
-		r.last = at
+	r.crashes[endpoint] = at
+	if at.After(r.lastCrash) {
+		r.lastCrash = at
 	}
-	r.news(now)
+	r.markChanged(now)
 	return true
 }
 
-// oldest gives the endpoint that ended first.
-func (r *endRecord) oldest() string {
-	oldest := ""
-	for endpoint, at := range r.ends {
-		if oldest == "" || at.Before(r.ends[oldest]) {
-			oldest = endpoint
+// oldestCrash returns the endpoint that crashed first.
+func (r *requestHistory) oldestCrash() string {
+	oldestCrash := ""
+	for endpoint, at := range r.crashes {
+		if oldestCrash == "" || at.Before(r.crashes[oldestCrash]) {
+			oldestCrash = endpoint
 		}
 	}
-	return oldest
+	return oldestCrash
 }
 
-func (r *endRecord) news(now time.Time) {
-	r.changed = now
-	r.told = 0
+// markChanged makes the record new again, so that it is sent to other boxes.
+func (r *requestHistory) markChanged(now time.Time) {
+	r.changedAt = now
+	r.timesSent = 0
 }
 
-// soundStep is the least by which word of a survived run must be newer than the last to
-// be handed on; ages lose the time that messages take.
-const soundStep = 2 * time.Second
+// minSuccessAdvance is how much later than the known one a reported successful run must be
+// to count as new. Ages don't include the time in transit, so a relayed record of the same
+// run looks slightly newer.
+const minSuccessAdvance = 2 * time.Second
 
-// endDrift is by how much an end may look younger when its word comes round by several
-// boxes, as ages lose the time that messages take.
-const endDrift = 500 * time.Millisecond
+// maxAgeDrift bounds how much younger a crash may look after its record was relayed by
+// several boxes, for the same reason.
+const maxAgeDrift = 500 * time.Millisecond
 
-// counts tells whether an end at a time is later than the last survived run.
-func (r *endRecord) counts(at time.Time) bool {
-	return r.soundAt.IsZero() || at.After(r.soundAt.Add(endDrift))
+// isAfterSuccess reports whether a crash at the given time is later than the last
+// successful run.
+func (r *requestHistory) isAfterSuccess(at time.Time) bool {
+	return r.lastSuccess.IsZero() || at.After(r.lastSuccess.Add(maxAgeDrift))
 }
 
-// acquit takes back all ends before a time.
-func (q *Quarantine) acquit(now time.Time, r *endRecord, at time.Time) {
-	r.soundAt = at
-	for endpoint, end := range r.ends {
-		if !r.counts(end) {
-			delete(r.ends, endpoint)
+// clearCrashes records a successful run at the given time and removes earlier crashes.
+func (q *Quarantine) clearCrashes(now time.Time, r *requestHistory, at time.Time) {
+	r.lastSuccess = at
+	for endpoint, crashedAt := range r.crashes {
+		if !r.isAfterSuccess(crashedAt) {
+			delete(r.crashes, endpoint)
 		}
 	}
-	r.news(now)
+	r.markChanged(now)
 }
 
-// proved tells whether an endpoint survived the request a short while ago, at this box.
-func (q *Quarantine) proved(now time.Time, request Digest) bool {
-	at, ok := q.sound[request]
+// wasRecentlyCleared reports whether the request ran successfully at this box within
+// ClearedFor.
+func (q *Quarantine) wasRecentlyCleared(now time.Time, request Digest) bool {
+	at, ok := q.clearedAt[request]
 	return ok && now.Sub(at) <= q.rules.ClearedFor
 }
 
-// remember takes a request among the sound ones, in place of the oldest.
-func (q *Quarantine) remember(now time.Time, request Digest) {
-	if _, known := q.sound[request]; !known {
-		if len(q.order) >= q.rules.MaxCleared {
-			delete(q.sound, q.order[0])
-			q.order = q.order[1:]
+// markCleared records a successful run at this box, evicting the oldest entry when full.
+func (q *Quarantine) markCleared(now time.Time, request Digest) {
+	if _, known := q.clearedAt[request]; !known {
+		if len(q.clearedOrder) >= q.rules.MaxCleared {
+			delete(q.clearedAt, q.clearedOrder[0])
+			q.clearedOrder = q.clearedOrder[1:]
 		}
-		q.order = append(q.order, request)
+		q.clearedOrder = append(q.clearedOrder, request)
 	}
-	q.sound[request] = now
+	q.clearedAt[request] = now
 }
 
-// makeRoom forgets a record when there are too many: the one with the fewest ends, and the
-// oldest of these, unless the new one's end is older still. So all boxes keep the same ones,
-// and don't take from each other in turns what they forgot.
+// makeRoom reports whether a record of a crash at the given time fits in. When the table is
+// full it evicts the record with the fewest crashes, the oldest of these, but neither one
+// with several crashes nor one newer than the given time. All boxes thus keep the same
+// records, and don't keep sending each other evicted ones.
 func (q *Quarantine) makeRoom(at time.Time) bool {
 	if len(q.records) < q.rules.MaxRecords {
 		return true
 	}
-	var least Digest
-	var found *endRecord
+	var evicted Digest
+	var weakest *requestHistory
 	for request, r := range q.records {
-		if found == nil || cmp.Or(cmp.Compare(len(r.ends), len(found.ends)), r.last.Compare(found.last)) < 0 {
-			least, found = request, r
+		if weakest == nil || cmp.Or(cmp.Compare(len(r.crashes), len(weakest.crashes)), r.lastCrash.Compare(weakest.lastCrash)) < 0 {
+			evicted, weakest = request, r
 		}
 	}
-	if len(found.ends) > 1 || found.last.After(at) {
+	if len(weakest.crashes) > 1 || weakest.lastCrash.After(at) {
 		return false
 	}
-	delete(q.records, least)
+	delete(q.records, evicted)
 	return true
 }
