--- a/admission/balancer.go
+++ b/admission/balancer.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// answerLife is how long the load that came with an answer counts; beyond
+	// loadReportTTL is how long the load that came with an answer counts; beyond
 	// it only what this box sent itself is known. Answers come every few tens
 	// of milliseconds, and runs last from that to some seconds.
-	answerLife = 2 * time.Second
-	// memoryLife is how long a report of an engine's memory counts; engines are
+	loadReportTTL = 2 * time.Second
+	// memoryReportTTL is how long a report of an engine's memory counts; engines are
 	// asked twice a second, and a generation lasts some seconds.
-	memoryLife = 5 * time.Second
-	// zoneCost is what another availability zone adds to an endpoint's load, as
+	memoryReportTTL = 5 * time.Second
+	// crossZoneCost is what another availability zone adds to an endpoint's load, as
 	// a part of its slots or memory: bytes between zones have a price, but a
 	// waiting request costs more.
-	zoneCost = 0.03
-	// callZoneCost is the same for calls to plain services, whose worth is small
+	crossZoneCost = 0.03
+	// callCrossZoneCost is the same for calls to plain services, whose worth is small
 	// against the price of their bytes.
-	callZoneCost = 0.2
-	// strangerCost is what an engine outside the group's share adds: this box
+	callCrossZoneCost = 0.2
+	// outsideGroupCost is what an engine outside the group's share adds: this box
 	// doesn't hear what most others place there.
-	strangerCost = 0.35
+	outsideGroupCost = 0.35
 	// coldCost is what an endpoint adds while it is cold, in the same measure.
 	coldCost = 0.5
 	// failureDecay is the time in which an endpoint's record of failures
@@ -34,65 +34,65 @@
 	failureCost  = 3.0
 	// failureStep is what one failure adds to the record, which is at most 1.
 	failureStep = 0.34
-	// silentTime is how long an endpoint that didn't answer gets no work while
+	// unresponsiveTime is how long an endpoint that didn't answer gets no work while
 	// another one can take it.
-	silentTime = 2 * time.Second
-	// fullCost is what each part of memory beyond the whole adds: a preempted
+	unresponsiveTime = 2 * time.Second
+	// overcommitCost is what each part of memory beyond the whole adds: a preempted
 	// generation is read anew.
-	fullCost = 24.0
-	// crowdCost is what each part of memory adds that can't leave the engine within a
+	overcommitCost = 24.0
+	// unmovableCost is what each part of memory adds that can't leave the engine within a
 	// short notice: the more runs an engine has when it is told to go, the more of
 	// them are cut.
-	crowdCost = 9.0
-	// engineNoise spreads requests over engines that look alike.
-	engineNoise = 0.06
-	// firstRate is how many tokens of prompts an engine reads in a second until
+	unmovableCost = 9.0
+	// scoreNoise spreads requests over engines that look alike.
+	scoreNoise = 0.06
+	// initialPrefillRate is how many tokens of prompts an engine reads in a second until
 	// that is learned.
-	firstRate = 8000.0
-	// delayCost is what a second's wait for the reading of prompts adds, in whole
+	initialPrefillRate = 8000.0
+	// prefillDelayCost is what a second's wait for the reading of prompts adds, in whole
 	// memories: how full an engine is says little as long as it isn't near full, and a
 	// wait is felt by the caller. With less, engines that have just joined are crowded
 	// whatever is told.
-	delayCost = 6.0
-	// usualTimes is after how many times its usual time an endpoint that says
+	prefillDelayCost = 6.0
+	// suspectLatencyFactor is after how many times its usual time an endpoint that says
 	// nothing is suspect; suspectLeast and suspectEngine are the least such
 	// times, for calls and for engines, which read prompts for a while.
-	usualTimes    = 6.0
-	suspectLeast  = 250 * time.Millisecond
-	suspectEngine = 2500 * time.Millisecond
+	suspectLatencyFactor = 6.0
+	minCallSuspectTime   = 250 * time.Millisecond
+	minEngineSuspectTime = 2500 * time.Millisecond
 	// latencyWeight is the weight of the newest answer in an endpoint's usual
 	// time.
 	latencyWeight = 0.1
-	// choiceCount is how many endpoints one request compares; blindChoices is how
+	// maxChoices is how many endpoints one request compares; blindChoices is how
 	// many by a box that heard of no other box's placements for blindTime: after a
 	// restart of all, every box would take the emptiest by the same old reports. A box
 	// that hears of every prompt placed, since no engine is a stranger's, compares
 	// knownChoices; where other groups place too that would crowd engines.
-	choiceCount  = 5
-	knownChoices = 20
-	blindChoices = 2
-	blindTime    = time.Second
-	// strangerChoices is how many engines of other groups are among them, for
+	maxChoices      = 5
+	fullViewChoices = 20
+	blindChoices    = 2
+	blindAfter      = time.Second
+	// outsideGroupChoices is how many engines of other groups are among them, for
 	// the case that the group's own are all busy.
-	strangerChoices = 2
-	// learnWeight is the weight of the newest generation in the learned means.
-	learnWeight = 0.05
+	outsideGroupChoices = 2
+	// learningWeight is the weight of the newest generation in the learned means.
+	learningWeight = 0.05
 )
 
 // Balancer places requests over the endpoints of services by what this box sent
 // to each, what each last told, and how its last requests ended.
 type Balancer struct {
-	mu     sync.Mutex
-	zone   string
-	draw   func() float64
-	share  map[string]bool // the group's engines; nil for all
-	known  map[string]*endpointLoad
-	prompt float64   // mean tokens of a prompt, learned
-	rate   float64   // tokens of prompts that an engine reads in a second, learned
-	output float64   // mean tokens generated, learned
-	heard  time.Time // when another box last told of a placement
-	flow   flow      // prompts that the group places, in tokens
-	over   flow      // what the group's ended runs held, in tokens
+	mu                sync.Mutex
+	zone              string
+	random            func() float64
+	groupEngines      map[string]bool // the group's engines; nil for all
+	loads             map[string]*endpointLoad
+	prompt            float64   // mean tokens of a prompt, learned
+	prefillRate       float64   // tokens of prompts that an engine reads in a second, learned
+	output            float64   // mean tokens generated, learned
+	remotePlacementAt time.Time // when another box last told of a placement
+	flow              flow      // prompts that the group places, in tokens
+	released          flow      // what the group's ended runs held, in tokens
 }
 
 // reportLag is how old an engine's word is when it is given.
@@ -100,20 +100,20 @@
 
 // NewBalancer builds a spread for a box in an availability zone. Draw gives
 // numbers from 0 to 1 that break ties.
-func NewBalancer(zone string, draw func() float64) *Balancer {
+func NewBalancer(zone string, random func() float64) *Balancer {
 	return &Balancer{
-		zone:  zone,
-		draw:  draw,
-		rate:  firstRate,
-		known: make(map[string]*endpointLoad),
+		zone:        zone,
+		random:      random,
+		prefillRate: initialPrefillRate,
+		loads:       make(map[string]*endpointLoad),
 	}
 }
 
 // SetShare tells which engines the box's group uses first.
-func (s *Balancer) SetShare(share map[string]bool) {
+func (s *Balancer) SetShare(groupEngines map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.share = share
+	s.groupEngines = groupEngines
 }
 
 // Requirements is what a request needs of an endpoint.
@@ -152,38 +152,38 @@
 // reads the same reports, which are old by then: if all took the best one, all
 // would take the same.
 func (s *Balancer) choices(now time.Time, endpoints []routing.Endpoint, w Requirements) []routing.Endpoint {
-	var own, strange []int
+	var own, outside []int
 	for i := range endpoints {
 		id := endpoints[i].ID
-		if w.Exclude[id] || (w.MaxMemoryUse > 0 && s.fullness(now, s.load(id), w) > w.MaxMemoryUse) {
+		if w.Exclude[id] || (w.MaxMemoryUse > 0 && s.memoryUse(now, s.load(id), w) > w.MaxMemoryUse) {
 			continue
 		}
-		if s.share == nil || s.share[id] {
+		if s.groupEngines == nil || s.groupEngines[id] {
 			own = append(own, i)
 		} else {
-			strange = append(strange, i)
+			outside = append(outside, i)
 		}
 	}
 	// The group's own engines come first, then the strangers.
 	var chosen []routing.Endpoint
-	most := choiceCount
+	most := maxChoices
 	switch {
-	case w.Shared && now.Sub(s.heard) > blindTime:
+	case w.Shared && now.Sub(s.remotePlacementAt) > blindAfter:
 		most = blindChoices
-	case w.Memory > 0 && len(strange) == 0:
-		most = knownChoices
+	case w.Memory > 0 && len(outside) == 0:
+		most = fullViewChoices
 	}
-	for _, i := range append(s.some(own, most), s.some(strange, strangerChoices)...) {
+	for _, i := range append(s.sample(own, most), s.sample(outside, outsideGroupChoices)...) {
 		chosen = append(chosen, endpoints[i])
 	}
 	return chosen
 }
 
-// some draws a few at random, in place.
-func (s *Balancer) some(all []int, most int) []int {
+// sample draws a few at random, in place.
+func (s *Balancer) sample(all []int, most int) []int {
 	n := min(len(all), most)
 	for i := range n {
-		j := i + int(s.draw()*float64(len(all)-i))
+		j := i + int(s.random()*float64(len(all)-i))
 		all[i], all[j] = all[j], all[i]
 	}
 	return all[:n:n]
@@ -193,44 +193,46 @@
 	l := s.load(e.ID)
 	slots := float64(max(e.Slots, 1))
 	load := float64(l.running)
-	if now.Sub(l.answerAt) < answerLife {
-		load = math.Max(load, float64(l.answered+l.since))
+	if now.Sub(l.loadReportedAt) < loadReportTTL {
+		load = math.Max(load, float64(l.reportedRequests+l.startedSince))
 	}
 	score := load / slots
 	if w.Memory > 0 {
-		full := s.fullness(now, l, w)
-		score += full + fullCost*math.Max(0, full-1) + engineNoise*s.draw()
+		full := s.memoryUse(now, l, w)
+		score += full + overcommitCost*math.Max(0, full-1) + scoreNoise*s.random()
 		if w.MovableTokens > 0 {
-			score += crowdCost * math.Max(0, full-float64(w.MovableTokens)/float64(w.Memory))
+			score += unmovableCost * math.Max(0, full-float64(w.MovableTokens)/float64(w.Memory))
 		}
-		ahead := l.waiting(now, s.rate)
-		if s.stranger(e.ID) {
-			score += strangerCost
-			ahead += s.unseen(now, l)
+		ahead := l.backlog(now, s.prefillRate)
+		if s.isOutsideGroup(e.ID) {
+			score += outsideGroupCost
+			ahead += s.unreportedPromptTokens(now, l)
 		}
-		score += delayCost * ahead / s.rate
+		score += prefillDelayCost * ahead / s.prefillRate
 	}
 	if e.Zone != w.zone(s) {
-		score += w.zoneCost()
+		score += w.crossZoneCost()
 	}
 	if e.ColdAt(now) {
 		score += coldCost
 	}
-	score += failureCost * l.record(now)
-	if now.Before(l.silentTo) || l.suspect(now, w) {
+	score += failureCost * l.failureScore(now)
+	if now.Before(l.avoidUntil) || l.isSuspect(now, w) {
 		score += failureCost
 	}
-	return score + s.draw()/(4*slots)
+	return score + s.random()/(4*slots)
 }
 
-// stranger tells whether an endpoint is outside the group's share.
-func (s *Balancer) stranger(id string) bool { return s.share != nil && !s.share[id] }
+// isOutsideGroup tells whether an endpoint is outside the group's share.
+func (s *Balancer) isOutsideGroup(id string) bool {
+	return s.groupEngines != nil && !s.groupEngines[id]
+}
 
-func (w Requirements) zoneCost() float64 {
+func (w Requirements) crossZoneCost() float64 {
 	if w.Memory > 0 {
-		return zoneCost
+		return crossZoneCost
 	}
-	return callZoneCost
+	return callCrossZoneCost
 }
 
 func (w Requirements) zone(s *Balancer) string {
@@ -240,47 +242,47 @@
 	return s.zone
 }
 
-// fullness estimates how full an engine's memory gets, as a part of it: what
+// memoryUse estimates how full an engine's memory gets, as a part of it: what
 // it told, what this box added since, and how its runs will still grow.
-func (s *Balancer) fullness(now time.Time, l *endpointLoad, w Requirements) float64 {
+func (s *Balancer) memoryUse(now time.Time, l *endpointLoad, w Requirements) float64 {
 	total := float64(max(w.Memory, 1))
-	if now.Sub(l.memoryAt) > memoryLife {
+	if now.Sub(l.reportAt) > memoryReportTTL {
 		// What other boxes told counts here too: an engine that has just joined looks
 		// empty to all boxes until its first report has come round.
-		used := max(l.tokens+l.copies, l.placedSince(now.Add(-memoryLife)))
+		used := max(l.tokens+l.copyTokens, l.tokensSince(now.Add(-memoryReportTTL)))
 		return float64(used+w.Tokens) / total
 	}
-	if l.memory.Total > 0 {
-		total = float64(l.memory.Total)
+	if l.report.Total > 0 {
+		total = float64(l.report.Total)
 	}
-	used := float64(l.memory.Used)
-	used += float64(l.memory.Running) * s.output / 2
-	used += float64(l.memory.Waiting) * (s.prompt + s.output)
-	for _, c := range l.recent {
+	used := float64(l.report.Used)
+	used += float64(l.report.Running) * s.output / 2
+	used += float64(l.report.Waiting) * (s.prompt + s.output)
+	for _, c := range l.recentChanges {
 		used += float64(c.tokens)
 	}
 	return (math.Max(used, 0) + float64(w.Tokens)) / total
 }
 
-// suspect tells whether an endpoint is silent beyond its usual time while it
+// isSuspect tells whether an endpoint is silent beyond its usual time while it
 // has requests of this box.
-func (l *endpointLoad) suspect(now time.Time, w Requirements) bool {
+func (l *endpointLoad) isSuspect(now time.Time, w Requirements) bool {
 	if len(l.pending) == 0 {
 		return false
 	}
 	since := l.pending[0]
-	if l.heard.After(since) {
-		since = l.heard
+	if l.activeAt.After(since) {
+		since = l.activeAt
 	}
-	limit := time.Duration(usualTimes * l.latency * float64(time.Second))
-	least := suspectLeast
+	limit := time.Duration(suspectLatencyFactor * l.latency * float64(time.Second))
+	least := minCallSuspectTime
 	if w.Memory > 0 {
-		least = suspectEngine
+		least = minEngineSuspectTime
 	}
 	return now.Sub(since) > max(limit, least)
 }
 
-func (l *endpointLoad) record(now time.Time) float64 {
+func (l *endpointLoad) failureScore(now time.Time) float64 {
 	if l.failures == 0 {
 		return 0
 	}
@@ -288,10 +290,10 @@
 }
 
 func (s *Balancer) load(id string) *endpointLoad {
-	l := s.known[id]
+	l := s.loads[id]
 	if l == nil {
 		l = &endpointLoad{}
-		s.known[id] = l
+		s.loads[id] = l
 	}
 	return l
 }
--- a/admission/baseline_profile.go
+++ b/admission/baseline_profile.go
@@ -1,7 +1,7 @@
 package admission
 
-// fixedProfile is the profile of a generation whose length is known.
-func fixedProfile(prompt, generated, length int) Profile {
+// knownLengthProfile is the profile of a generation whose length is known.
+func knownLengthProfile(prompt, generated, length int) Profile {
 	var p Profile
 	left := float64(length - generated)
 	low := 0.0
@@ -9,17 +9,17 @@
 		if left < low {
 			break
 		}
-		p.expect(i, float64(prompt+generated)+min(high, left), 1)
+		p.raiseTo(i, float64(prompt+generated)+min(high, left), 1)
 		low = high
 	}
 	return p
 }
 
 // reservedProfile holds the full allowed length from the start.
-func reservedProfile(prompt, most int) Profile {
+func reservedProfile(prompt, maxTokens int) Profile {
 	var p Profile
 	for i := range horizons {
-		p.Mean[i] = float64(prompt + most)
+		p.Mean[i] = float64(prompt + maxTokens)
 	}
 	return p
 }
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -8,70 +8,70 @@
 	"dillsaddle.example/dillsaddle/policy"
 )
 
-// pump places the waiting requests that may run now, in their order. When a
+// dispatch places the waiting requests that may run now, in their order. When a
 // request of one order can't be placed, no later order is tried, so that a
 // lower tier doesn't take the memory that a higher one waits for.
-func (m *Model) pump(now time.Time) []core.Command {
+func (m *Model) dispatch(now time.Time) []core.Command {
 	var commands []core.Command
 	for m.waiting.length > 0 {
-		placed, more := m.pumpOnce(now)
+		placed, more := m.dispatchNext(now)
 		commands = append(commands, more...)
 		if !placed {
 			break
 		}
 	}
-	return append(commands, m.wakeUp(now)...)
+	return append(commands, m.scheduleWake(now)...)
 }
 
-// wakeUp asks for a tick when only a pause between prompts holds a request. One
+// scheduleWake asks for a tick when only a pause between prompts holds a request. One
 // wake-up is under way at a time: each pump would add its own otherwise.
-func (m *Model) wakeUp(now time.Time) []core.Command {
-	after := m.wake
-	m.wake = 0
-	if after <= 0 || m.waiting.length == 0 || now.Before(m.wakeAt) {
+func (m *Model) scheduleWake(now time.Time) []core.Command {
+	after := m.shortestDelay
+	m.shortestDelay = 0
+	if after <= 0 || m.waiting.length == 0 || now.Before(m.nextWakeAt) {
 		return nil
 	}
-	m.wakeAt = now.Add(after)
+	m.nextWakeAt = now.Add(after)
 	return []core.Command{Wake{After: after}}
 }
 
-// paused notes the shortest pause that holds a request.
-func (m *Model) paused(after time.Duration) {
-	if m.wake == 0 || after < m.wake {
-		m.wake = after
+// noteDelay notes the shortest pause that holds a request.
+func (m *Model) noteDelay(after time.Duration) {
+	if m.shortestDelay == 0 || after < m.shortestDelay {
+		m.shortestDelay = after
 	}
 }
 
-func (m *Model) pumpOnce(now time.Time) (bool, []core.Command) {
+func (m *Model) dispatchNext(now time.Time) (bool, []core.Command) {
 	var commands []core.Command
 	blocked := math.Inf(1)
 	for i, head := range m.waiting.heads() {
-		if i >= m.rules.MaxHeads || m.aged(now, head) > blocked {
+		if i >= m.rules.MaxHeads || m.agedOrder(now, head) > blocked {
 			break
 		}
-		acted, more := m.try(now, head)
+		acted, more := m.tryHead(now, head)
 		commands = append(commands, more...)
 		if acted {
 			return true, commands
 		}
-		blocked = min(blocked, m.aged(now, head))
+		blocked = min(blocked, m.agedOrder(now, head))
 	}
 	return false, commands
 }
 
-// aged is the order of a request less one rank for each aging time waited.
-func (m *Model) aged(now time.Time, r *Request) float64 {
+// agedOrder is the order of a request less one rank for each aging time waited.
+func (m *Model) agedOrder(now time.Time, r *Request) float64 {
 	if m.rules.Aging <= 0 {
 		return r.order
 	}
 	return r.order - math.Floor(now.Sub(r.ArrivedAt).Seconds()/m.rules.Aging.Seconds())
 }
 
-func (m *Model) try(now time.Time, r *Request) (bool, []core.Command) {
-	name, fits := m.choose(now, r)
+func (m *Model) tryHead(now time.Time, r *Request) (bool, []core.Command) {
+	name, fits := m.chooseEndpoint(now, r)
 	verdict, commands := policy.Run, []core.Command(nil)
 	if m.rules.Program(r.Tier) != nil || !fits {
-		in := m.input(now, r)
+		in := m.policyInput(now, r)
 		in.Fits = fits
 		verdict, commands = m.verdict(r, in)
 	}
@@ -82,13 +82,13 @@
 	if verdict == policy.Wait || name == "" {
 		return false, commands
 	}
-	return true, append(commands, m.start(now, r, name, !fits))
+	return true, append(commands, m.startRun(now, r, name, !fits))
 }
 
-func (m *Model) start(now time.Time, r *Request, name string, forced bool) core.Command {
+func (m *Model) startRun(now time.Time, r *Request, name string, forced bool) core.Command {
 	m.waiting.remove(r.ID, r.Customer)
-	m.waiting.serve(r.Customer, float64(r.PromptTokens)/8, r.Weight)
-	p := m.places[name]
+	m.waiting.addServed(r.Customer, float64(r.PromptTokens)/8, r.Weight)
+	p := m.endpoints[name]
 	placed := &running{
 		request:  *r,
 		endpoint: name,
@@ -96,35 +96,35 @@
 	placed.profile = m.profile(placed)
 	m.running[r.ID] = placed
 	p.add(placed)
-	p.sentAt = now
+	p.lastSentAt = now
 	p.prefixes.add(r.Prefix)
-	m.rate.started(now)
+	m.drainRate.countStart(now)
 	return PlaceRequest{
 		ID:       r.ID,
 		Endpoint: name,
-		Until:    p.room(now).until,
+		Until:    p.capacity(now).until,
 		Waited:   now.Sub(r.ArrivedAt),
 		Forced:   forced,
 	}
 }
 
-// choose gives the endpoint for a request, and whether the request fits there.
+// chooseEndpoint gives the endpoint for a request, and whether the request fits there.
 // The endpoints are tried in the rendezvous order of the prompt's prefix, so
 // that all boxes send one prefix to the same few; the first with room and a load
 // bounded by the mean's goes, else the least loaded with room.
-func (m *Model) choose(now time.Time, r *Request) (string, bool) {
+func (m *Model) chooseEndpoint(now time.Time, r *Request) (string, bool) {
 	with := m.plan(r, 0)
-	z := deviations(r.Risk)
-	kept := m.rules.Reserve * float64(r.Rank)
+	z := normalQuantile(r.Risk)
+	reserved := m.rules.Reserve * float64(r.Rank)
 	bound := m.meanLoad(now) * m.rules.BoundedLoad
 	best := candidate{load: math.Inf(1)}
 	affine := candidate{}
 	least := candidate{load: math.Inf(1)}
 	var usable []string
-	for _, name := range m.names {
-		p := m.places[name]
-		space := p.room(now)
-		if space.tokens == 0 || name == r.Avoid && len(m.names) > 1 {
+	for _, name := range m.endpointNames {
+		p := m.endpoints[name]
+		space := p.capacity(now)
+		if space.tokens == 0 || name == r.Avoid && len(m.endpointNames) > 1 {
 			continue
 		}
 		usable = append(usable, name)
@@ -136,11 +136,11 @@
 		if c.load < least.load {
 			least = c
 		}
-		if !p.fits(space, &with, z, kept) {
+		if !p.fits(space, &with, z, reserved) {
 			continue
 		}
-		if after := p.pause(now); after > 0 {
-			m.paused(after)
+		if after := p.promptDelay(now); after > 0 {
+			m.noteDelay(after)
 			continue
 		}
 		if c.load < best.load {
--- a/admission/drain_rate.go
+++ b/admission/drain_rate.go
@@ -4,60 +4,60 @@
 	"time"
 )
 
-// rate measures how many requests a second leave the queue for an endpoint.
-type rate struct {
-	perSecond float64
-	count     float64
-	since     time.Time
+// drainRate measures how many requests a second leave the queue for an endpoint.
+type drainRate struct {
+	perSecond   float64
+	starts      float64
+	windowStart time.Time
 }
 
-// rateWindow is the time over which starts are counted.
-const rateWindow = time.Second
+// drainRateWindow is the time over which starts are counted.
+const drainRateWindow = time.Second
 
-// rateWeight is the weight of the newest window.
-const rateWeight = 0.3
+// drainRateWeight is the weight of the newest window.
+const drainRateWeight = 0.3
 
-func (r *rate) started(now time.Time) {
+func (r *drainRate) countStart(now time.Time) {
 	r.tick(now)
-	r.count++
+	r.starts++
 }
 
-func (r *rate) tick(now time.Time) {
-	if r.since.IsZero() {
-		r.since = now
+func (r *drainRate) tick(now time.Time) {
+	if r.windowStart.IsZero() {
+		r.windowStart = now
 		return
 	}
-	passed := now.Sub(r.since)
-	if passed < rateWindow {
+	elapsed := now.Sub(r.windowStart)
+	if elapsed < drainRateWindow {
 		return
 	}
-	seen := r.count / passed.Seconds()
+	latest := r.starts / elapsed.Seconds()
 	if r.perSecond == 0 {
-		r.perSecond = seen
+		r.perSecond = latest
 	} else {
-		r.perSecond += rateWeight * (seen - r.perSecond)
+		r.perSecond += drainRateWeight * (latest - r.perSecond)
 	}
-	r.count = 0
-	r.since = now
+	r.starts = 0
+	r.windowStart = now
 }
 
 // The bounds of what a refused caller is told.
 const (
-	leastRetryAfter = time.Second
-	mostRetryAfter  = 2 * time.Minute
+	minRetryAfter = time.Second
+	maxRetryAfter = 2 * time.Minute
 )
 
 // expectedWait is the time until the requests ahead have left the queue, at the
 // rate at which the queue really drains. An unmeasured rate refuses nobody.
 func (m *Model) expectedWait(r *Request) time.Duration {
 	ahead := m.waiting.ahead(r.order)
-	if ahead == 0 || m.rate.perSecond <= 0 {
+	if ahead == 0 || m.drainRate.perSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(ahead) / m.rate.perSecond * float64(time.Second))
+	return time.Duration(float64(ahead) / m.drainRate.perSecond * float64(time.Second))
 }
 
 func (m *Model) retryAfter(r *Request) time.Duration {
 	wait := m.expectedWait(r)
-	return min(mostRetryAfter, max(leastRetryAfter, wait))
+	return min(maxRetryAfter, max(minRetryAfter, wait))
 }
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -22,35 +22,35 @@
 	defer s.mu.Unlock()
 	l := s.load(e.ID)
 	out := Estimate{
-		MemoryUse:    s.fullness(now, l, w),
-		PrefillDelay: time.Duration(l.waiting(now, s.rate) / s.rate * float64(time.Second)),
+		MemoryUse:    s.memoryUse(now, l, w),
+		PrefillDelay: time.Duration(l.backlog(now, s.prefillRate) / s.prefillRate * float64(time.Second)),
 	}
-	if age := now.Sub(l.memoryAt); age <= memoryLife {
+	if age := now.Sub(l.reportAt); age <= memoryReportTTL {
 		out.ReportAge = age
 	}
-	out.UntilFirstEvent = s.untilFirst(now, l, w)
-	if !s.heard.IsZero() {
-		out.RemotePlacementAge = now.Sub(s.heard)
+	out.UntilFirstEvent = s.timeToFirstEvent(now, l, w)
+	if !s.remotePlacementAt.IsZero() {
+		out.RemotePlacementAge = now.Sub(s.remotePlacementAt)
 	}
 	return out
 }
 
-// untilFirst estimates the time until a prompt's first event: until enough runs have ended
+// timeToFirstEvent estimates the time until a prompt's first event: until enough runs have ended
 // that it has room, and until the prompts before it and itself are read.
-func (s *Balancer) untilFirst(now time.Time, l *endpointLoad, w Requirements) time.Duration {
-	seconds := (l.waiting(now, s.rate) + float64(w.Prompt)) / s.rate
-	if over := s.fullness(now, l, w) - 1; over > 0 {
-		seconds += over * float64(max(w.Memory, 1)) / s.freed(now)
+func (s *Balancer) timeToFirstEvent(now time.Time, l *endpointLoad, w Requirements) time.Duration {
+	seconds := (l.backlog(now, s.prefillRate) + float64(w.Prompt)) / s.prefillRate
+	if over := s.memoryUse(now, l, w) - 1; over > 0 {
+		seconds += over * float64(max(w.Memory, 1)) / s.freedPerSecond(now)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// freed gives the tokens of memory that ended runs give back at one engine in a second.
-func (s *Balancer) freed(now time.Time) float64 {
-	perEngine := s.over.perSecond(now) / float64(max(len(s.share), 1))
-	return math.Max(perEngine, leastFreed)
+// freedPerSecond gives the tokens of memory that ended runs give back at one engine in a second.
+func (s *Balancer) freedPerSecond(now time.Time) float64 {
+	perEngine := s.released.perSecond(now) / float64(max(len(s.groupEngines), 1))
+	return math.Max(perEngine, minFreedPerSecond)
 }
 
-// leastFreed is what an engine gives back at least, in tokens a second, as long as few runs
+// minFreedPerSecond is what an engine gives back at least, in tokens a second, as long as few runs
 // ended: one run of some thousand tokens that lasts ten seconds.
-const leastFreed = 400.0
+const minFreedPerSecond = 400.0
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -9,27 +9,27 @@
 // LengthEstimator holds the length estimates of one model: for the model, for each
 // class, and for each customer and class, each leaning on the one above.
 type LengthEstimator struct {
-	prior   [bucketCount]float64
-	model   Lengths
-	classes map[string]*Lengths
-	leaves  map[LengthKey]*leaf
+	prior        [bucketCount]float64
+	model        Lengths
+	classes      map[string]*Lengths
+	keyEstimates map[LengthKey]*keyEstimate
 }
 
-type leaf struct {
-	lengths Lengths
-	curve   Curve
-	stale   int
+type keyEstimate struct {
+	lengths         Lengths
+	curve           Curve
+	newObservations int
 }
 
-// curveRefresh is how many observations a cached curve may lag.
-const curveRefresh = 4
+// curveRefreshAfter is how many observations a cached curve may lag.
+const curveRefreshAfter = 4
 
 // NewLengthEstimator starts from an expected mean length.
-func NewLengthEstimator(expectTokens int) *LengthEstimator {
+func NewLengthEstimator(meanTokens int) *LengthEstimator {
 	return &LengthEstimator{
-		prior:   priorHazard(float64(max(1, expectTokens))),
-		classes: make(map[string]*Lengths),
-		leaves:  make(map[LengthKey]*leaf),
+		prior:        priorHazard(float64(max(1, meanTokens))),
+		classes:      make(map[string]*Lengths),
+		keyEstimates: make(map[LengthKey]*keyEstimate),
 	}
 }
 
@@ -42,11 +42,11 @@
 	return c
 }
 
-func (e *LengthEstimator) leaf(key LengthKey) *leaf {
-	l := e.leaves[key]
+func (e *LengthEstimator) keyEstimate(key LengthKey) *keyEstimate {
+	l := e.keyEstimates[key]
 	if l == nil {
-		l = &leaf{stale: curveRefresh}
-		e.leaves[key] = l
+		l = &keyEstimate{newObservations: curveRefreshAfter}
+		e.keyEstimates[key] = l
 	}
 	return l
 }
@@ -55,9 +55,9 @@
 func (e *LengthEstimator) ObserveEnd(key LengthKey, tokens int) {
 	e.model.ObserveEnd(tokens)
 	e.class(key.Class).ObserveEnd(tokens)
-	l := e.leaf(key)
+	l := e.keyEstimate(key)
 	l.lengths.ObserveEnd(tokens)
-	l.stale++
+	l.newObservations++
 }
 
 // ObserveProgress learns that a running generation grew from one length to another.
@@ -65,20 +65,20 @@
 	for b := bucketOf(from); b < bucketOf(to); b++ {
 		e.model.ObservePassed(b)
 		e.class(key.Class).ObservePassed(b)
-		l := e.leaf(key)
+		l := e.keyEstimate(key)
 		l.lengths.ObservePassed(b)
-		l.stale++
+		l.newObservations++
 	}
 }
 
 // Curve gives the length curve of a customer and class.
 func (e *LengthEstimator) Curve(key LengthKey) *Curve {
-	l := e.leaf(key)
-	if l.stale >= curveRefresh {
+	l := e.keyEstimate(key)
+	if l.newObservations >= curveRefreshAfter {
 		model := e.model.hazard(e.prior)
 		class := e.class(key.Class).hazard(model)
 		l.curve = curveOf(l.lengths.hazard(class))
-		l.stale = 0
+		l.newObservations = 0
 	}
 	return &l.curve
 }
--- a/admission/lengths.go
+++ b/admission/lengths.go
@@ -5,10 +5,10 @@
 // bucketCount covers lengths up to 2^17 tokens in half octaves.
 const bucketCount = 34
 
-// edges are the upper ends of the buckets, in tokens.
-var edges = makeEdges()
+// bucketEnds are the upper ends of the buckets, in tokens.
+var bucketEnds = makeBucketEnds()
 
-func makeEdges() [bucketCount]float64 {
+func makeBucketEnds() [bucketCount]float64 {
 	var e [bucketCount]float64
 	for i := range e {
 		e[i] = math.Round(math.Pow(2, float64(i+1)/2))
@@ -17,7 +17,7 @@
 }
 
 func bucketOf(tokens int) int {
-	for i, edge := range edges {
+	for i, edge := range bucketEnds {
 		if float64(tokens) < edge {
 			return i
 		}
@@ -34,21 +34,21 @@
 	ended   [bucketCount]float64
 }
 
-// decay is the weight that older observations keep for each new one.
-const decay = 0.995
+// observationDecay is the weight that older observations keep for each new one.
+const observationDecay = 0.995
 
 // ObservePassed counts a running generation that left a bucket without ending.
 func (l *Lengths) ObservePassed(bucket int) {
-	l.reached[bucket] = l.reached[bucket]*decay + 1
-	l.ended[bucket] *= decay
+	l.reached[bucket] = l.reached[bucket]*observationDecay + 1
+	l.ended[bucket] *= observationDecay
 }
 
 // ObserveEnd counts a generation that ended with a number of tokens. Earlier
 // buckets were counted by Passed.
 func (l *Lengths) ObserveEnd(tokens int) {
 	b := bucketOf(tokens)
-	l.reached[b] = l.reached[b]*decay + 1
-	l.ended[b] = l.ended[b]*decay + 1
+	l.reached[b] = l.reached[b]*observationDecay + 1
+	l.ended[b] = l.ended[b]*observationDecay + 1
 }
 
 // Merge adds the observations of another estimate.
@@ -61,7 +61,7 @@
 
 // Curve is the chance that a generation is longer than each bucket's end.
 type Curve struct {
-	survive [bucketCount]float64
+	survival [bucketCount]float64
 }
 
 // priorWeight is how many observations a parent's hazard counts for.
@@ -81,7 +81,7 @@
 func priorHazard(mean float64) [bucketCount]float64 {
 	var h [bucketCount]float64
 	low := 0.0
-	for i, edge := range edges {
+	for i, edge := range bucketEnds {
 		h[i] = min(0.6, 1-math.Exp(-(edge-low)/mean))
 		low = edge
 	}
@@ -90,53 +90,53 @@
 
 func curveOf(h [bucketCount]float64) Curve {
 	var c Curve
-	alive := 1.0
+	probability := 1.0
 	for i := range h {
-		alive *= 1 - h[i]
-		c.survive[i] = alive
+		probability *= 1 - h[i]
+		c.survival[i] = probability
 	}
 	return c
 }
 
-// at gives the chance that the length exceeds a number of tokens, linear
+// survivalAt gives the chance that the length exceeds a number of tokens, linear
 // within a bucket.
-func (c *Curve) at(tokens float64) float64 {
+func (c *Curve) survivalAt(tokens float64) float64 {
 	low, high := 0.0, 1.0
-	for i, edge := range edges {
+	for i, edge := range bucketEnds {
 		if tokens < edge {
-			part := (tokens - low) / (edge - low)
-			return high + (c.survive[i]-high)*part
+			fraction := (tokens - low) / (edge - low)
+			return high + (c.survival[i]-high)*fraction
 		}
-		low, high = edge, c.survive[i]
+		low, high = edge, c.survival[i]
 	}
-	return c.survive[bucketCount-1] * 0.5
+	return c.survival[bucketCount-1] * 0.5
 }
 
 // Beyond gives the chance that a generation that has made some tokens makes at
 // least more further ones.
 func (c *Curve) Beyond(generated, more float64) float64 {
-	now := c.at(generated)
-	if now < 1e-9 {
+	survivalNow := c.survivalAt(generated)
+	if survivalNow < 1e-9 {
 		return 0.5
 	}
-	return c.at(generated+more) / now
+	return c.survivalAt(generated+more) / survivalNow
 }
 
 // Remaining gives the expected number of further tokens.
-func (c *Curve) Remaining(generated float64, most int) float64 {
-	now := max(c.at(generated), 1e-9)
+func (c *Curve) Remaining(generated float64, maxTokens int) float64 {
+	survivalNow := max(c.survivalAt(generated), 1e-9)
 	sum := 0.0
 	low := generated
-	for i, edge := range edges {
+	for i, edge := range bucketEnds {
 		if edge <= generated {
 			continue
 		}
-		high := min(edge, float64(most))
+		high := min(edge, float64(maxTokens))
 		if high <= low {
 			break
 		}
-		sum += (high - low) * (c.at(low) + c.survive[i]) / 2
+		sum += (high - low) * (c.survivalAt(low) + c.survival[i]) / 2
 		low = high
 	}
-	return sum / now
+	return sum / survivalNow
 }
--- a/admission/model.go
+++ b/admission/model.go
@@ -11,16 +11,16 @@
 
 // Model admits the requests for one model on one box.
 type Model struct {
-	rules     Rules
-	estimator *LengthEstimator
-	waiting   queue
-	places    map[string]*place
-	names     []string
-	running   map[string]*running
-	rate      rate
-	wake      time.Duration
-	wakeAt    time.Time
-	wantedAt  time.Time
+	rules             Rules
+	estimator         *LengthEstimator
+	waiting           queue
+	endpoints         map[string]*endpointState
+	endpointNames     []string
+	running           map[string]*running
+	drainRate         drainRate
+	shortestDelay     time.Duration
+	nextWakeAt        time.Time
+	leasesRequestedAt time.Time
 }
 
 // NewModel starts with no endpoint.
@@ -33,7 +33,7 @@
 		rules:     rules,
 		estimator: NewLengthEstimator(rules.ExpectTokens),
 		waiting:   newQueue(),
-		places:    make(map[string]*place),
+		endpoints: make(map[string]*endpointState),
 		running:   make(map[string]*running),
 	}
 }
@@ -45,23 +45,23 @@
 func (m *Model) Step(now time.Time, ev core.Event) []core.Command {
 	switch e := ev.(type) {
 	case RequestArrived:
-		return m.arrived(now, e.Request)
+		return m.handleArrival(now, e.Request)
 	case RequestWithdrawn:
 		m.waiting.remove(e.ID, e.Customer)
 	case LeaseArrived:
-		m.leased(e)
-		return m.pump(now)
+		m.handleLease(e)
+		return m.dispatch(now)
 	case TokensMade:
-		m.progressed(e)
+		m.handleProgress(e)
 	case GenerationEnded:
-		m.ended(e)
-		return m.pump(now)
+		m.handleEnd(e)
+		return m.dispatch(now)
 	case GenerationTakenOver:
-		m.takenOver(e)
+		m.handleTakeover(e)
 	case PrefixCached:
-		m.prefixCached(e)
+		m.handlePrefix(e)
 	case EndpointsChanged:
-		m.endpointsChanged(e.Names)
+		m.handleEndpoints(e.Names)
 	case Ticked:
 		return m.tick(now)
 	}
@@ -77,7 +77,7 @@
 // WaitingByTier counts the requests that wait, by tier.
 func (m *Model) WaitingByTier() map[string]int {
 	count := make(map[string]int)
-	for _, line := range m.waiting.lines {
+	for _, line := range m.waiting.byCustomer {
 		for _, r := range line {
 			count[r.Tier]++
 		}
@@ -85,22 +85,22 @@
 	return count
 }
 
-func (m *Model) endpointsChanged(names []string) {
-	m.names = slices.Sorted(slices.Values(names))
-	for _, name := range m.names {
-		if m.places[name] == nil {
-			m.places[name] = newPlace(name)
+func (m *Model) handleEndpoints(endpointNames []string) {
+	m.endpointNames = slices.Sorted(slices.Values(endpointNames))
+	for _, name := range m.endpointNames {
+		if m.endpoints[name] == nil {
+			m.endpoints[name] = newEndpointState(name)
 		}
 	}
-	for name, p := range m.places {
-		if !slices.Contains(m.names, name) && len(p.running) == 0 {
-			delete(m.places, name)
+	for name, p := range m.endpoints {
+		if !slices.Contains(m.endpointNames, name) && len(p.running) == 0 {
+			delete(m.endpoints, name)
 		}
 	}
 }
 
-func (m *Model) leased(e LeaseArrived) {
-	p := m.places[e.Lease.Endpoint]
+func (m *Model) handleLease(e LeaseArrived) {
+	p := m.endpoints[e.Lease.Endpoint]
 	if p == nil {
 		return
 	}
@@ -109,9 +109,9 @@
 	if e.HasOthers {
 		p.others = e.Others
 	}
-	p.otherRun = e.OtherRunning
+	p.othersRunning = e.OtherRunning
 	p.step = e.Step
-	p.refresh(m.profile)
+	p.recomputeOwn(m.profile)
 }
 
 func (m *Model) profile(r *running) Profile {
@@ -121,7 +121,7 @@
 // plan is the memory profile by which a request is admitted.
 func (m *Model) plan(r *Request, generated int) Profile {
 	if m.rules.KnownLength != nil {
-		return fixedProfile(r.PromptTokens, generated, m.rules.KnownLength(r.ID))
+		return knownLengthProfile(r.PromptTokens, generated, m.rules.KnownLength(r.ID))
 	}
 	if m.rules.ReserveMaxLength {
 		return reservedProfile(r.PromptTokens, r.MaxTokens)
@@ -129,22 +129,22 @@
 	return profileOf(m.estimator.Curve(r.key()), r.PromptTokens, generated, r.MaxTokens)
 }
 
-func (m *Model) progressed(e TokensMade) {
+func (m *Model) handleProgress(e TokensMade) {
 	r := m.running[e.ID]
 	if r == nil || e.Generated <= r.generated {
 		return
 	}
 	m.estimator.ObserveProgress(r.request.key(), r.generated, e.Generated)
-	m.waiting.serve(r.request.Customer, float64(e.Generated-r.generated), r.request.Weight)
+	m.waiting.addServed(r.request.Customer, float64(e.Generated-r.generated), r.request.Weight)
 	r.generated = e.Generated
 }
 
-func (m *Model) ended(e GenerationEnded) {
+func (m *Model) handleEnd(e GenerationEnded) {
 	r := m.running[e.ID]
 	if r == nil {
 		return
 	}
-	m.progressed(TokensMade{
+	m.handleProgress(TokensMade{
 		ID:        e.ID,
 		Generated: e.Generated,
 	})
@@ -152,16 +152,16 @@
 		m.estimator.ObserveEnd(r.request.key(), e.Generated)
 	}
 	delete(m.running, e.ID)
-	if p := m.places[r.endpoint]; p != nil {
-		p.drop(r)
+	if p := m.endpoints[r.endpoint]; p != nil {
+		p.remove(r)
 	}
 }
 
-func (m *Model) takenOver(e GenerationTakenOver) {
-	p := m.places[e.Endpoint]
+func (m *Model) handleTakeover(e GenerationTakenOver) {
+	p := m.endpoints[e.Endpoint]
 	if p == nil {
-		p = newPlace(e.Endpoint)
-		m.places[e.Endpoint] = p
+		p = newEndpointState(e.Endpoint)
+		m.endpoints[e.Endpoint] = p
 	}
 	r := &running{
 		request:   e.Request,
@@ -173,8 +173,8 @@
 	p.add(r)
 }
 
-func (m *Model) prefixCached(e PrefixCached) {
-	p := m.places[e.Endpoint]
+func (m *Model) handlePrefix(e PrefixCached) {
+	p := m.endpoints[e.Endpoint]
 	if p == nil {
 		return
 	}
@@ -185,11 +185,11 @@
 	p.prefixes.add(e.Prefix)
 }
 
-func (m *Model) arrived(now time.Time, r Request) []core.Command {
+func (m *Model) handleArrival(now time.Time, r Request) []core.Command {
 	if m.waiting.waitingOf(r.Customer) >= m.rules.MaxWaiting(r.Customer) {
 		return []core.Command{m.refusal(&r, RefuseTooManyWaiting)}
 	}
-	in := m.input(now, &r)
+	in := m.policyInput(now, &r)
 	commands := m.rank(&r, in)
 	if verdict, failed := m.verdict(&r, in); verdict == policy.Refuse {
 		return append(append(commands, failed...), m.refusal(&r, RefusePolicy))
@@ -198,16 +198,16 @@
 		return append(commands, m.refusal(&r, RefuseOverload))
 	}
 	m.waiting.push(&r)
-	commands = append(commands, m.pump(now)...)
-	if m.waiting.length > 0 && now.Sub(m.wantedAt) >= wantPause {
-		m.wantedAt = now
+	commands = append(commands, m.dispatch(now)...)
+	if m.waiting.length > 0 && now.Sub(m.leasesRequestedAt) >= leaseRequestInterval {
+		m.leasesRequestedAt = now
 		commands = append(commands, WantLeases{})
 	}
 	return commands
 }
 
-// wantPause is the least time between two wishes out of turn.
-const wantPause = 100 * time.Millisecond
+// leaseRequestInterval is the least time between two wishes out of turn.
+const leaseRequestInterval = 100 * time.Millisecond
 
 // rank sets a request's place in the order; a program that fails falls back to
 // its tier's rank.
@@ -231,11 +231,11 @@
 func (m *Model) verdict(r *Request, in *policy.Input) (policy.Verdict, []core.Command) {
 	program := m.rules.Program(r.Tier)
 	if program == nil {
-		return fallback(in), nil
+		return fallbackVerdict(in), nil
 	}
 	verdict, err := program.Decide(in)
 	if err != nil {
-		return fallback(in), []core.Command{PolicyFailed{
+		return fallbackVerdict(in), []core.Command{PolicyFailed{
 			Tier:  r.Tier,
 			Cause: err,
 		}}
@@ -243,16 +243,16 @@
 	return verdict, nil
 }
 
-func fallback(in *policy.Input) policy.Verdict {
+func fallbackVerdict(in *policy.Input) policy.Verdict {
 	if in.Fits {
 		return policy.Run
 	}
 	return policy.Wait
 }
 
-func (m *Model) input(now time.Time, r *Request) *policy.Input {
+func (m *Model) policyInput(now time.Time, r *Request) *policy.Input {
 	curve := m.estimator.Curve(r.key())
-	_, fits := m.choose(now, r)
+	_, fits := m.chooseEndpoint(now, r)
 	return &policy.Input{
 		Customer:      r.Customer,
 		Class:         r.Class,
@@ -283,9 +283,9 @@
 
 func (m *Model) meanLoad(now time.Time) float64 {
 	sum, n := 0.0, 0
-	for _, name := range m.names {
-		p := m.places[name]
-		if r := p.room(now); r.tokens > 0 {
+	for _, name := range m.endpointNames {
+		p := m.endpoints[name]
+		if r := p.capacity(now); r.tokens > 0 {
 			sum += p.load(r)
 			n++
 		}
@@ -297,18 +297,18 @@
 }
 
 // Explain gives what the programs would see of a request now.
-func (m *Model) Explain(now time.Time, r Request) *policy.Input { return m.input(now, &r) }
+func (m *Model) Explain(now time.Time, r Request) *policy.Input { return m.policyInput(now, &r) }
 
 func (m *Model) tick(now time.Time) []core.Command {
 	var commands []core.Command
-	m.rate.tick(now)
+	m.drainRate.tick(now)
 	for _, head := range m.waiting.heads() {
 		if now.Sub(head.ArrivedAt) > m.rules.MaxWait {
 			m.waiting.remove(head.ID, head.Customer)
 			commands = append(commands, m.refusal(head, RefuseTimeout))
 		}
 	}
-	return append(commands, m.pump(now)...)
+	return append(commands, m.dispatch(now)...)
 }
 
 // String gives a short picture for logs.
--- a/admission/profile.go
+++ b/admission/profile.go
@@ -40,39 +40,39 @@
 	return peak
 }
 
-// momentCount is how many moments up to a horizon, since the one before, a
+// samplesPerHorizon is how many moments up to a horizon, since the one before, a
 // profile looks at: a generation that ends between two horizons holds most
 // there.
-const momentCount = 3
+const samplesPerHorizon = 3
 
 // profileOf is the profile of one generation with prompt and generated tokens.
 // Each horizon stands for the time since the one before, with the moment at which
 // the generation is expected to hold most.
-func profileOf(c *Curve, prompt, generated, most int) Profile {
+func profileOf(c *Curve, prompt, generated, maxTokens int) Profile {
 	var p Profile
-	left := float64(most - generated)
+	left := float64(maxTokens - generated)
 	low := 0.0
 	for i, high := range horizons {
-		for n := 1; n <= momentCount; n++ {
-			ahead := min(low+(high-low)*float64(n)/momentCount, left)
+		for n := 1; n <= samplesPerHorizon; n++ {
+			ahead := min(low+(high-low)*float64(n)/samplesPerHorizon, left)
 			if ahead < low {
 				break
 			}
-			p.expect(i, float64(prompt+generated)+ahead, c.Beyond(float64(generated), ahead))
+			p.raiseTo(i, float64(prompt+generated)+ahead, c.Beyond(float64(generated), ahead))
 		}
 		low = high
 	}
 	return p
 }
 
-// expect notes that a generation holds a size with a chance, if that is more than
+// raiseTo notes that a generation holds a size with a chance, if that is more than
 // what the horizon has.
-func (p *Profile) expect(horizon int, size, alive float64) {
-	if size*alive <= p.Mean[horizon] {
+func (p *Profile) raiseTo(horizon int, size, probability float64) {
+	if size*probability <= p.Mean[horizon] {
 		return
 	}
-	p.Mean[horizon] = size * alive
-	p.Variance[horizon] = size * size * alive * (1 - alive)
+	p.Mean[horizon] = size * probability
+	p.Variance[horizon] = size * size * probability * (1 - probability)
 }
 
 // Floats gives a profile's parts in the form that messages carry: rounded up to
@@ -82,19 +82,19 @@
 	mean = make([]float32, 0, HorizonCount)
 	deviation = make([]float32, 0, HorizonCount)
 	for i := range p.Mean {
-		mean = append(mean, shortFloat(p.Mean[i]))
-		deviation = append(deviation, shortFloat(math.Sqrt(p.Variance[i])))
+		mean = append(mean, roundUpToShort(p.Mean[i]))
+		deviation = append(deviation, roundUpToShort(math.Sqrt(p.Variance[i])))
 	}
 	return trimZeros(mean), trimZeros(deviation)
 }
 
-// shortBits are the bits of a float32 that a float16 has no room for.
-const shortBits = 13
+// droppedBits are the bits of a float32 that a float16 has no room for.
+const droppedBits = 13
 
-func shortFloat(v float64) float32 {
+func roundUpToShort(v float64) float32 {
 	bits := math.Float32bits(float32(v))
-	if bits&(1<<shortBits-1) != 0 {
-		bits = bits&^(1<<shortBits-1) + 1<<shortBits
+	if bits&(1<<droppedBits-1) != 0 {
+		bits = bits&^(1<<droppedBits-1) + 1<<droppedBits
 	}
 	return math.Float32frombits(bits)
 }
@@ -119,12 +119,12 @@
 	return p
 }
 
-// deviations gives the z of a one-sided normal risk (Abramowitz and Stegun
+// normalQuantile gives the z of a one-sided normal risk (Abramowitz and Stegun
 // 26.2.23, error under 0.0005).
-func deviations(risk float64) float64 {
+func normalQuantile(risk float64) float64 {
 	risk = min(max(risk, 1e-6), 0.5)
 	t := math.Sqrt(-2 * math.Log(risk))
-	top := 2.515517 + t*(0.802853+t*0.010328)
-	bottom := 1 + t*(1.432788+t*(0.189269+t*0.001308))
-	return t - top/bottom
+	numerator := 2.515517 + t*(0.802853+t*0.010328)
+	denominator := 1 + t*(1.432788+t*(0.189269+t*0.001308))
+	return t - numerator/denominator
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -33,15 +33,15 @@
 // queue holds waiting requests: first by order, then by the tokens their
 // customer was served for its weight, then by arrival.
 type queue struct {
-	lines  map[string][]*Request
-	served map[string]float64
-	length int
+	byCustomer map[string][]*Request
+	served     map[string]float64
+	length     int
 }
 
 func newQueue() queue {
 	return queue{
-		lines:  make(map[string][]*Request),
-		served: make(map[string]float64),
+		byCustomer: make(map[string][]*Request),
+		served:     make(map[string]float64),
 	}
 }
 
@@ -52,7 +52,7 @@
 
 // push adds a request at its place within its customer's line.
 func (q *queue) push(r *Request) {
-	line := q.lines[r.Customer]
+	line := q.byCustomer[r.Customer]
 	if len(line) == 0 {
 		q.served[r.Customer] = max(q.served[r.Customer], q.leastServed(r.Rank)-returnCredit)
 	}
@@ -60,14 +60,14 @@
 	for at > 0 && line[at-1].order > r.order {
 		at--
 	}
-	q.lines[r.Customer] = slices.Insert(line, at, r)
+	q.byCustomer[r.Customer] = slices.Insert(line, at, r)
 	q.length++
 }
 
 // leastServed is the lowest served count of those of a rank who wait.
 func (q *queue) leastServed(rank int) float64 {
 	least, found := 0.0, false
-	for customer, line := range q.lines {
+	for customer, line := range q.byCustomer {
 		if len(line) == 0 || line[0].Rank != rank {
 			continue
 		}
@@ -80,8 +80,8 @@
 
 // heads gives the first request of each customer, best first.
 func (q *queue) heads() []*Request {
-	heads := make([]*Request, 0, len(q.lines))
-	for _, line := range q.lines {
+	heads := make([]*Request, 0, len(q.byCustomer))
+	for _, line := range q.byCustomer {
 		heads = append(heads, line[0])
 	}
 	slices.SortFunc(heads, func(a, b *Request) int {
@@ -96,7 +96,7 @@
 }
 
 func (q *queue) remove(id, customer string) *Request {
-	line := q.lines[customer]
+	line := q.byCustomer[customer]
 	at := slices.IndexFunc(line, func(r *Request) bool { return r.ID == id })
 	if at < 0 {
 		return nil
@@ -105,22 +105,22 @@
 	line = slices.Delete(line, at, at+1)
 	q.length--
 	if len(line) == 0 {
-		delete(q.lines, customer)
+		delete(q.byCustomer, customer)
 		return r
 	}
-	q.lines[customer] = line
+	q.byCustomer[customer] = line
 	return r
 }
 
-// serve counts tokens served to a customer for its weight.
-func (q *queue) serve(customer string, tokens, weight float64) {
+// addServed counts tokens served to a customer for its weight.
+func (q *queue) addServed(customer string, tokens, weight float64) {
 	q.served[customer] += tokens / max(weight, 0.01)
 }
 
 // ahead counts the waiting requests that go before an order.
 func (q *queue) ahead(order float64) int {
 	n := 0
-	for _, line := range q.lines {
+	for _, line := range q.byCustomer {
 		for _, r := range line {
 			if r.order > order {
 				break
@@ -131,17 +131,17 @@
 	return n
 }
 
-func (q *queue) waitingOf(customer string) int { return len(q.lines[customer]) }
+func (q *queue) waitingOf(customer string) int { return len(q.byCustomer[customer]) }
 
 // bestRank gives the best rank that waits.
 func (q *queue) bestRank() int {
-	best, found := 0, false
-	for _, line := range q.lines {
+	minRank, found := 0, false
+	for _, line := range q.byCustomer {
 		for _, r := range line {
-			if !found || r.Rank < best {
-				best, found = r.Rank, true
+			if !found || r.Rank < minRank {
+				minRank, found = r.Rank, true
 			}
 		}
 	}
-	return best
+	return minRank
 }
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -30,37 +30,37 @@
 // how much it may add until its next lease: a part of the free memory by
 // demand, with half of it spread evenly for what demand didn't foresee.
 type Shares struct {
-	Capacity int // of the whole endpoint
-	Slots    int
-	hold     *core.Ownership
-	boxes    map[string]*share
-	names    []string // of the boxes, sorted: sums come out the same in every run
-	fit      StepFit
-	target   time.Duration
-	reported int
+	Capacity       int // of the whole endpoint
+	Slots          int
+	hold           *core.Ownership
+	boxes          map[string]*share
+	boxNames       []string // of the boxes, sorted: sums come out the same in every run
+	stepFit        StepFit
+	targetStep     time.Duration
+	reportedTokens int
 }
 
 type share struct {
-	wish   Demand
+	demand Demand
 	growth int
 	seenAt time.Time
 }
 
-// forgetShare is after how many lease times a silent box's use is dropped.
-const forgetShare = 3
+// shareExpiryTTLs is after how many lease times a silent box's use is dropped.
+const shareExpiryTTLs = 3
 
-// ownerRisk is the risk at which an owner plans an endpoint's peak.
-const ownerRisk = 0.02
+// ownerOverflowRisk is the risk at which an owner plans an endpoint's peak.
+const ownerOverflowRisk = 0.02
 
 // NewShares divides an endpoint on whose hold it depends. Target is the longest
 // wanted time between tokens.
-func NewShares(hold *core.Ownership, capacity, slots int, target time.Duration) *Shares {
+func NewShares(hold *core.Ownership, capacity, slots int, targetStep time.Duration) *Shares {
 	return &Shares{
-		Capacity: capacity,
-		Slots:    slots,
-		hold:     hold,
-		boxes:    make(map[string]*share),
-		target:   target,
+		Capacity:   capacity,
+		Slots:      slots,
+		hold:       hold,
+		boxes:      make(map[string]*share),
+		targetStep: targetStep,
 	}
 }
 
@@ -74,69 +74,69 @@
 func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
 	half := s.Capacity / core.SlotCount
 	tokens, ttl := s.hold.Grantable(now, half)
-	s.forget(now, ttl)
-	mine := &share{
-		wish:   w,
+	s.dropExpired(now, ttl)
+	own := &share{
+		demand: w,
 		seenAt: now,
 	}
-	s.note(box, mine)
+	s.setShare(box, own)
 	if tokens == 0 {
 		return Grant{}
 	}
 	others, running := s.others(box)
 	total := others
 	total.Add(&w.Profile)
-	unexplained := max(0, float64(s.reported)-total.Mean[0])
-	planned := total.Peak(deviations(ownerRisk)) + unexplained
-	free := float64(tokens) - planned/core.SlotCount - float64(s.promised(box))
-	mine.growth = s.growth(free, box)
+	unexplained := max(0, float64(s.reportedTokens)-total.Mean[0])
+	planned := total.Peak(normalQuantile(ownerOverflowRisk)) + unexplained
+	free := float64(tokens) - planned/core.SlotCount - float64(s.promisedGrowth(box))
+	own.growth = s.growth(free, box)
 	return Grant{
 		Tokens:       tokens,
-		Slots:        s.slots() * tokens / s.Capacity,
+		Slots:        s.usableSlots() * tokens / s.Capacity,
 		TTL:          ttl,
 		Others:       others,
 		OtherRunning: running,
-		Growth:       mine.growth,
+		Growth:       own.growth,
 	}
 }
 
-func (s *Shares) note(box string, mine *share) {
+func (s *Shares) setShare(box string, own *share) {
 	if s.boxes[box] == nil {
-		at, _ := slices.BinarySearch(s.names, box)
-		s.names = slices.Insert(s.names, at, box)
+		at, _ := slices.BinarySearch(s.boxNames, box)
+		s.boxNames = slices.Insert(s.boxNames, at, box)
 	}
-	s.boxes[box] = mine
+	s.boxes[box] = own
 }
 
-func (s *Shares) forget(now time.Time, ttl time.Duration) {
-	for name, one := range s.boxes {
-		if ttl > 0 && now.Sub(one.seenAt) > forgetShare*ttl {
+func (s *Shares) dropExpired(now time.Time, ttl time.Duration) {
+	for name, boxShare := range s.boxes {
+		if ttl > 0 && now.Sub(boxShare.seenAt) > shareExpiryTTLs*ttl {
 			delete(s.boxes, name)
 		}
 	}
-	s.names = slices.DeleteFunc(s.names, func(name string) bool { return s.boxes[name] == nil })
+	s.boxNames = slices.DeleteFunc(s.boxNames, func(name string) bool { return s.boxes[name] == nil })
 }
 
 func (s *Shares) others(box string) (Profile, int) {
 	var sum Profile
 	running := 0
-	for _, name := range s.names {
-		one := s.boxes[name]
+	for _, name := range s.boxNames {
+		boxShare := s.boxes[name]
 		if name == box {
 			continue
 		}
-		sum.Add(&one.wish.Profile)
-		running += one.wish.Running
+		sum.Add(&boxShare.demand.Profile)
+		running += boxShare.demand.Running
 	}
 	return sum, running
 }
 
-// promised is the growth that other boxes hold and may still use.
-func (s *Shares) promised(box string) int {
+// promisedGrowth is the growth that other boxes hold and may still use.
+func (s *Shares) promisedGrowth(box string) int {
 	sum := 0
-	for name, one := range s.boxes {
+	for name, boxShare := range s.boxes {
 		if name != box {
-			sum += one.growth
+			sum += boxShare.growth
 		}
 	}
 	return sum
@@ -155,21 +155,21 @@
 	if free <= 0 {
 		return 0
 	}
-	w := s.boxes[box].wish
-	even := free / float64(len(s.boxes))
+	w := s.boxes[box].demand
+	evenPart := free / float64(len(s.boxes))
 	left := free
-	for _, name := range s.names {
+	for _, name := range s.boxNames {
 		other := s.boxes[name]
-		if name != box && other.wish.Waiting > 0 && other.wish.Rank < w.Rank {
-			left -= even
+		if name != box && other.demand.Waiting > 0 && other.demand.Rank < w.Rank {
+			left -= evenPart
 		}
 	}
-	return int(max(even, min(left, demandFactor*float64(w.Waiting))))
+	return int(max(evenPart, min(left, demandFactor*float64(w.Waiting))))
 }
 
-// slots is the batch at which the time between tokens holds.
-func (s *Shares) slots() int {
-	if limit := s.fit.Limit(s.target); limit > 0 {
+// usableSlots is the batch at which the time between tokens holds.
+func (s *Shares) usableSlots() int {
+	if limit := s.stepFit.Limit(s.targetStep); limit > 0 {
 		return min(s.Slots, limit)
 	}
 	return s.Slots
@@ -184,25 +184,25 @@
 
 // Observe learns from an endpoint's report.
 func (s *Shares) Observe(r Report) {
-	s.fit.Observe(r.Batch, r.Step)
-	s.reported = r.Used
+	s.stepFit.Observe(r.Batch, r.Step)
+	s.reportedTokens = r.Used
 }
 
-// foreignPart is the part of the capacity above which memory that no lease
+// unknownUsageFraction is the part of the capacity above which memory that no lease
 // explains counts as another owner's.
-const foreignPart = 0.1
+const unknownUsageFraction = 0.1
 
 // HasUnknownUsage reports whether the endpoint's report shows memory in use that the
 // known boxes don't explain.
 func (s *Shares) HasUnknownUsage() bool {
-	return float64(s.reported-s.Used()) > foreignPart*float64(s.Capacity)
+	return float64(s.reportedTokens-s.Used()) > unknownUsageFraction*float64(s.Capacity)
 }
 
 // Used is the memory that all boxes report to hold now.
 func (s *Shares) Used() int {
 	sum := 0.0
-	for _, name := range s.names {
-		sum += s.boxes[name].wish.Profile.Mean[0]
+	for _, name := range s.boxNames {
+		sum += s.boxes[name].demand.Profile.Mean[0]
 	}
 	return int(sum)
 }
--- a/admission/stepfit.go
+++ b/admission/stepfit.go
@@ -8,10 +8,10 @@
 	weight, x, y, xx, xy float64
 }
 
-const fitDecay = 0.98
+const stepFitDecay = 0.98
 
-// fitLeast is the weight of reports below which no limit is given.
-const fitLeast = 10
+// minStepFitWeight is the weight of reports below which no limit is given.
+const minStepFitWeight = 10
 
 // Observe adds one report.
 func (f *StepFit) Observe(batch int, step time.Duration) {
@@ -19,18 +19,18 @@
 		return
 	}
 	x, y := float64(batch), step.Seconds()
-	f.weight = f.weight*fitDecay + 1
-	f.x = f.x*fitDecay + x
-	f.y = f.y*fitDecay + y
-	f.xx = f.xx*fitDecay + x*x
-	f.xy = f.xy*fitDecay + x*y
+	f.weight = f.weight*stepFitDecay + 1
+	f.x = f.x*stepFitDecay + x
+	f.y = f.y*stepFitDecay + y
+	f.xx = f.xx*stepFitDecay + x*x
+	f.xy = f.xy*stepFitDecay + x*y
 }
 
 // Limit gives the batch at which the time between tokens reaches the target,
 // or 0 if the reports don't tell.
 func (f *StepFit) Limit(target time.Duration) int {
 	spread := f.weight*f.xx - f.x*f.x
-	if f.weight < fitLeast || target <= 0 || spread < f.weight*f.weight {
+	if f.weight < minStepFitWeight || target <= 0 || spread < f.weight*f.weight {
 		return 0
 	}
 	slope := (f.weight*f.xy - f.x*f.y) / spread
