--- a/admission/balancer.go
+++ b/admission/balancer.go
@@ -9,97 +9,93 @@
 )
 
 const (
-	// loadReportTTL is how long the load that came with an answer counts; beyond
-	// it only what this box sent itself is known. Answers come every few tens
-	// of milliseconds, and runs last from that to some seconds.
+	// loadReportTTL is how long the load in an endpoint's response header is used. Without
+	// it, only the requests of this box are known.
 	loadReportTTL = 2 * time.Second
-	// memoryReportTTL is how long a report of an engine's memory counts; engines are
-	// asked twice a second, and a generation lasts some seconds.
+	// memoryReportTTL is how long an engine's memory report is used.
 	memoryReportTTL = 5 * time.Second
-	// crossZoneCost is what another availability zone adds to an endpoint's load, as
-	// a part of its slots or memory: bytes between zones have a price, but a
-	// waiting request costs more.
+
+	// The costs below are added to an endpoint's load, in units of its whole capacity (slots
+	// or memory). The endpoint with the lowest sum is chosen.
+
+	// crossZoneCost is the cost of an engine in another availability zone, for the traffic
+	// between zones.
 	crossZoneCost = 0.03
-	// callCrossZoneCost is the same for calls to plain services, whose worth is small
-	// against the price of their bytes.
+	// callCrossZoneCost is the same for services that are no model engines. Their requests
+	// are cheap compared to the traffic.
 	callCrossZoneCost = 0.2
-	// outsideGroupCost is what an engine outside the group's share adds: this box
-	// doesn't hear what most others place there.
+	// outsideGroupCost is the cost of an engine that is not assigned to this box's group,
+	// because most of the placements there are unknown to this box.
 	outsideGroupCost = 0.35
-	// coldCost is what an endpoint adds while it is cold, in the same measure.
+	// coldCost is the cost of an endpoint that is still warming up.
 	coldCost = 0.5
-	// failureDecay is the time in which an endpoint's record of failures
-	// loses all but a third; failureCost is what a full record adds.
+	// failureDecay is the time constant of an endpoint's failure score.
 	failureDecay = 3 * time.Second
-	failureCost  = 3.0
-	// failureStep is what one failure adds to the record, which is at most 1.
+	// failureCost is the cost of a failure score of 1.
+	failureCost = 3.0
+	// failureStep is added to the failure score at each failure; the score is at most 1.
 	failureStep = 0.34
-	// unresponsiveTime is how long an endpoint that didn't answer gets no work while
-	// another one can take it.
+	// unresponsiveTime is how long an endpoint that didn't respond is avoided.
 	unresponsiveTime = 2 * time.Second
-	// overcommitCost is what each part of memory beyond the whole adds: a preempted
-	// generation is read anew.
+	// overcommitCost is the cost of memory planned beyond an engine's total, where the engine
+	// preempts runs and prefills them again later.
 	overcommitCost = 24.0
-	// unmovableCost is what each part of memory adds that can't leave the engine within a
-	// short notice: the more runs an engine has when it is told to go, the more of
-	// them are cut.
+	// unmovableCost is the cost of memory beyond what can be moved off an engine within the
+	// notice before it terminates; the runs that remain are lost.
 	unmovableCost = 9.0
-	// scoreNoise spreads requests over engines that look alike.
+	// scoreNoise is the range of a random cost that spreads requests over equal engines.
 	scoreNoise = 0.06
-	// initialPrefillRate is how many tokens of prompts an engine reads in a second until
-	// that is learned.
+	// initialPrefillRate is the assumed prefill rate before it is observed, in tokens per
+	// second.
 	initialPrefillRate = 8000.0
-	// prefillDelayCost is what a second's wait for the reading of prompts adds, in whole
-	// memories: how full an engine is says little as long as it isn't near full, and a
-	// wait is felt by the caller. With less, engines that have just joined are crowded
-	// whatever is told.
+	// prefillDelayCost is the cost of one second of prefill delay.
 	prefillDelayCost = 6.0
-	// suspectLatencyFactor is after how many times its usual time an endpoint that says
-	// nothing is suspect; suspectLeast and suspectEngine are the least such
-	// times, for calls and for engines, which read prompts for a while.
+	// suspectLatencyFactor is the multiple of an endpoint's average latency after which it is
+	// suspect if it sends nothing.
 	suspectLatencyFactor = 6.0
-	minCallSuspectTime   = 250 * time.Millisecond
+	// minCallSuspectTime is the shortest silence after which an endpoint is suspect.
+	minCallSuspectTime = 250 * time.Millisecond
+	// minEngineSuspectTime is the same for engines, which are silent during prefill.
 	minEngineSuspectTime = 2500 * time.Millisecond
-	// latencyWeight is the weight of the newest answer in an endpoint's usual
-	// time.
+	// latencyWeight is the weight of the latest response in an endpoint's average latency.
 	latencyWeight = 0.1
-	// maxChoices is how many endpoints one request compares; blindChoices is how
-	// many by a box that heard of no other box's placements for blindTime: after a
-	// restart of all, every box would take the emptiest by the same old reports. A box
-	// that hears of every prompt placed, since no engine is a stranger's, compares
-	// knownChoices; where other groups place too that would crowd engines.
-	maxChoices      = 5
+	// maxChoices is the number of endpoints compared for a request.
+	maxChoices = 5
+	// fullViewChoices is used instead if this box is notified of all placements.
 	fullViewChoices = 20
-	blindChoices    = 2
-	blindAfter      = time.Second
-	// outsideGroupChoices is how many engines of other groups are among them, for
-	// the case that the group's own are all busy.
+	// blindChoices is used instead if no other box has reported a placement for blindAfter,
+	// as after a restart of all boxes. They all have the same reports then, and would all
+	// choose the same engine.
+	blindChoices = 2
+	blindAfter   = time.Second
+	// outsideGroupChoices is the number of other groups' engines compared in addition.
 	outsideGroupChoices = 2
-	// learningWeight is the weight of the newest generation in the learned means.
+	// learningWeight is the weight of the latest run in the average lengths and prefill rate.
 	learningWeight = 0.05
 )
 
-// Balancer places requests over the endpoints of services by what this box sent
-// to each, what each last told, and how its last requests ended.
+// Balancer chooses an endpoint for each request by the estimated load of the endpoints:
+// what this box sent to them, what they reported, what other boxes sent there, and which
+// of the last requests failed.
 type Balancer struct {
 	mu                sync.Mutex
-	zone              string
-	random            func() float64
-	groupEngines      map[string]bool // the group's engines; nil for all
-	loads             map[string]*endpointLoad
-	prompt            float64   // mean tokens of a prompt, learned
-	prefillRate       float64   // tokens of prompts that an engine reads in a second, learned
-	output            float64   // mean tokens generated, learned
-	remotePlacementAt time.Time // when another box last told of a placement
-	flow              flow      // prompts that the group places, in tokens
-	released          flow      // what the group's ended runs held, in tokens
+	zone              string                   // of this box
+	random            func() float64           // uniform in [0, 1)
+	groupEngines      map[string]bool          // engines assigned to this box's group; nil for all
+	loads             map[string]*endpointLoad // by endpoint ID
+	prompt            float64                  // average prompt length in tokens
+	prefillRate       float64                  // average prefill rate of an engine, in tokens per second
+	output            float64                  // average output length in tokens
+	remotePlacementAt time.Time                // when another box last reported a placement
+	flow              flow                     // prompt tokens sent by the group's boxes
+	released          flow                     // tokens of memory freed by the group's runs
 }
 
-// reportLag is how old an engine's word is when it is given.
+// reportLag is the age of an engine's report when it is received.
 const reportLag = 500 * time.Millisecond
 
-// NewBalancer builds a spread for a box in an availability zone. Draw gives
-// numbers from 0 to 1 that break ties.
+// NewBalancer returns a balancer for a box in an availability zone. Random returns uniform
+// numbers in [0, 1).
 func NewBalancer(zone string, random func() float64) *Balancer {
 	return &Balancer{
 		zone:        zone,
@@ -109,26 +105,27 @@
 	}
 }
 
-// SetShare tells which engines the box's group uses first.
+// SetShare sets the engines that are assigned to the box's group and preferred by it.
 func (s *Balancer) SetShare(groupEngines map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.groupEngines = groupEngines
 }
 
-// Requirements is what a request needs of an endpoint.
+// Requirements is what a request needs of an endpoint. Fields about tokens are 0 for
+// services that are no model engines.
 type Requirements struct {
-	Tokens        int             // of an engine's memory at the run's expected end; 0 elsewhere
-	Prompt        int             // tokens that an engine reads before the first event; 0 elsewhere
-	Memory        int             // tokens that an engine holds; 0 elsewhere
-	Exclude       map[string]bool // endpoints that had the request already
-	Zone          string          // the zone to prefer; empty for the box's own
-	Shared        bool            // other boxes place there too
-	MovableTokens int             // tokens of runs that can leave an engine within a short notice; 0 when not known
-	MaxMemoryUse  float64         // the fullest that an engine's memory may get; 0 for any
+	Tokens        int             // memory that the run is expected to hold at its end
+	Prompt        int             // prompt tokens to prefill
+	Memory        int             // total memory of an engine
+	Exclude       map[string]bool // endpoints that must not be chosen, by ID
+	Zone          string          // preferred zone; empty for the box's own
+	Shared        bool            // whether other boxes send requests to these endpoints
+	MovableTokens int             // memory that can be moved off an engine before it terminates; 0 if unknown
+	MaxMemoryUse  float64         // highest fraction of memory in use, including this request; 0 for no limit
 }
 
-// Pick chooses an endpoint, or tells that there is none.
+// Pick returns the endpoint with the lowest score, or false if there is none to choose.
 func (s *Balancer) Pick(now time.Time, endpoints []routing.Endpoint, w Requirements) (routing.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,9 +145,8 @@
 	return choices[best], true
 }
 
-// choices draws some of the endpoints that can take the request. Every box
-// reads the same reports, which are old by then: if all took the best one, all
-// would take the same.
+// choices returns a random sample of the endpoints that may take the request. All boxes
+// have the same reports, so without sampling they would all choose the same endpoint.
 func (s *Balancer) choices(now time.Time, endpoints []routing.Endpoint, w Requirements) []routing.Endpoint {
 	var own, outside []int
 	for i := range endpoints {
@@ -164,7 +160,7 @@
 			outside = append(outside, i)
 		}
 	}
-	// The group's own engines come first, then the strangers.
+	// The group's own engines come first, so that they win ties.
 	var chosen []routing.Endpoint
 	most := maxChoices
 	switch {
@@ -179,7 +175,7 @@
 	return chosen
 }
 
-// sample draws a few at random, in place.
+// sample draws at most a number of elements at random; it reorders its argument.
 func (s *Balancer) sample(all []int, most int) []int {
 	n := min(len(all), most)
 	for i := range n {
@@ -189,6 +185,7 @@
 	return all[:n:n]
 }
 
+// score returns the cost of sending a request to an endpoint; the lowest is best.
 func (s *Balancer) score(now time.Time, e routing.Endpoint, w Requirements) float64 {
 	l := s.load(e.ID)
 	slots := float64(max(e.Slots, 1))
@@ -223,11 +220,12 @@
 	return score + s.random()/(4*slots)
 }
 
-// isOutsideGroup tells whether an endpoint is outside the group's share.
+// isOutsideGroup reports whether an endpoint is not assigned to the box's group.
 func (s *Balancer) isOutsideGroup(id string) bool {
 	return s.groupEngines != nil && !s.groupEngines[id]
 }
 
+// crossZoneCost returns the cost of an endpoint outside the preferred zone.
 func (w Requirements) crossZoneCost() float64 {
 	if w.Memory > 0 {
 		return crossZoneCost
@@ -235,6 +233,7 @@
 	return callCrossZoneCost
 }
 
+// zone returns the preferred availability zone.
 func (w Requirements) zone(s *Balancer) string {
 	if w.Zone != "" {
 		return w.Zone
@@ -242,13 +241,13 @@
 	return s.zone
 }
 
-// memoryUse estimates how full an engine's memory gets, as a part of it: what
-// it told, what this box added since, and how its runs will still grow.
+// memoryUse estimates the fraction of an engine's memory that is in use with this request:
+// the last report, the changes since, and the further growth of the running generations.
 func (s *Balancer) memoryUse(now time.Time, l *endpointLoad, w Requirements) float64 {
 	total := float64(max(w.Memory, 1))
 	if now.Sub(l.reportAt) > memoryReportTTL {
-		// What other boxes told counts here too: an engine that has just joined looks
-		// empty to all boxes until its first report has come round.
+		// Other boxes' placements count as well: an engine that has just joined looks
+		// empty to all boxes until its first report arrives.
 		used := max(l.tokens+l.copyTokens, l.tokensSince(now.Add(-memoryReportTTL)))
 		return float64(used+w.Tokens) / total
 	}
@@ -264,8 +263,8 @@
 	return (math.Max(used, 0) + float64(w.Tokens)) / total
 }
 
-// isSuspect tells whether an endpoint is silent beyond its usual time while it
-// has requests of this box.
+// isSuspect reports whether an endpoint has pending requests of this box and has sent
+// nothing for much longer than its average latency.
 func (l *endpointLoad) isSuspect(now time.Time, w Requirements) bool {
 	if len(l.pending) == 0 {
 		return false
@@ -282,6 +281,7 @@
 	return now.Sub(since) > max(limit, least)
 }
 
+// failureScore returns the decayed score of the last failures, from 0 to 1.
 func (l *endpointLoad) failureScore(now time.Time) float64 {
 	if l.failures == 0 {
 		return 0
@@ -289,6 +289,7 @@
 	return l.failures * math.Exp(-float64(now.Sub(l.failedAt))/float64(failureDecay))
 }
 
+// load returns the load of an endpoint, creating it if needed. The caller holds mu.
 func (s *Balancer) load(id string) *endpointLoad {
 	l := s.loads[id]
 	if l == nil {
--- a/admission/baseline_profile.go
+++ b/admission/baseline_profile.go
@@ -1,6 +1,7 @@
 package admission
 
-// knownLengthProfile is the profile of a generation whose length is known.
+// knownLengthProfile returns the profile of a generation whose output length is known in
+// advance.
 func knownLengthProfile(prompt, generated, length int) Profile {
 	var p Profile
 	left := float64(length - generated)
@@ -15,7 +16,8 @@
 	return p
 }
 
-// reservedProfile holds the full allowed length from the start.
+// reservedProfile returns a profile that reserves the maximum output length at every
+// horizon.
 func reservedProfile(prompt, maxTokens int) Profile {
 	var p Profile
 	for i := range horizons {
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// EndpointDemand is what this box uses of one endpoint and wants more of.
+// EndpointDemand is this box's demand of one endpoint.
 type EndpointDemand struct {
 	Endpoint      string
-	ReportingSlot int // the owner's slot that should say what other boxes hold
+	ReportingSlot int // slot whose owner is asked for the usage of the other boxes
 	Demand
 }
 
-// A lease is renewed when less of it is left than these: at each turn while
-// requests wait, later while the endpoint is in use, last when it is not.
+// A lease is renewed when its remaining time falls below these margins. While requests
+// wait, it is renewed at each turn.
 const (
 	renewMarginInUse = 2 * time.Second
 	renewMarginIdle  = time.Second
 )
 
-// Demands gives what this box uses of each endpoint whose lease is due to be
-// renewed, and, if eager, of all endpoints while requests wait. The waiting
-// requests' expected tokens are spread evenly.
+// Demands returns this box's demand of each endpoint that has a lease due for renewal; with
+// eager set, of all endpoints while requests wait. The expected tokens of the waiting
+// requests are divided evenly among the endpoints.
 func (m *Model) Demands(now time.Time, eager bool) []EndpointDemand {
 	waiting, rank := m.waitingDemand()
 	waiting /= max(1, len(m.endpointNames))
@@ -47,8 +47,8 @@
 	return demands
 }
 
-// waitingDemand gives the expected tokens of the requests of the best rank
-// that wait, and that rank.
+// waitingDemand returns the most urgent rank that has waiting requests, and the expected
+// tokens of the requests of that rank.
 func (m *Model) waitingDemand() (tokens, rank int) {
 	rank = m.waiting.bestRank()
 	for _, line := range m.waiting.byCustomer {
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -8,9 +8,9 @@
 	"dillsaddle.example/dillsaddle/policy"
 )
 
-// dispatch places the waiting requests that may run now, in their order. When a
-// request of one order can't be placed, no later order is tried, so that a
-// lower tier doesn't take the memory that a higher one waits for.
+// dispatch starts the waiting requests that may run now, in queue order. When a request
+// can't be placed, no request of a later order is tried, so that lower tiers don't take the
+// memory that a higher tier waits for.
 func (m *Model) dispatch(now time.Time) []core.Command {
 	var commands []core.Command
 	for m.waiting.length > 0 {
@@ -23,8 +23,8 @@
 	return append(commands, m.scheduleWake(now)...)
 }
 
-// scheduleWake asks for a tick when only a pause between prompts holds a request. One
-// wake-up is under way at a time: each pump would add its own otherwise.
+// scheduleWake requests a wake-up if only the interval between prompts holds a request back.
+// At most one wake-up is outstanding.
 func (m *Model) scheduleWake(now time.Time) []core.Command {
 	after := m.shortestDelay
 	m.shortestDelay = 0
@@ -35,13 +35,15 @@
 	return []core.Command{Wake{After: after}}
 }
 
-// noteDelay notes the shortest pause that holds a request.
+// noteDelay records a prompt delay that holds a request back, keeping the shortest.
 func (m *Model) noteDelay(after time.Duration) {
 	if m.shortestDelay == 0 || after < m.shortestDelay {
 		m.shortestDelay = after
 	}
 }
 
+// dispatchNext starts or refuses one of the requests at the head of the customers' queues
+// and reports whether it did.
 func (m *Model) dispatchNext(now time.Time) (bool, []core.Command) {
 	var commands []core.Command
 	blocked := math.Inf(1)
@@ -59,7 +61,7 @@
 	return false, commands
 }
 
-// agedOrder is the order of a request less one rank for each aging time waited.
+// agedOrder returns a request's order, lowered by one for each aging period it has waited.
 func (m *Model) agedOrder(now time.Time, r *Request) float64 {
 	if m.rules.Aging <= 0 {
 		return r.order
@@ -67,6 +69,7 @@
 	return r.order - math.Floor(now.Sub(r.ArrivedAt).Seconds()/m.rules.Aging.Seconds())
 }
 
+// tryHead starts or refuses a request if its policy says so, and reports whether it did.
 func (m *Model) tryHead(now time.Time, r *Request) (bool, []core.Command) {
 	name, fits := m.chooseEndpoint(now, r)
 	verdict, commands := policy.Run, []core.Command(nil)
@@ -85,6 +88,7 @@
 	return true, append(commands, m.startRun(now, r, name, !fits))
 }
 
+// startRun removes a request from the queue and counts it as running on an endpoint.
 func (m *Model) startRun(now time.Time, r *Request, name string, forced bool) core.Command {
 	m.waiting.remove(r.ID, r.Customer)
 	m.waiting.addServed(r.Customer, float64(r.PromptTokens)/8, r.Weight)
@@ -108,10 +112,11 @@
 	}
 }
 
-// chooseEndpoint gives the endpoint for a request, and whether the request fits there.
-// The endpoints are tried in the rendezvous order of the prompt's prefix, so
-// that all boxes send one prefix to the same few; the first with room and a load
-// bounded by the mean's goes, else the least loaded with room.
+// chooseEndpoint returns the endpoint for a request and reports whether the request fits
+// there. It prefers the endpoint with the highest affinity for the prompt's prefix, so that
+// all boxes send a prefix to the same endpoints, as long as its load is within BoundedLoad
+// of the mean. The next choices are the least loaded endpoint that fits, and the least
+// loaded one.
 func (m *Model) chooseEndpoint(now time.Time, r *Request) (string, bool) {
 	with := m.plan(r, 0)
 	z := normalQuantile(r.Risk)
@@ -164,7 +169,7 @@
 	return least.name, false
 }
 
-// candidate is an endpoint that may take a request.
+// candidate is an endpoint considered for a request.
 type candidate struct {
 	name  string
 	load  float64
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,9 +1,13 @@
-// Package admission decides which waiting request runs where, which waits and
-// which is refused.
+// Package admission decides which waiting request runs on which endpoint, which
+// requests wait and which are refused.
 //
-// Output lengths are unknown, so a request is admitted by the distribution of
-// remaining lengths: the running set's expected memory and its variance are
-// held at a few horizons ahead, and the peak over the horizons must stay under
-// the leased memory with the risk that the request's tier states. Everything
-// here is pure: state, event and time in, commands out.
+// Output lengths are not known in advance, so a request is admitted by the
+// estimated distribution of its remaining length. The expected memory of all
+// running generations and its variance are computed at several horizons ahead.
+// The peak over the horizons must fit the leased memory, except with the
+// probability that the request's tier accepts.
+//
+// The package also balances the gateway's requests over the endpoints of a
+// service. Time and randomness are passed in by the caller, and nothing here
+// does I/O.
 package admission
--- a/admission/drain_rate.go
+++ b/admission/drain_rate.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// drainRate measures how many requests a second leave the queue for an endpoint.
+// drainRate measures how many requests per second leave the queue for an endpoint.
 type drainRate struct {
-	perSecond   float64
-	starts      float64
+	perSecond   float64 // smoothed over the windows
+	starts      float64 // in the current window
 	windowStart time.Time
 }
 
-// drainRateWindow is the time over which starts are counted.
+// drainRateWindow is the minimum length of a window.
 const drainRateWindow = time.Second
 
-// drainRateWeight is the weight of the newest window.
+// drainRateWeight is the weight of the latest window in the average.
 const drainRateWeight = 0.3
 
 func (r *drainRate) countStart(now time.Time) {
@@ -22,6 +22,7 @@
 	r.starts++
 }
 
+// tick updates the average if the current window is over.
 func (r *drainRate) tick(now time.Time) {
 	if r.windowStart.IsZero() {
 		r.windowStart = now
@@ -41,14 +42,14 @@
 	r.windowStart = now
 }
 
-// The bounds of what a refused caller is told.
+// The bounds of the retry delay that a refused caller receives.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Minute
 )
 
-// expectedWait is the time until the requests ahead have left the queue, at the
-// rate at which the queue really drains. An unmeasured rate refuses nobody.
+// expectedWait estimates how long a request will wait from the number of requests ahead and
+// the drain rate. It is 0 while the rate is unknown.
 func (m *Model) expectedWait(r *Request) time.Duration {
 	ahead := m.waiting.ahead(r.order)
 	if ahead == 0 || m.drainRate.perSecond <= 0 {
@@ -57,6 +58,7 @@
 	return time.Duration(float64(ahead) / m.drainRate.perSecond * float64(time.Second))
 }
 
+// retryAfter returns the delay after which the caller of a refused request may retry.
 func (m *Model) retryAfter(r *Request) time.Duration {
 	wait := m.expectedWait(r)
 	return min(maxRetryAfter, max(minRetryAfter, wait))
--- a/admission/endpoint_load.go
+++ b/admission/endpoint_load.go
@@ -8,42 +8,42 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// endpointLoad is what a box knows of one endpoint's load.
+// endpointLoad is this box's view of the load of one endpoint.
 type endpointLoad struct {
-	running          int // of this box
-	reportedRequests int // running and waiting, as an answer told
-	loadReportedAt   time.Time
-	startedSince     int // started by this box since that answer
-	report           routing.Report
-	reportAt         time.Time
-	recentChanges    []memoryChange // of the memory, not yet in the report
-	tokens           int            // of this box's runs, at their expected end
-	copyTokens       int            // tokens of copies that this box sends there
-	failures         float64
+	running          int            // requests of this box
+	reportedRequests int            // running and waiting requests by the last response header
+	loadReportedAt   time.Time      // when that header was received
+	startedSince     int            // requests that this box sent after it
+	report           routing.Report // last memory report of the engine
+	reportAt         time.Time      // when the report was made
+	recentChanges    []memoryChange // not yet included in the report
+	tokens           int            // memory of this box's runs at their expected ends
+	copyTokens       int            // memory of the copies that this box is sending
+	failures         float64        // failure score at failedAt
 	failedAt         time.Time
-	avoidUntil       time.Time
-	pending          []time.Time // when this box's requests under way were sent
-	activeAt         time.Time   // of the endpoint, on any connection of this box
-	latency          float64     // seconds, learned
+	avoidUntil       time.Time   // end of the time without requests after a timeout
+	pending          []time.Time // send times of this box's pending requests, oldest first
+	activeAt         time.Time   // when this box last received data from the endpoint
+	latency          float64     // average latency in seconds
 	lastSendAt       time.Time
-	queuedTokens     float64 // tokens of prompts that wait to be read, at queueAt
+	queuedTokens     float64 // prompt tokens waiting for prefill at queuedAt
 	queuedAt         time.Time
 }
 
-// memoryChange is memory that a run or a copy takes, or gives back when it is over.
+// memoryChange is memory allocated by a run or a copy, or freed at its end.
 type memoryChange struct {
 	at        time.Time
-	tokens    int // below 0 when it is over
-	announced int // the size by which the boxes know the run, 0 for none
+	tokens    int // negative if freed
+	announced int // tokens that the boxes were notified of, to match a run's end to its start; 0 for none
 }
 
-// backlog estimates the tokens of prompts that wait at an engine.
+// backlog estimates the prompt tokens waiting for prefill at an engine.
 func (l *endpointLoad) backlog(now time.Time, prefillRate float64) float64 {
 	return math.Max(0, l.queuedTokens-prefillRate*now.Sub(l.queuedAt).Seconds())
 }
 
-// AddPrompt counts a prompt that this box or another one sent to an engine, and
-// gives the tokens that are to be read there before its first event.
+// AddPrompt counts a prompt that this box or another one sent to an engine. It returns the
+// prompt tokens to be prefilled there, including this prompt.
 func (s *Balancer) AddPrompt(now time.Time, id string, prompt int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,8 +54,8 @@
 	return l.queuedTokens
 }
 
-// AddRemotePrompt counts a prompt that another box sent to an engine: it will
-// take memory before a report tells.
+// AddRemotePrompt counts a prompt that another box sent to an engine, and the memory that
+// its run will hold.
 func (s *Balancer) AddRemotePrompt(now time.Time, id string, prompt int) {
 	s.AddPrompt(now, id, prompt)
 	s.mu.Lock()
@@ -64,15 +64,15 @@
 	s.remotePlacementAt = now
 }
 
-// AddRemoteCopy counts a copy that another box sends to an engine.
+// AddRemoteCopy counts the copy of a run's memory that another box sends to an engine.
 func (s *Balancer) AddRemoteCopy(now time.Time, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load(id).addChange(now, tokens, tokens)
 }
 
-// ObservePrefill takes how long an engine took to read what waited, with a prompt of
-// this box as the last.
+// ObservePrefill records how long an engine took to prefill its queued tokens, ending with
+// a prompt of this box.
 func (s *Balancer) ObservePrefill(queuedTokens float64, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +82,9 @@
 	s.prefillRate += learningWeight * (queuedTokens/took.Seconds() - s.prefillRate)
 }
 
-// BeginSend counts a send to an endpoint: the memory that it takes at its end, and the size
-// by which the boxes know it, 0 for calls.
+// BeginSend counts a request sent to an endpoint: the memory that it holds at its expected
+// end, and the tokens that other boxes are notified of, which are 0 for other services than
+// engines.
 func (s *Balancer) BeginSend(now time.Time, id string, tokens, announced int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,9 +97,9 @@
 	l.addChange(now, tokens, announced)
 }
 
-// RunEnded takes a run's memory back, here or at another box, by the size by which the boxes
-// know it; held is what it held at its end. Reports are a second old when they come round,
-// and engines whose runs ended meanwhile look full.
+// RunEnded counts the memory freed by a run of this box or another one. It finds the run by
+// its announced tokens; held is the memory that it held at its end. Without this, engines
+// look full until their next report.
 func (s *Balancer) RunEnded(now time.Time, id string, announced, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 		l.recentChanges = slices.Delete(l.recentChanges, index, index+1)
 		return
 	}
-	// The report has it, with the growth that is expected of a run.
+	// The report includes the run and, in memoryUse, its expected growth.
 	l.recentChanges = append(l.recentChanges, memoryChange{
 		at:        now,
 		tokens:    -held - int(s.output/2),
@@ -118,15 +119,15 @@
 	})
 }
 
-// RecordActivity notes that something came from an endpoint.
+// RecordActivity records that data was received from an endpoint.
 func (s *Balancer) RecordActivity(now time.Time, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load(id).activeAt = now
 }
 
-// ActiveSince tells whether anything came from an endpoint after a time: to this box, or to
-// one that told of its report.
+// ActiveSince reports whether an endpoint sent anything after a time, to this box or to a
+// box that forwarded its report.
 func (s *Balancer) ActiveSince(at time.Time, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,6 +135,7 @@
 	return l.activeAt.After(at) || l.loadReportedAt.After(at) || l.reportAt.After(at)
 }
 
+// addChange records memory that is being allocated at an endpoint.
 func (l *endpointLoad) addChange(now time.Time, tokens, announced int) {
 	l.dropBefore(now.Add(-memoryReportTTL))
 	if tokens > 0 {
@@ -145,12 +147,12 @@
 	}
 }
 
-// dropBefore drops what was placed before a time.
+// dropBefore removes the changes before a time.
 func (l *endpointLoad) dropBefore(before time.Time) {
 	l.recentChanges = slices.DeleteFunc(l.recentChanges, func(c memoryChange) bool { return c.at.Before(before) })
 }
 
-// tokensSince gives the tokens that were placed after a time, by any box that told.
+// tokensSince returns the memory allocated after a time, net of what was freed.
 func (l *endpointLoad) tokensSince(after time.Time) int {
 	tokens := 0
 	for _, c := range l.recentChanges {
@@ -161,7 +163,7 @@
 	return max(tokens, 0)
 }
 
-// EndSend takes a send back that began at a time, when it is over.
+// EndSend ends a request that was sent at a time and counted by BeginSend.
 func (s *Balancer) EndSend(now time.Time, id string, sentAt time.Time, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,8 +175,8 @@
 	l.tokens -= tokens
 }
 
-// Copy counts a copy of a run's memory at an endpoint; a negative number of
-// tokens takes it back.
+// Copy counts a copy of a run's memory that this box sends to an endpoint. A negative
+// number of tokens ends the copy.
 func (s *Balancer) Copy(now time.Time, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +185,7 @@
 	l.addChange(now, tokens, 0)
 }
 
-// ObserveLoad takes the load that an endpoint told with an answer.
+// ObserveLoad records the number of requests that an endpoint reported with a response.
 func (s *Balancer) ObserveLoad(now time.Time, id string, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +195,7 @@
 	l.loadReportedAt = now
 }
 
-// Memory takes an engine's report and when it was given.
+// Memory records an engine's memory report and when it was made.
 func (s *Balancer) Memory(at time.Time, r routing.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,7 +208,7 @@
 	l.dropBefore(at.Add(-reportLag))
 }
 
-// ObserveLengths takes what a whole generation came to.
+// ObserveLengths records the lengths of a completed generation, in tokens.
 func (s *Balancer) ObserveLengths(prompt, output int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +220,7 @@
 	s.output += learningWeight * (float64(output) - s.output)
 }
 
-// Succeeded notes a good answer and how long it took.
+// Succeeded records a successful response of an endpoint and its latency.
 func (s *Balancer) Succeeded(now time.Time, id string, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +232,7 @@
 	l.avoidUntil = time.Time{}
 }
 
-// Failed notes a failure of an endpoint; silent ones get no work for a while.
+// Failed records a failure of an endpoint. An unresponsive one is avoided for a while.
 func (s *Balancer) Failed(now time.Time, id string, unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +244,7 @@
 	}
 }
 
-// Forget drops an endpoint that is gone.
+// Forget drops the load of an endpoint that no longer exists.
 func (s *Balancer) Forget(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/admission/endpoint_state.go
+++ b/admission/endpoint_state.go
@@ -8,20 +8,22 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// endpointState is what one box knows of one endpoint.
+// endpointState is this box's view of one endpoint: its leases there, its running
+// generations, and the usage that other boxes reported.
 type endpointState struct {
 	name          string
-	leases        [core.SlotCount]core.Lease
-	growths       [core.SlotCount]float64
-	others        Profile
-	othersRunning int
-	step          time.Duration
-	lastSentAt    time.Time
-	own           Profile
-	running       []*running // in the order of their placing: sums come out the same in every run
+	leases        [core.SlotCount]core.Lease // one from each owner of the endpoint's memory
+	growths       [core.SlotCount]float64    // tokens that may still be added under each lease
+	others        Profile                    // memory of the other boxes' generations
+	othersRunning int                        // number of the other boxes' generations
+	step          time.Duration              // time between two tokens
+	lastSentAt    time.Time                  // when this box last sent a prompt
+	own           Profile                    // memory of this box's generations
+	running       []*running                 // ordered by start, so that float sums are reproducible
 	prefixes      *prefixes
 }
 
+// running is a generation that this box runs on an endpoint.
 type running struct {
 	request   Request
 	endpoint  string
@@ -36,12 +38,12 @@
 	}
 }
 
-// capacity is what the usable leases allow at a moment.
+// capacity is the sum of the usable leases of an endpoint.
 type capacity struct {
 	tokens float64
 	slots  int
 	growth float64
-	until  time.Time // end of the lease that ends first
+	until  time.Time // when the first of the leases expires
 }
 
 func (p *endpointState) capacity(now time.Time) capacity {
@@ -61,7 +63,7 @@
 	return r
 }
 
-// needsRenewal reports whether a lease must be renewed while no request waits.
+// needsRenewal reports whether a lease is close enough to its expiry to be renewed.
 func (p *endpointState) needsRenewal(now time.Time) bool {
 	margin := renewMarginIdle
 	if len(p.running) > 0 {
@@ -75,7 +77,8 @@
 	return false
 }
 
-// reportingSlot is the first owner whose lease is still good.
+// reportingSlot returns the first slot with a usable lease; its owner is asked for the
+// usage of the other boxes.
 func (p *endpointState) reportingSlot(now time.Time) int {
 	for slot := range p.leases {
 		if p.leases[slot].Usable(now) {
@@ -85,7 +88,7 @@
 	return 0
 }
 
-// load is the planned part of the leased memory.
+// load returns the planned peak memory as a fraction of the leased memory.
 func (p *endpointState) load(r capacity) float64 {
 	if r.tokens == 0 {
 		return 1
@@ -95,7 +98,8 @@
 	return total.Peak(0) / r.tokens
 }
 
-// plannedPeak is the planned memory of all boxes at a risk.
+// plannedPeak returns the peak memory of all boxes, including the given profile, at z
+// standard deviations.
 func (p *endpointState) plannedPeak(with *Profile, z float64) float64 {
 	sum := p.own
 	sum.Add(&p.others)
@@ -105,15 +109,16 @@
 
 func (p *endpointState) runningCount() int { return len(p.running) + p.othersRunning }
 
-// The pause between two prompts that a box sends to one endpoint, in steps of the
-// endpoint: computing a prompt holds up the tokens of all others, and two in one
-// step add up.
 const (
+	// promptIntervalSteps is the minimum interval between two prompts that a box sends to
+	// one endpoint, in decoding steps. Prefill delays the tokens of all running generations,
+	// so prompts must not share a step.
 	promptIntervalSteps = 3
-	defaultStep         = 20 * time.Millisecond
+	// defaultStep is the assumed time of a decoding step before the endpoint reports one.
+	defaultStep = 20 * time.Millisecond
 )
 
-// promptDelay gives how long the next prompt must wait.
+// promptDelay returns how long the next prompt must wait.
 func (p *endpointState) promptDelay(now time.Time) time.Duration {
 	step := p.step
 	if step <= 0 {
@@ -122,8 +127,8 @@
 	return p.lastSentAt.Add(promptIntervalSteps * step).Sub(now)
 }
 
-// fits reports whether a request with a profile may be sent now: memory and
-// batch, each less what is kept for higher ranks.
+// fits reports whether a request can start now: whether the endpoint has a free batch
+// slot and enough memory, without the fraction reserved for more urgent ranks.
 func (p *endpointState) fits(r capacity, with *Profile, z, reserved float64) bool {
 	slots := int(float64(r.slots) * (1 - reserved))
 	if p.runningCount() >= max(1, slots) {
@@ -144,7 +149,7 @@
 	p.useGrowth(max(1, p.plannedPeak(&Profile{}, 0)-before))
 }
 
-// useGrowth takes from the growth of the leases, the first one first.
+// useGrowth subtracts tokens from the growth allowance of the leases, in slot order.
 func (p *endpointState) useGrowth(amount float64) {
 	for i := range p.growths {
 		used := min(amount, max(0, p.growths[i]))
@@ -160,7 +165,7 @@
 	p.own.Sub(&r.profile)
 }
 
-// recomputeOwn recomputes the own profile from how far each generation is.
+// recomputeOwn updates the profiles of this box's generations to their current lengths.
 func (p *endpointState) recomputeOwn(profile func(*running) Profile) {
 	p.own = Profile{}
 	for _, r := range p.running {
@@ -169,8 +174,8 @@
 	}
 }
 
-// affinity is higher for an endpoint that more likely holds a prefix: by what
-// was heard of its cache, then by rendezvous.
+// affinity scores how well an endpoint suits a prompt prefix. Endpoints that reported the
+// prefix as cached come first; the others are ordered by rendezvous hashing.
 func (p *endpointState) affinity(prefix uint64) uint64 {
 	if prefix == 0 {
 		return 0
@@ -182,10 +187,11 @@
 	return score
 }
 
-// maxPrefixes bounds how many prefixes are remembered for an endpoint.
+// maxPrefixes is the number of cached prefixes remembered per endpoint.
 const maxPrefixes = 4096
 
-// prefixes remembers which prompt prefixes an endpoint likely holds.
+// prefixes is the set of prompt prefixes that an endpoint probably has in its cache. The
+// oldest are dropped first.
 type prefixes struct {
 	held  map[uint64]bool
 	order []uint64
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -7,16 +7,16 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Estimate is what a box believes of an engine when it places a prompt there.
+// Estimate is the expected state of an engine at the time when a prompt is sent to it.
 type Estimate struct {
-	MemoryUse          float64       // how full its memory gets with the prompt, as a part of it
-	PrefillDelay       time.Duration // until the prompts that came before are read
-	ReportAge          time.Duration // since the engine's own word was true; 0 when there is none that counts
-	RemotePlacementAge time.Duration // since another box last told of any placement; 0 for never
-	UntilFirstEvent    time.Duration // until its first event: until there is room and all prompts are read
+	MemoryUse          float64       // fraction of the engine's memory in use, including the prompt
+	PrefillDelay       time.Duration // time until the prompts queued earlier are prefilled
+	ReportAge          time.Duration // age of the engine's last report; 0 without a current report
+	RemotePlacementAge time.Duration // time since another box last reported a placement; 0 if none did
+	UntilFirstEvent    time.Duration // time until the first event of the response
 }
 
-// Estimate gives what a request would meet at an endpoint.
+// Estimate returns the expected state of an endpoint if the request is sent there now.
 func (s *Balancer) Estimate(now time.Time, e routing.Endpoint, w Requirements) Estimate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,8 +35,8 @@
 	return out
 }
 
-// timeToFirstEvent estimates the time until a prompt's first event: until enough runs have ended
-// that it has room, and until the prompts before it and itself are read.
+// timeToFirstEvent estimates the time until the first event of a response: until enough
+// runs have ended to make room, and until the queued prompts and this one are prefilled.
 func (s *Balancer) timeToFirstEvent(now time.Time, l *endpointLoad, w Requirements) time.Duration {
 	seconds := (l.backlog(now, s.prefillRate) + float64(w.Prompt)) / s.prefillRate
 	if over := s.memoryUse(now, l, w) - 1; over > 0 {
@@ -45,12 +45,12 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// freedPerSecond gives the tokens of memory that ended runs give back at one engine in a second.
+// freedPerSecond returns the tokens of memory that ending runs free per engine and second.
 func (s *Balancer) freedPerSecond(now time.Time) float64 {
 	perEngine := s.released.perSecond(now) / float64(max(len(s.groupEngines), 1))
 	return math.Max(perEngine, minFreedPerSecond)
 }
 
-// minFreedPerSecond is what an engine gives back at least, in tokens a second, as long as few runs
-// ended: one run of some thousand tokens that lasts ten seconds.
+// minFreedPerSecond is the lower bound of freedPerSecond, in tokens. It covers the time
+// after a start, when few runs have ended.
 const minFreedPerSecond = 400.0
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -1,13 +1,13 @@
 package admission
 
-// LengthKey names whose lengths are estimated together.
+// LengthKey identifies a group of requests whose output lengths are estimated together.
 type LengthKey struct {
 	Customer string
 	Class    string
 }
 
-// LengthEstimator holds the length estimates of one model: for the model, for each
-// class, and for each customer and class, each leaning on the one above.
+// LengthEstimator estimates output lengths for one model, for each class, and for each
+// customer within a class. Each level uses the level above as its prior.
 type LengthEstimator struct {
 	prior        [bucketCount]float64
 	model        Lengths
@@ -15,16 +15,17 @@
 	keyEstimates map[LengthKey]*keyEstimate
 }
 
+// keyEstimate holds the lengths observed for one key and the curve computed from them.
 type keyEstimate struct {
 	lengths         Lengths
 	curve           Curve
-	newObservations int
+	newObservations int // since the curve was computed
 }
 
-// curveRefreshAfter is how many observations a cached curve may lag.
+// curveRefreshAfter is the number of observations after which a curve is recomputed.
 const curveRefreshAfter = 4
 
-// NewLengthEstimator starts from an expected mean length.
+// NewLengthEstimator returns an estimator that expects the given mean length at first.
 func NewLengthEstimator(meanTokens int) *LengthEstimator {
 	return &LengthEstimator{
 		prior:        priorHazard(float64(max(1, meanTokens))),
@@ -51,7 +52,7 @@
 	return l
 }
 
-// ObserveEnd learns a length.
+// ObserveEnd records the final length of a generation.
 func (e *LengthEstimator) ObserveEnd(key LengthKey, tokens int) {
 	e.model.ObserveEnd(tokens)
 	e.class(key.Class).ObserveEnd(tokens)
@@ -60,7 +61,7 @@
 	l.newObservations++
 }
 
-// ObserveProgress learns that a running generation grew from one length to another.
+// ObserveProgress records that a running generation grew from one length to another.
 func (e *LengthEstimator) ObserveProgress(key LengthKey, from, to int) {
 	for b := bucketOf(from); b < bucketOf(to); b++ {
 		e.model.ObservePassed(b)
@@ -71,7 +72,7 @@
 	}
 }
 
-// Curve gives the length curve of a customer and class.
+// Curve returns the survival curve of the lengths of a customer and class.
 func (e *LengthEstimator) Curve(key LengthKey) *Curve {
 	l := e.keyEstimate(key)
 	if l.newObservations >= curveRefreshAfter {
--- a/admission/event.go
+++ b/admission/event.go
@@ -6,48 +6,48 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// RequestArrived tells that a request wants a place.
+// RequestArrived is the event that a request needs an endpoint.
 type RequestArrived struct {
 	core.EventBase
 	Request Request
 }
 
-// RequestWithdrawn tells that a waiting request's caller left.
+// RequestWithdrawn is the event that the caller of a waiting request disconnected.
 type RequestWithdrawn struct {
 	core.EventBase
 	ID       string
 	Customer string
 }
 
-// LeaseArrived tells what an owner granted of its half.
+// LeaseArrived is the event that the owner of a slot of an endpoint's memory granted a
+// lease.
 type LeaseArrived struct {
 	core.EventBase
 	Slot         int
 	Lease        core.Lease
-	HasOthers    bool // Others is known; if not, what was known stays
+	HasOthers    bool // whether Others is set; the previous value is kept otherwise
 	Others       Profile
 	OtherRunning int
 	Growth       int
 	Step         time.Duration
 }
 
-// TokensMade tells how far a running generation is.
+// TokensMade is the event that a running generation has reached a length.
 type TokensMade struct {
 	core.EventBase
 	ID        string
 	Generated int
 }
 
-// GenerationEnded tells that a running generation holds no memory any more.
-// Whole means that its length was its own and not cut short.
+// GenerationEnded is the event that a generation has ended and its memory is free.
 type GenerationEnded struct {
 	core.EventBase
 	ID        string
 	Generated int
-	Whole     bool
+	Whole     bool // the generation ended by itself and was not cut short
 }
 
-// GenerationTakenOver tells that a stream begun elsewhere continues here.
+// GenerationTakenOver is the event that this box continues a stream of another box.
 type GenerationTakenOver struct {
 	core.EventBase
 	Request   Request
@@ -55,8 +55,8 @@
 	Generated int
 }
 
-// PrefixCached tells that an endpoint holds, or dropped, a prompt prefix; it
-// may be late or missing.
+// PrefixCached is the event that an endpoint cached or dropped a prompt prefix. It may be
+// late or missing.
 type PrefixCached struct {
 	core.EventBase
 	Endpoint string
@@ -64,40 +64,40 @@
 	Dropped  bool
 }
 
-// EndpointsChanged tells which endpoints serve the model now.
+// EndpointsChanged is the event that the set of endpoints that serve the model changed.
 type EndpointsChanged struct {
 	core.EventBase
 	Names []string
 }
 
-// Ticked tells that time has passed.
+// Ticked is the periodic timer event.
 type Ticked struct{ core.EventBase }
 
-// PlaceRequest asks the shell to send a request to an endpoint.
+// PlaceRequest is the command to send a request to an endpoint.
 type PlaceRequest struct {
 	core.CommandBase
 	ID       string
 	Endpoint string
-	Until    time.Time // end of the lease; no byte may be sent later
+	Until    time.Time // expiry of the lease; nothing may be sent after it
 	Waited   time.Duration
-	Forced   bool
+	Forced   bool // a policy program runs the request although it doesn't fit
 }
 
-// Wake asks the shell for a Ticked after a time: a request waits only for the
-// pause between two prompts at an endpoint.
+// Wake is the command to deliver a Ticked event after a delay. A request is then waiting
+// only for the minimum interval between two prompts at an endpoint.
 type Wake struct {
 	core.CommandBase
 	After time.Duration
 }
 
-// WantLeases asks the shell to renew the leases now: a request found no room on
-// those that it has, which may be smaller than what the owners could give.
+// WantLeases is the command to renew the leases now, because a request found no room
+// under the current ones.
 type WantLeases struct{ core.CommandBase }
 
 // RefusalReason is the stable code of a refusal.
 type RefusalReason string
 
-// The reasons for which admission refuses.
+// The reasons for refusing a request.
 const (
 	RefusePolicy         RefusalReason = "policy_refused"
 	RefuseOverload       RefusalReason = "overloaded"
@@ -105,7 +105,7 @@
 	RefuseTimeout        RefusalReason = "waited_too_long"
 )
 
-// RefuseRequest asks the shell to refuse a request at once.
+// RefuseRequest is the command to refuse a request.
 type RefuseRequest struct {
 	core.CommandBase
 	ID         string
@@ -113,7 +113,7 @@
 	RetryAfter time.Duration
 }
 
-// PolicyFailed tells that a program failed while it ran.
+// PolicyFailed is the command to report that a policy program failed during evaluation.
 type PolicyFailed struct {
 	core.CommandBase
 	Tier  string
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -6,23 +6,20 @@
 )
 
 const (
-	// flowWindow is the time over which a flow is averaged: some prompts of even a small
-	// group, and short against the minutes in which callers come and go.
+	// flowWindow is the time constant of the exponential average.
 	flowWindow = 2 * time.Second
-	// maxUnreportedAge bounds the age of what is known of an engine of another group. Its
-	// reports come round in about a second; without any it may have joined just now.
+	// maxUnreportedAge limits the time for which placements by other groups are estimated.
+	// An engine without a report may have joined just now.
 	maxUnreportedAge = 1500 * time.Millisecond
-	// unreportedFraction is how much of what came unseen still waits: some of it has been read
-	// since. In virtual time, late first events with zones alike, and with one of 1.7
-	// times the callers: 0.017 and 0.051 with 0, 0.000 and 0.004 with 0.5, 0.000 and
-	// 0.026 with 1, at which the hot zone uses others' engines too seldom.
+	// unreportedFraction is the fraction of the estimated prompts that is still queued; the
+	// rest has been prefilled since.
 	unreportedFraction = 0.5
 )
 
-// flow is how much came in the last moments, exponentially averaged.
+// flow is an exponentially averaged rate.
 type flow struct {
 	sum float64
-	at  time.Time
+	at  time.Time // when sum was last updated
 }
 
 func (f *flow) add(now time.Time, amount float64) {
@@ -30,20 +27,19 @@
 	f.at = now
 }
 
-// decayFactor gives the part of the sum that still counts.
+// decayFactor returns the remaining weight of the sum.
 func (f *flow) decayFactor(now time.Time) float64 {
 	return math.Exp(-float64(now.Sub(f.at)) / float64(flowWindow))
 }
 
-// perSecond gives the flow.
+// perSecond returns the average amount per second.
 func (f *flow) perSecond(now time.Time) float64 {
 	return f.sum * f.decayFactor(now) / flowWindow.Seconds()
 }
 
-// unreportedPromptTokens estimates the tokens of prompts that the boxes of another group have placed on
-// one of their engines since its last report, as if they had as many as this group has:
-// nobody tells this box of those. Taken for as empty as their last reports say, engines of
-// other zones are crowded, those that have just joined above all.
+// unreportedPromptTokens estimates the prompt tokens that the boxes of another group have
+// sent to one of their engines since its last report. This box is not notified of them, so
+// it assumes the same rate as in its own group.
 func (s *Balancer) unreportedPromptTokens(now time.Time, l *endpointLoad) float64 {
 	age := min(now.Sub(l.reportAt), maxUnreportedAge)
 	perEngine := s.flow.perSecond(now) / float64(max(len(s.groupEngines), 1))
--- a/admission/lengths.go
+++ b/admission/lengths.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// bucketCount covers lengths up to 2^17 tokens in half octaves.
+// bucketCount is the number of length buckets; they cover up to 2^17 tokens in half
+// octaves.
 const bucketCount = 34
 
-// bucketEnds are the upper ends of the buckets, in tokens.
+// bucketEnds are the exclusive upper ends of the buckets, in tokens.
 var bucketEnds = makeBucketEnds()
 
 func makeBucketEnds() [bucketCount]float64 {
@@ -25,33 +26,32 @@
 	return bucketCount - 1
 }
 
-// Lengths estimates output lengths by the share of generations that end in
-// each bucket of those that reach it. A generation that is still running
-// counts in every bucket that it has passed, so a customer whose outputs grow
-// is seen before the first long one ends.
+// Lengths estimates a distribution of output lengths by the fraction of generations that
+// end in each bucket among those that reach it. A running generation counts in each bucket
+// that it has passed, so longer outputs are noticed before the first of them has ended.
 type Lengths struct {
 	reached [bucketCount]float64
 	ended   [bucketCount]float64
 }
 
-// observationDecay is the weight that older observations keep for each new one.
+// observationDecay is the factor applied to older observations at each new one.
 const observationDecay = 0.995
 
-// ObservePassed counts a running generation that left a bucket without ending.
+// ObservePassed counts a running generation that grew beyond a bucket.
 func (l *Lengths) ObservePassed(bucket int) {
 	l.reached[bucket] = l.reached[bucket]*observationDecay + 1
 	l.ended[bucket] *= observationDecay
 }
 
-// ObserveEnd counts a generation that ended with a number of tokens. Earlier
-// buckets were counted by Passed.
+// ObserveEnd counts a generation that ended at a length. The buckets below it are counted
+// by ObservePassed.
 func (l *Lengths) ObserveEnd(tokens int) {
 	b := bucketOf(tokens)
 	l.reached[b] = l.reached[b]*observationDecay + 1
 	l.ended[b] = l.ended[b]*observationDecay + 1
 }
 
-// Merge adds the observations of another estimate.
+// Merge adds the observations of another distribution.
 func (l *Lengths) Merge(other *Lengths) {
 	for i := range l.reached {
 		l.reached[i] += other.reached[i]
@@ -59,15 +59,16 @@
 	}
 }
 
-// Curve is the chance that a generation is longer than each bucket's end.
+// Curve is a survival curve: the probability that a generation is longer than each
+// bucket's end.
 type Curve struct {
 	survival [bucketCount]float64
 }
 
-// priorWeight is how many observations a parent's hazard counts for.
+// priorWeight is the number of observations that the prior counts for.
 const priorWeight = 8
 
-// hazard gives the chance to end in each bucket, leaning on a parent.
+// hazard returns the probability of ending in each bucket, with the parent's as the prior.
 func (l *Lengths) hazard(parent [bucketCount]float64) [bucketCount]float64 {
 	var h [bucketCount]float64
 	for i := range h {
@@ -76,8 +77,8 @@
 	return h
 }
 
-// priorHazard is that of an exponential length with a given mean, softened so
-// that a long tail stays possible.
+// priorHazard returns the hazard of an exponential distribution with the given mean,
+// capped so that long outputs stay possible.
 func priorHazard(mean float64) [bucketCount]float64 {
 	var h [bucketCount]float64
 	low := 0.0
@@ -98,8 +99,8 @@
 	return c
 }
 
-// survivalAt gives the chance that the length exceeds a number of tokens, linear
-// within a bucket.
+// survivalAt returns the probability that a generation is longer than a number of tokens,
+// interpolated linearly within a bucket.
 func (c *Curve) survivalAt(tokens float64) float64 {
 	low, high := 0.0, 1.0
 	for i, edge := range bucketEnds {
@@ -112,8 +113,8 @@
 	return c.survival[bucketCount-1] * 0.5
 }
 
-// Beyond gives the chance that a generation that has made some tokens makes at
-// least more further ones.
+// Beyond returns the probability that a generation of the given length produces at least
+// more further tokens.
 func (c *Curve) Beyond(generated, more float64) float64 {
 	survivalNow := c.survivalAt(generated)
 	if survivalNow < 1e-9 {
@@ -122,7 +123,7 @@
 	return c.survivalAt(generated+more) / survivalNow
 }
 
-// Remaining gives the expected number of further tokens.
+// Remaining returns the expected number of further tokens, up to a total of maxTokens.
 func (c *Curve) Remaining(generated float64, maxTokens int) float64 {
 	survivalNow := max(c.survivalAt(generated), 1e-9)
 	sum := 0.0
--- a/admission/model.go
+++ b/admission/model.go
@@ -9,21 +9,22 @@
 	"dillsaddle.example/dillsaddle/policy"
 )
 
-// Model admits the requests for one model on one box.
+// Model admits the requests for one model on one box. It holds the queue of waiting
+// requests, the running generations and the leases on the model's endpoints.
 type Model struct {
 	rules             Rules
 	estimator         *LengthEstimator
 	waiting           queue
-	endpoints         map[string]*endpointState
-	endpointNames     []string
-	running           map[string]*running
+	endpoints         map[string]*endpointState // by name
+	endpointNames     []string                  // endpoints that serve the model, sorted
+	running           map[string]*running       // by request ID
 	drainRate         drainRate
-	shortestDelay     time.Duration
-	nextWakeAt        time.Time
-	leasesRequestedAt time.Time
+	shortestDelay     time.Duration // shortest prompt delay that holds a request back; 0 for none
+	nextWakeAt        time.Time     // when the last requested wake-up is due
+	leasesRequestedAt time.Time     // when WantLeases was last issued
 }
 
-// NewModel starts with no endpoint.
+// NewModel returns a model without endpoints.
 func NewModel(options ...Option) *Model {
 	rules := DefaultRules()
 	for _, o := range options {
@@ -38,10 +39,10 @@
 	}
 }
 
-// SetRules puts new rules in force for what arrives and waits from now on.
+// SetRules replaces the rules, also for requests that are already waiting.
 func (m *Model) SetRules(rules Rules) { m.rules = rules }
 
-// Step applies one event.
+// Step applies one event and returns the commands that result from it.
 func (m *Model) Step(now time.Time, ev core.Event) []core.Command {
 	switch e := ev.(type) {
 	case RequestArrived:
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// Waiting counts the requests that wait.
+// Waiting returns the number of waiting requests.
 func (m *Model) Waiting() int { return m.waiting.length }
 
-// Running counts the generations that run for this box.
+// Running returns the number of generations that this box runs.
 func (m *Model) Running() int { return len(m.running) }
 
-// WaitingByTier counts the requests that wait, by tier.
+// WaitingByTier returns the number of waiting requests of each tier.
 func (m *Model) WaitingByTier() map[string]int {
 	count := make(map[string]int)
 	for _, line := range m.waiting.byCustomer {
@@ -118,7 +119,7 @@
 	return m.plan(&r.request, r.generated)
 }
 
-// plan is the memory profile by which a request is admitted.
+// plan returns the memory profile that is assumed for a request.
 func (m *Model) plan(r *Request, generated int) Profile {
 	if m.rules.KnownLength != nil {
 		return knownLengthProfile(r.PromptTokens, generated, m.rules.KnownLength(r.ID))
@@ -206,11 +207,11 @@
 	return commands
 }
 
-// leaseRequestInterval is the least time between two wishes out of turn.
+// leaseRequestInterval is the minimum interval between two WantLeases commands.
 const leaseRequestInterval = 100 * time.Millisecond
 
-// rank sets a request's place in the order; a program that fails falls back to
-// its tier's rank.
+// rank sets a request's order in the queue from the tier's policy program, or from the
+// tier's rank if there is no program or it fails.
 func (m *Model) rank(r *Request, in *policy.Input) []core.Command {
 	r.order = float64(r.Rank)
 	program := m.rules.Program(r.Tier)
@@ -296,7 +297,7 @@
 	return min(1, sum/float64(n))
 }
 
-// Explain gives what the programs would see of a request now.
+// Explain returns the input that a policy program would get for a request now.
 func (m *Model) Explain(now time.Time, r Request) *policy.Input { return m.policyInput(now, &r) }
 
 func (m *Model) tick(now time.Time) []core.Command {
@@ -311,7 +312,7 @@
 	return append(commands, m.dispatch(now)...)
 }
 
-// String gives a short picture for logs.
+// String returns a summary for logs.
 func (m *Model) String() string {
 	return strconv.Itoa(m.waiting.length) + " waiting, " + strconv.Itoa(len(m.running)) + " running"
 }
--- a/admission/profile.go
+++ b/admission/profile.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// HorizonCount is how many moments ahead a profile looks at.
+// HorizonCount is the number of horizons of a profile.
 const HorizonCount = 8
 
-// horizons are the moments ahead, in tokens that each generation will make.
+// horizons are the points ahead at which memory is planned, in tokens generated per
+// running generation.
 var horizons = [HorizonCount]float64{0, 32, 128, 384, 1024, 3072, 9216, 27648}
 
-// Profile is the memory that a set of generations is expected to hold at each
-// horizon, with its variance; in tokens and tokens squared.
+// Profile is the memory that a set of generations is expected to hold at each horizon.
 type Profile struct {
-	Mean     [HorizonCount]float64
-	Variance [HorizonCount]float64
+	Mean     [HorizonCount]float64 // in tokens
+	Variance [HorizonCount]float64 // in tokens squared
 }
 
-// Add includes what another profile holds.
+// Add adds another profile.
 func (p *Profile) Add(other *Profile) {
 	for i := range p.Mean {
 		p.Mean[i] += other.Mean[i]
@@ -23,7 +23,7 @@
 	}
 }
 
-// Sub removes what another profile holds.
+// Sub subtracts another profile; no value falls below zero.
 func (p *Profile) Sub(other *Profile) {
 	for i := range p.Mean {
 		p.Mean[i] = max(0, p.Mean[i]-other.Mean[i])
@@ -31,7 +31,7 @@
 	}
 }
 
-// Peak gives the highest memory over the horizons at z standard deviations.
+// Peak returns the highest memory over the horizons at z standard deviations.
 func (p *Profile) Peak(z float64) float64 {
 	peak := 0.0
 	for i := range p.Mean {
@@ -40,14 +40,12 @@
 	return peak
 }
 
-// samplesPerHorizon is how many moments up to a horizon, since the one before, a
-// profile looks at: a generation that ends between two horizons holds most
-// there.
+// samplesPerHorizon is the number of points between two horizons that are examined. A
+// generation that ends between two horizons reaches its maximum there.
 const samplesPerHorizon = 3
 
-// profileOf is the profile of one generation with prompt and generated tokens.
-// Each horizon stands for the time since the one before, with the moment at which
-// the generation is expected to hold most.
+// profileOf returns the profile of one generation. The value at a horizon is the maximum
+// over the interval from the previous horizon.
 func profileOf(c *Curve, prompt, generated, maxTokens int) Profile {
 	var p Profile
 	left := float64(maxTokens - generated)
@@ -65,8 +63,8 @@
 	return p
 }
 
-// raiseTo notes that a generation holds a size with a chance, if that is more than
-// what the horizon has.
+// raiseTo raises a horizon to the given size, held with the given probability, if the
+// expected memory is then higher.
 func (p *Profile) raiseTo(horizon int, size, probability float64) {
 	if size*probability <= p.Mean[horizon] {
 		return
@@ -75,9 +73,9 @@
 	p.Variance[horizon] = size * size * probability * (1 - probability)
 }
 
-// Floats gives a profile's parts in the form that messages carry: rounded up to
-// what a short float holds, since a plan needs no more than three digits and the
-// codec writes each float as short as it can. The variance goes as its root.
+// Floats returns a profile's means and standard deviations for a message. They are rounded
+// up to half precision, which the codec encodes in fewer bytes; trailing zeros are
+// omitted.
 func (p *Profile) Floats() (mean, deviation []float32) {
 	mean = make([]float32, 0, HorizonCount)
 	deviation = make([]float32, 0, HorizonCount)
@@ -88,7 +86,7 @@
 	return trimZeros(mean), trimZeros(deviation)
 }
 
-// droppedBits are the bits of a float32 that a float16 has no room for.
+// droppedBits is the number of mantissa bits that a float16 has less than a float32.
 const droppedBits = 13
 
 func roundUpToShort(v float64) float32 {
@@ -99,7 +97,7 @@
 	return math.Float32frombits(bits)
 }
 
-// trimZeros leaves out the zeros at the end.
+// trimZeros removes trailing zeros.
 func trimZeros(values []float32) []float32 {
 	for len(values) > 0 && values[len(values)-1] == 0 {
 		values = values[:len(values)-1]
@@ -107,7 +105,7 @@
 	return values
 }
 
-// ProfileFrom reads a profile from a message; missing parts are zero.
+// ProfileFrom decodes a profile from the values returned by Floats; missing ones are zero.
 func ProfileFrom(mean, deviation []float32) Profile {
 	var p Profile
 	for i := range min(len(mean), HorizonCount) {
@@ -119,8 +117,8 @@
 	return p
 }
 
-// normalQuantile gives the z of a one-sided normal risk (Abramowitz and Stegun
-// 26.2.23, error under 0.0005).
+// normalQuantile returns the number of standard deviations that a normal variable exceeds
+// with the given probability (Abramowitz and Stegun 26.2.23, error below 0.0005).
 func normalQuantile(risk float64) float64 {
 	risk = min(max(risk, 1e-6), 0.5)
 	t := math.Sqrt(-2 * math.Log(risk))
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Request is one request that wants a place.
+// Request is a request for a generation.
 type Request struct {
 	ID           string
 	Customer     string
 	Class        string
 	Tier         string
-	Rank         int
-	Weight       float64
-	Risk         float64
+	Rank         int     // of the tier; 0 is the most urgent
+	Weight       float64 // the customer's weight in fair queueing
+	Risk         float64 // accepted probability that the planned memory is exceeded
 	PromptTokens int
 	MaxTokens    int
-	Prefix       uint64
+	Prefix       uint64 // hash of the prompt's prefix; 0 for none
 	ArrivedAt    time.Time
-	Avoid        string
-	order        float64
+	Avoid        string  // endpoint to use only if there is no other
+	order        float64 // sort key in the queue; lower runs first
 }
 
 func (r *Request) key() LengthKey {
@@ -30,11 +30,11 @@
 	}
 }
 
-// queue holds waiting requests: first by order, then by the tokens their
-// customer was served for its weight, then by arrival.
+// queue holds the waiting requests. They are sorted by order, then by the tokens served to
+// their customer relative to its weight, then by arrival.
 type queue struct {
 	byCustomer map[string][]*Request
-	served     map[string]float64
+	served     map[string]float64 // weighted tokens, by customer
 	length     int
 }
 
@@ -45,12 +45,11 @@
 	}
 }
 
-// returnCredit is how many tokens, for its weight, a customer that returns after a
-// pause may be behind those who wait: it goes first, but not for as long as it was
-// away.
+// returnCredit limits how far a customer that was idle may be behind the waiting ones, in
+// weighted tokens. It is served first for a while, but not for the whole time it was idle.
 const returnCredit = 4000
 
-// push adds a request at its place within its customer's line.
+// push inserts a request at its position in its customer's queue.
 func (q *queue) push(r *Request) {
 	line := q.byCustomer[r.Customer]
 	if len(line) == 0 {
@@ -64,7 +63,7 @@
 	q.length++
 }
 
-// leastServed is the lowest served count of those of a rank who wait.
+// leastServed returns the lowest served count of the customers that wait at a rank.
 func (q *queue) leastServed(rank int) float64 {
 	least, found := 0.0, false
 	for customer, line := range q.byCustomer {
@@ -78,7 +77,7 @@
 	return least
 }
 
-// heads gives the first request of each customer, best first.
+// heads returns the first request of each customer, sorted.
 func (q *queue) heads() []*Request {
 	heads := make([]*Request, 0, len(q.byCustomer))
 	for _, line := range q.byCustomer {
@@ -112,12 +111,12 @@
 	return r
 }
 
-// addServed counts tokens served to a customer for its weight.
+// addServed counts tokens served to a customer, divided by its weight.
 func (q *queue) addServed(customer string, tokens, weight float64) {
 	q.served[customer] += tokens / max(weight, 0.01)
 }
 
-// ahead counts the waiting requests that go before an order.
+// ahead returns the number of waiting requests up to and including an order.
 func (q *queue) ahead(order float64) int {
 	n := 0
 	for _, line := range q.byCustomer {
@@ -131,9 +130,10 @@
 	return n
 }
 
+// waitingOf returns the number of waiting requests of a customer.
 func (q *queue) waitingOf(customer string) int { return len(q.byCustomer[customer]) }
 
-// bestRank gives the best rank that waits.
+// bestRank returns the most urgent rank that has waiting requests.
 func (q *queue) bestRank() int {
 	minRank, found := 0, false
 	for _, line := range q.byCustomer {
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -6,23 +6,23 @@
 	"dillsaddle.example/dillsaddle/policy"
 )
 
-// Rules are the bounds and programs by which a model's requests are admitted.
+// Rules configure the admission of a model's requests.
 type Rules struct {
-	ExpectTokens     int
-	MaxWait          time.Duration
-	MaxWaiting       func(customer string) int
-	Program          func(tier string) *policy.Program
-	Reserve          float64       // part of memory kept from each lower rank
-	BoundedLoad      float64       // an affine endpoint may carry so much of the mean
-	Aging            time.Duration // a request that waited so long gains one rank
-	MaxHeads         int           // heads tried before a pump gives up
-	ReserveMaxLength bool          // plan with the full allowed length (a baseline)
-	KnownLength      func(id string) int
-	Choose           func(candidates []string) string
-	IgnoreFit        bool
+	ExpectTokens     int                               // expected mean output length before any is observed
+	MaxWait          time.Duration                     // longest time in the queue
+	MaxWaiting       func(customer string) int         // most waiting requests of a customer
+	Program          func(tier string) *policy.Program // policy program of a tier; nil for none
+	Reserve          float64                           // fraction of the capacity reserved from each lower rank
+	BoundedLoad      float64                           // highest load of a preferred endpoint, relative to the mean
+	Aging            time.Duration                     // waiting time after which a request gains one rank; 0 for never
+	MaxHeads         int                               // most customers' heads tried in one dispatch
+	ReserveMaxLength bool                              // plan each request with its maximum length
+	KnownLength      func(id string) int               // output length of a request, for benchmarks; nil if unknown
+	Choose           func(candidates []string) string  // replaces the choice of an endpoint, for benchmarks
+	IgnoreFit        bool                              // start requests whether they fit or not, for benchmarks
 }
 
-// DefaultRules gives the rules that the processes use.
+// DefaultRules returns the default rules.
 func DefaultRules() Rules {
 	return Rules{
 		ExpectTokens: 256,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Option changes the rules of a model's admission.
+// Option changes the rules of a new model.
 type Option func(*Rules)
 
 // WithRules replaces the rules.
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -7,53 +7,55 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Demand is what one box uses of an endpoint and wants more of.
+// Demand is what one box uses of an endpoint and what more it needs.
 type Demand struct {
-	Profile Profile
+	Profile Profile // memory of the running generations
 	Running int
-	Waiting int // expected tokens of the requests of the best rank that wait
-	Rank    int // that rank
+	Waiting int // expected tokens of the waiting requests of the most urgent rank
+	Rank    int // the most urgent rank that has waiting requests
 }
 
-// Grant is what one box gets of an endpoint.
+// Grant is the part of an endpoint's memory that one box is given.
 type Grant struct {
 	Tokens       int
 	Slots        int
 	TTL          time.Duration
-	Others       Profile
-	OtherRunning int
-	Growth       int
+	Others       Profile // memory of the other boxes' generations
+	OtherRunning int     // number of the other boxes' generations
+	Growth       int     // tokens that the box may add until its next lease
 }
 
-// Shares divides one owner's half of an endpoint's memory among boxes. Each box learns what the
-// others are expected to hold, so that chance evens out over all of them, and
-// how much it may add until its next lease: a part of the free memory by
-// demand, with half of it spread evenly for what demand didn't foresee.
+// Shares divides one owner slot of an endpoint's memory among boxes. A box may plan with
+// all of the slot's memory that other boxes don't use: it gets their expected usage and the
+// number of tokens that it may add until its next lease.
 type Shares struct {
-	Capacity       int // of the whole endpoint
-	Slots          int
+	Capacity       int // tokens of the whole endpoint
+	Slots          int // batch slots of the whole endpoint
 	hold           *core.Ownership
 	boxes          map[string]*share
-	boxNames       []string // of the boxes, sorted: sums come out the same in every run
+	boxNames       []string // sorted, so that float sums are reproducible
 	stepFit        StepFit
 	targetStep     time.Duration
-	reportedTokens int
+	reportedTokens int // memory in use by the endpoint's last report
 }
 
+// share is the last known usage of one box.
 type share struct {
 	demand Demand
-	growth int
+	growth int // tokens granted with the last lease
 	seenAt time.Time
 }
 
+// shareExpiryTTLs is the number of lease TTLs after which a silent box's share is dropped.
+
 // shareExpiryTTLs is after how many lease times a silent box's use is dropped.
 const shareExpiryTTLs = 3
 
-// ownerOverflowRisk is the risk at which an owner plans an endpoint's peak.
+// ownerOverflowRisk is the probability with which memory may exceed an owner's plan.
 const ownerOverflowRisk = 0.02
 
-// NewShares divides an endpoint on whose hold it depends. Target is the longest
-// wanted time between tokens.
+// NewShares returns the shares of an endpoint that this box owns a slot of. TargetStep is
+// the longest acceptable time between two tokens.
 func NewShares(hold *core.Ownership, capacity, slots int, targetStep time.Duration) *Shares {
 	return &Shares{
 		Capacity:   capacity,
@@ -64,13 +66,13 @@
 	}
 }
 
-// Ownership gives the owner's hold on the endpoint.
+// Ownership returns the ownership that the grants depend on.
 func (s *Shares) Ownership() *core.Ownership { return s.hold }
 
-// Boxes counts the boxes that use the endpoint.
+// Boxes returns the number of boxes that use the endpoint.
 func (s *Shares) Boxes() int { return len(s.boxes) }
 
-// Grant answers one box's wish.
+// Grant records a box's demand and returns what the box is granted.
 func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
 	half := s.Capacity / core.SlotCount
 	tokens, ttl := s.hold.Grantable(now, half)
@@ -108,6 +110,7 @@
 	s.boxes[box] = own
 }
 
+// dropExpired removes the shares of boxes that have stopped renewing their leases.
 func (s *Shares) dropExpired(now time.Time, ttl time.Duration) {
 	for name, boxShare := range s.boxes {
 		if ttl > 0 && now.Sub(boxShare.seenAt) > shareExpiryTTLs*ttl {
@@ -117,6 +120,7 @@
 	s.boxNames = slices.DeleteFunc(s.boxNames, func(name string) bool { return s.boxes[name] == nil })
 }
 
+// others returns the memory and the number of the other boxes' generations.
 func (s *Shares) others(box string) (Profile, int) {
 	var sum Profile
 	running := 0
@@ -131,7 +135,7 @@
 	return sum, running
 }
 
-// promisedGrowth is the growth that other boxes hold and may still use.
+// promisedGrowth returns the growth granted to the other boxes with their last leases.
 func (s *Shares) promisedGrowth(box string) int {
 	sum := 0
 	for name, boxShare := range s.boxes {
@@ -142,15 +146,13 @@
 	return sum
 }
 
-// demandFactor is how much more than the expected tokens of what waits a box
-// may plan for, since plans include the chance of long outputs.
+// demandFactor is the growth granted per expected token of a box's waiting requests. It is
+// above 1 because the box plans for longer outputs than the expected ones.
 const demandFactor = 2
 
-// growth is what a box may add until its next lease. One that has requests
-// waiting gets all that is free up to its demand, in turn with the others: an
-// even part would often be too small for a single request. It leaves an even
-// part to each box whose waiting requests are of a better rank. One that has none
-// waiting gets an even part for what may arrive.
+// growth returns the tokens that a box may add until its next lease. A box with waiting
+// requests gets free memory up to its demand, except for an even part for each box whose
+// waiting requests are more urgent. Every box gets at least an even part.
 func (s *Shares) growth(free float64, box string) int {
 	if free <= 0 {
 		return 0
@@ -167,7 +169,7 @@
 	return int(max(evenPart, min(left, demandFactor*float64(w.Waiting))))
 }
 
-// usableSlots is the batch at which the time between tokens holds.
+// usableSlots returns the batch size at which the time between tokens meets the target.
 func (s *Shares) usableSlots() int {
 	if limit := s.stepFit.Limit(s.targetStep); limit > 0 {
 		return min(s.Slots, limit)
@@ -175,30 +177,30 @@
 	return s.Slots
 }
 
-// Report is an endpoint's own report, which lags.
+// Report is an endpoint's report of its own state. It is older than the grants.
 type Report struct {
-	Batch int
-	Step  time.Duration
-	Used  int
+	Batch int           // number of generations in the batch
+	Step  time.Duration // time between two tokens
+	Used  int           // tokens of memory in use
 }
 
-// Observe learns from an endpoint's report.
+// Observe records a report of the endpoint.
 func (s *Shares) Observe(r Report) {
 	s.stepFit.Observe(r.Batch, r.Step)
 	s.reportedTokens = r.Used
 }
 
-// unknownUsageFraction is the part of the capacity above which memory that no lease
-// explains counts as another owner's.
+// unknownUsageFraction is the fraction of the capacity from which on memory that no box
+// accounts for is attributed to another owner.
 const unknownUsageFraction = 0.1
 
-// HasUnknownUsage reports whether the endpoint's report shows memory in use that the
-// known boxes don't explain.
+// HasUnknownUsage reports whether the endpoint uses clearly more memory than the known boxes
+// account for.
 func (s *Shares) HasUnknownUsage() bool {
 	return float64(s.reportedTokens-s.Used()) > unknownUsageFraction*float64(s.Capacity)
 }
 
-// Used is the memory that all boxes report to hold now.
+// Used returns the memory that all boxes together reported as in use.
 func (s *Shares) Used() int {
 	sum := 0.0
 	for _, name := range s.boxNames {
--- a/admission/stepfit.go
+++ b/admission/stepfit.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// StepFit fits an engine's time between tokens as a line over its batch, from
-// lagged reports, the newer counting more.
+// StepFit fits the time between tokens as a linear function of the batch size, by weighted
+// least squares over an engine's reports. Newer reports count more.
 type StepFit struct {
-	weight, x, y, xx, xy float64
+	weight, x, y, xx, xy float64 // weighted sums over the reports
 }
 
+// stepFitDecay is the factor applied to older reports at each new one.
 const stepFitDecay = 0.98
 
-// minStepFitWeight is the weight of reports below which no limit is given.
+// minStepFitWeight is the total weight of reports below which Limit returns none.
 const minStepFitWeight = 10
 
 // Observe adds one report.
@@ -26,8 +27,8 @@
 	f.xy = f.xy*stepFitDecay + x*y
 }
 
-// Limit gives the batch at which the time between tokens reaches the target,
-// or 0 if the reports don't tell.
+// Limit returns the batch size at which the time between tokens reaches the target, or 0 if
+// the reports don't determine it.
 func (f *StepFit) Limit(target time.Duration) int {
 	spread := f.weight*f.xx - f.x*f.x
 	if f.weight < minStepFitWeight || target <= 0 || spread < f.weight*f.weight {
