--- a/admission/balancer_test.go
+++ b/admission/balancer_test.go
@@ -12,7 +12,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-var _ = Describe("a spread of requests", func() {
+var _ = Describe("a balancer", func() {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 	var s *admission.Balancer
 	BeforeEach(func() { s = admission.NewBalancer("z", func() float64 { return 0.5 }) })
@@ -39,7 +39,7 @@
 		return e.ID
 	}
 
-	It("shares requests evenly between endpoints that are alike", func() {
+	It("distributes requests evenly over equal endpoints", func() {
 		counts := make(map[string]int)
 		for range 40 {
 			id := pick(engines(4), want)
@@ -52,7 +52,7 @@
 		}
 	})
 
-	It("takes the emptiest engine only where it hears what other boxes place", func() {
+	It("compares all engines only if other boxes report their placements", func() {
 		all := engines(20)
 		shared := want
 		shared.Shared = true
@@ -73,13 +73,13 @@
 				Total:    10_000,
 			})
 		}
-		// Of 20, each pick draws two, or all.
+		// Each pick compares two of the 20 engines, or all of them.
 		Expect(emptiest()).To(BeNumerically("~", 10, 6))
 		random.AddRemotePrompt(now, "e19", 10)
 		Expect(emptiest()).To(Equal(100))
 	})
 
-	It("compares few engines of its group where others place on engines that it doesn't hear of", func() {
+	It("compares few engines of its group if there are engines outside the group", func() {
 		all := engines(21)
 		own := make(map[string]bool)
 		random := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
@@ -98,11 +98,11 @@
 				n++
 			}
 		}
-		// Five of 20.
+		// Each pick compares five of the 20 engines of the group.
 		Expect(n).To(BeNumerically("~", 25, 9))
 	})
 
-	It("avoids an engine whose memory is full, by its report", func() {
+	It("avoids an engine that reports its memory as full", func() {
 		s.Memory(now, routing.Report{
 			Endpoint: "e0",
 			Used:     9800,
@@ -111,12 +111,12 @@
 		Expect(pick(engines(2), want)).To(Equal("e1"))
 	})
 
-	It("avoids an engine where prompts of other boxes wait", func() {
+	It("avoids an engine with queued prompts of other boxes", func() {
 		s.AddPrompt(now, "e0", 20_000)
 		Expect(pick(engines(2), want)).To(Equal("e1"))
 	})
 
-	It("counts memory that prompts of other boxes will take, until a report tells", func() {
+	It("counts the memory of other boxes' prompts until the engine's next report", func() {
 		w := want
 		w.MaxMemoryUse = 0.5
 		for _, id := range []string{"e0", "e1"} {
@@ -138,7 +138,7 @@
 		Expect(pick(engines(1), w)).To(Equal("e0"))
 	})
 
-	It("counts memory that copies of other boxes will take, and no wait for them", func() {
+	It("counts the memory of other boxes' copies until the engine's next report", func() {
 		for range 3 {
 			s.AddRemoteCopy(now, "e0", 2000)
 		}
@@ -156,7 +156,7 @@
 		Expect(pick(engines(1), w)).To(Equal("e0"))
 	})
 
-	It("refuses copies where they would take too much", func() {
+	It("doesn't pick an engine whose memory use would exceed the limit", func() {
 		w := want
 		w.MaxMemoryUse = 0.5
 		s.Memory(now, routing.Report{
@@ -167,7 +167,7 @@
 		Expect(pick(engines(1), w)).To(BeEmpty())
 	})
 
-	It("avoids an endpoint that was silent, but uses it when there is no other", func() {
+	It("avoids an unresponsive endpoint unless it is the only one", func() {
 		s.Failed(now, "e0", true)
 		Expect(pick(engines(2), want)).To(Equal("e1"))
 		Expect(pick(engines(1), want)).To(Equal("e0"))
@@ -176,21 +176,21 @@
 		Expect(e.ID).To(Equal("e0"))
 	})
 
-	It("leaves out endpoints that had the request", func() {
+	It("doesn't pick excluded endpoints", func() {
 		w := want
 		w.Exclude = map[string]bool{"e0": true}
 		Expect(pick(engines(1), w)).To(BeEmpty())
 	})
 
-	It("prefers its own zone between endpoints that are alike", func() {
+	It("prefers its own zone among equal endpoints", func() {
 		all := engines(2)
 		all[0].Zone = "far"
 		Expect(pick(all, admission.Requirements{})).To(Equal("e1"))
 	})
 })
 
-var _ = Describe("an engine that has told nothing yet", func() {
-	It("counts what other boxes placed there", func() {
+var _ = Describe("an engine without a report", func() {
+	It("is estimated by what other boxes placed there", func() {
 		now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 		s := admission.NewBalancer("z", func() float64 { return 0.5 })
 		e := routing.Endpoint{
@@ -207,6 +207,6 @@
 			s.AddRemotePrompt(now, e.ID, 1000)
 		}
 		Expect(s.Estimate(now, e, want).MemoryUse).To(BeNumerically("~", 0.6, 0.001))
-		Expect(s.Estimate(now.Add(6*time.Second), e, want).MemoryUse).To(BeNumerically("~", 0.1, 0.001), "once those are over")
+		Expect(s.Estimate(now.Add(6*time.Second), e, want).MemoryUse).To(BeNumerically("~", 0.1, 0.001), "after the placements have expired")
 	})
 })
--- a/admission/fleet_simulation_test.go
+++ b/admission/fleet_simulation_test.go
@@ -11,91 +11,93 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// fleetLoad is a fleet in virtual time: the boxes of each zone place prompts on engines
-// by a spread each, hear of each other's placements, and know the engines' reports as
-// greetings carry them.
-type fleetLoad struct {
-	Zones      int
-	Boxes      int     // of a zone
-	Engines    int     // of a zone
-	Rate       float64 // prompts in a second, of a zone
-	Hot        float64 // how many times as many the first zone has
-	LeaveEvery time.Duration
-	LeavePart  float64 // of all engines, in each wave
-	JoinAfter  time.Duration
-	For        time.Duration
+// fleetConfig configures a simulation in virtual time. Boxes in several zones send prompts
+// to engines. The boxes of a zone notify each other of placements, and all boxes exchange
+// engine reports by gossip.
+type fleetConfig struct {
+	Zones         int
+	Boxes         int     // per zone
+	Engines       int     // per zone
+	PromptRate    float64 // prompts per second and zone
+	HotZoneFactor float64 // multiple of PromptRate in the first zone
+	LeaveInterval time.Duration
+	LeaveFraction float64       // fraction of all engines that leave at each interval
+	RejoinDelay   time.Duration // time until an engine that left is replaced
+	Duration      time.Duration
 }
 
-// largeFleet has engines of which a quarter's time goes to prompts, and five times the
-// boxes of one that places all by one group.
-func largeFleet() fleetLoad {
-	return fleetLoad{
-		Zones:      3,
-		Boxes:      59,
-		Engines:    26,
-		Rate:       34,
-		Hot:        1,
-		LeaveEvery: 3300 * time.Millisecond,
-		LeavePart:  0.17,
-		JoinAfter:  4 * time.Second,
-		For:        20 * time.Second,
+// newLargeFleet returns a fleet of many boxes whose engines leave and join often. Prefill
+// takes about a quarter of the engines' time.
+func newLargeFleet() fleetConfig {
+	return fleetConfig{
+		Zones:         3,
+		Boxes:         59,
+		Engines:       26,
+		PromptRate:    34,
+		HotZoneFactor: 1,
+		LeaveInterval: 3300 * time.Millisecond,
+		LeaveFraction: 0.17,
+		RejoinDelay:   4 * time.Second,
+		Duration:      20 * time.Second,
 	}
 }
 
 const (
-	// simMemory is an engine's memory, in tokens; simReading is how many tokens of
-	// prompts it reads in a second, one prompt after the other.
-	simMemory  = 33_620
-	simReading = 7000.0
-	// simStep is the time of one generated token.
+	// simMemory is the memory of an engine in tokens.
+	simMemory = 33_620
+	// simPrefillRate is the prefill rate of an engine in tokens per second. Prompts are
+	// prefilled one at a time.
+	simPrefillRate = 7000.0
+	// simStep is the time between two tokens.
 	simStep = 8 * time.Millisecond
-	// simPrompt and simOutput are means in tokens; two requests in five generate
-	// simShort.
-	simPrompt = 2670.0
-	simOutput = 468.0
-	simShort  = 12
-	shortPart = 0.41
-	// simTold is the time until the boxes of a zone know of a placement.
-	simTold = 18 * time.Millisecond
-	// simReport spaces an engine's reports, which are as old when they are given.
-	simReport = 500 * time.Millisecond
-	// simGreet spaces a box's greetings; one in simAbroad goes to any zone.
-	simGreet  = 250 * time.Millisecond
-	simAbroad = 3
-	// simCallers is the part of a zone's boxes that has callers.
-	simCallers = 0.6
-	// simTarget is the first events' target.
-	simTarget = 1500 * time.Millisecond
+	// simMeanPrompt and simMeanOutput are mean lengths in tokens.
+	simMeanPrompt = 2670.0
+	simMeanOutput = 468.0
+	// simShortFraction of the requests generate simShortOutput tokens.
+	simShortOutput   = 12
+	simShortFraction = 0.41
+	// simNotifyDelay is the delay of the notifications of placements within a zone.
+	simNotifyDelay = 18 * time.Millisecond
+	// simReportInterval is the interval of an engine's reports, and their age when received.
+	simReportInterval = 500 * time.Millisecond
+	// simGossipInterval is the interval at which a box exchanges reports with another box.
+	simGossipInterval = 250 * time.Millisecond
+	// simCrossZoneEvery is the number of exchanges of which one is with a box of any zone.
+	simCrossZoneEvery = 3
+	// simCallerFraction is the fraction of the boxes that receive requests.
+	simCallerFraction = 0.6
+	// simFirstEventTarget is the target for the time to the first event.
+	simFirstEventTarget = 1500 * time.Millisecond
 )
 
-// fleetResult is what the callers of a fleet got.
+// fleetResult counts the outcomes of a simulation.
 type fleetResult struct {
-	Prompts int
-	Late    int // whose first event came after the target
-	Crossed int // placed in another zone
+	Prompts   int
+	Late      int // first event after the target
+	CrossZone int // sent to another zone
 }
 
-func (r fleetResult) late() float64 { return float64(r.Late) / float64(r.Prompts) }
+func (r fleetResult) lateFraction() float64 { return float64(r.Late) / float64(r.Prompts) }
 
-// simEvents is what is to happen, the earliest first.
+// simEvents is a heap of scheduled events.
 type simEvents []simEvent
 
 type simEvent struct {
-	at time.Duration
-	n  int // of the event, for those at the same time
-	do func()
+	at       time.Duration
+	sequence int // order of events at the same time
+	action   func()
 }
 
 func (q simEvents) Len() int { return len(q) }
 func (q simEvents) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].n < q[j].n)
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].sequence < q[j].sequence)
 }
 func (q simEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is heap's.
+// Push implements heap.Interface.
 func (q *simEvents) Push(x any) { *q = append(*q, x.(simEvent)) }
 
-// Pop is heap's.
+// Pop implements heap.Interface.
 func (q *simEvents) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -103,60 +105,63 @@
 	return last
 }
 
+// simEngine is a simulated engine.
 type simEngine struct {
-	id      string
-	zone    int
-	gone    bool
-	readAt  time.Duration // when all prompts that came are read
-	waiting int
-	running int
-	used    int
+	id            string
+	zone          int
+	gone          bool
+	prefillDoneAt time.Duration // when all prompts received so far are prefilled
+	waiting       int
+	running       int
+	used          int // tokens of memory
 }
 
-// simReportAt is a report and when it was true.
-type simReportAt struct {
+// timedReport is an engine's report and when it was made.
+type timedReport struct {
 	at     time.Duration
 	report routing.Report
 }
 
+// simBox is a simulated box.
 type simBox struct {
-	zone    int
-	spread  *admission.Balancer
-	reports map[string]simReportAt
-	greeted int
+	zone        int
+	balancer    *admission.Balancer
+	reports     map[string]timedReport // by engine ID
+	gossipCount int
 }
 
+// simFleet is a running simulation.
 type simFleet struct {
-	fleetLoad
-	now     time.Duration
-	events  simEvents
-	planned int
-	random  *rand.Rand
-	boxes   []*simBox
-	engines map[string]*simEngine
-	ids     []string // of the engines, as they joined
-	serving []routing.Endpoint
-	result  fleetResult
+	fleetConfig
+	now            time.Duration
+	events         simEvents
+	scheduledCount int
+	random         *rand.Rand
+	boxes          []*simBox
+	engines        map[string]*simEngine
+	engineIDs      []string           // in order of joining
+	endpoints      []routing.Endpoint // engines that are up
+	result         fleetResult
 }
 
 var simStart = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-// play runs the load and gives what callers got.
-func (l fleetLoad) play(seed uint64) fleetResult {
+// simulate runs the simulation with a seed.
+func (l fleetConfig) simulate(seed uint64) fleetResult {
 	f := &simFleet{
-		fleetLoad: l,
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		engines:   make(map[string]*simEngine),
+		fleetConfig: l,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		engines:     make(map[string]*simEngine),
 	}
 	for i := range l.Zones * l.Boxes {
 		zone := i % l.Zones
 		b := &simBox{
-			zone:    zone,
-			spread:  admission.NewBalancer(zoneName(zone), f.random.Float64),
-			reports: make(map[string]simReportAt),
+			zone:     zone,
+			balancer: admission.NewBalancer(zoneName(zone), f.random.Float64),
+			reports:  make(map[string]timedReport),
 		}
 		f.boxes = append(f.boxes, b)
-		f.after(time.Duration(f.random.Float64()*float64(simGreet)), func() { f.greet(b) })
+		f.schedule(time.Duration(f.random.Float64()*float64(simGossipInterval)), func() { f.gossip(b) })
 	}
 	for i := range l.Zones * l.Engines {
 		f.join(i % l.Zones)
@@ -164,21 +169,22 @@
 	for zone := range l.Zones {
 		f.arrive(zone)
 	}
-	f.after(l.LeaveEvery, f.leave)
-	for f.now < l.For {
+	f.schedule(l.LeaveInterval, f.leave)
+	for f.now < l.Duration {
 		next := heap.Pop(&f.events).(simEvent)
 		f.now = next.at
-		next.do()
+		next.action()
 	}
 	return f.result
 }
 
-func (f *simFleet) after(d time.Duration, do func()) {
-	f.planned++
+// schedule runs an action after a delay in virtual time.
+func (f *simFleet) schedule(d time.Duration, action func()) {
+	f.scheduledCount++
 	heap.Push(&f.events, simEvent{
-		at: f.now + d,
-		n:  f.planned,
-		do: do,
+		at:       f.now + d,
+		sequence: f.scheduledCount,
+		action:   action,
 	})
 }
 
@@ -186,52 +192,53 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// boxOf draws one of the first boxes of a zone.
-func (f *simFleet) boxOf(zone int, part float64) *simBox {
-	return f.boxes[zone+f.Zones*f.random.IntN(max(1, int(part*float64(f.Boxes))))]
+// randomBox returns a random box among the given fraction of a zone's boxes.
+func (f *simFleet) randomBox(zone int, fraction float64) *simBox {
+	return f.boxes[zone+f.Zones*f.random.IntN(max(1, int(fraction*float64(f.Boxes))))]
 }
 
+// join adds an engine to a zone.
 func (f *simFleet) join(zone int) {
 	e := &simEngine{
-		id:   fmt.Sprintf("e%d", len(f.ids)),
+		id:   fmt.Sprintf("e%d", len(f.engineIDs)),
 		zone: zone,
 	}
 	f.engines[e.id] = e
-	f.ids = append(f.ids, e.id)
+	f.engineIDs = append(f.engineIDs, e.id)
 	f.publish()
 	f.report(e)
 }
 
-// leave takes a part of the engines away; others come for them later.
+// leave removes a fraction of the engines and schedules their replacements.
 func (f *simFleet) leave() {
-	var here []*simEngine
-	for _, id := range f.ids {
+	var alive []*simEngine
+	for _, id := range f.engineIDs {
 		if e := f.engines[id]; !e.gone {
-			here = append(here, e)
+			alive = append(alive, e)
 		}
 	}
-	n := int(math.Round(f.LeavePart * float64(f.Zones*f.Engines)))
-	for _, i := range f.random.Perm(len(here))[:n] {
-		here[i].gone = true
-		f.after(f.JoinAfter, func() { f.join(here[i].zone) })
+	n := int(math.Round(f.LeaveFraction * float64(f.Zones*f.Engines)))
+	for _, i := range f.random.Perm(len(alive))[:n] {
+		alive[i].gone = true
+		f.schedule(f.RejoinDelay, func() { f.join(alive[i].zone) })
 	}
 	f.publish()
-	f.after(f.LeaveEvery, f.leave)
+	f.schedule(f.LeaveInterval, f.leave)
 }
 
-// publish tells all boxes which engines there are, and which are their zone's.
+// publish updates the list of engines and each zone's preferred engines.
 func (f *simFleet) publish() {
-	f.serving = nil
+	f.endpoints = nil
 	shares := make([]map[string]bool, f.Zones)
 	for zone := range shares {
 		shares[zone] = make(map[string]bool)
 	}
-	for _, id := range f.ids {
+	for _, id := range f.engineIDs {
 		e := f.engines[id]
 		if e.gone {
 			continue
 		}
-		f.serving = append(f.serving, routing.Endpoint{
+		f.endpoints = append(f.endpoints, routing.Endpoint{
 			ID:    id,
 			Zone:  zoneName(e.zone),
 			Slots: 24,
@@ -239,16 +246,16 @@
 		shares[e.zone][id] = true
 	}
 	for _, b := range f.boxes {
-		b.spread.SetShare(shares[b.zone])
+		b.balancer.SetShare(shares[b.zone])
 	}
 }
 
-// report gives what an engine says of itself now to one box of its zone, later.
+// report sends an engine's current state to a box of its zone, delayed, and repeats.
 func (f *simFleet) report(e *simEngine) {
 	if e.gone {
 		return
 	}
-	said := simReportAt{
+	current := timedReport{
 		at: f.now,
 		report: routing.Report{
 			Endpoint: e.id,
@@ -258,61 +265,64 @@
 			Total:    simMemory,
 		},
 	}
-	asks := f.boxOf(e.zone, 1)
-	f.after(simReport, func() {
-		asks.take(said)
+	receiver := f.randomBox(e.zone, 1)
+	f.schedule(simReportInterval, func() {
+		receiver.storeReport(current)
 		f.report(e)
 	})
 }
 
-func (b *simBox) take(said simReportAt) {
-	id := said.report.Endpoint
-	if known, ok := b.reports[id]; ok && known.at >= said.at {
+// storeReport stores a report if it is newer than the known one.
+func (b *simBox) storeReport(current timedReport) {
+	id := current.report.Endpoint
+	if known, ok := b.reports[id]; ok && known.at >= current.at {
 		return
 	}
-	b.reports[id] = said
-	b.spread.Memory(simStart.Add(said.at), said.report)
+	b.reports[id] = current
+	b.balancer.Memory(simStart.Add(current.at), current.report)
 }
 
-// greet exchanges all reports with another box.
-func (f *simFleet) greet(b *simBox) {
-	b.greeted++
-	other := f.boxOf(b.zone, 1)
-	if b.greeted%simAbroad == 0 {
-		other = f.boxOf(f.random.IntN(f.Zones), 1)
+// gossip exchanges all reports with another box, and repeats.
+func (f *simFleet) gossip(b *simBox) {
+	b.gossipCount++
+	partner := f.randomBox(b.zone, 1)
+	if b.gossipCount%simCrossZoneEvery == 0 {
+		partner = f.randomBox(f.random.IntN(f.Zones), 1)
 	}
-	for _, id := range f.ids {
+	for _, id := range f.engineIDs {
 		if f.engines[id].gone {
 			continue
 		}
-		if said, ok := b.reports[id]; ok {
-			other.take(said)
+		if stored, ok := b.reports[id]; ok {
+			partner.storeReport(stored)
 		}
-		if said, ok := other.reports[id]; ok {
-			b.take(said)
+		if stored, ok := partner.reports[id]; ok {
+			b.storeReport(stored)
 		}
 	}
-	f.after(simGreet, func() { f.greet(b) })
+	f.schedule(simGossipInterval, func() { f.gossip(b) })
 }
 
+// arrive schedules the arrivals of prompts in a zone.
 func (f *simFleet) arrive(zone int) {
-	rate := f.Rate
+	rate := f.PromptRate
 	if zone == 0 {
-		rate *= f.Hot
+		rate *= f.HotZoneFactor
 	}
-	f.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		f.place(f.boxOf(zone, simCallers))
+	f.schedule(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		f.place(f.randomBox(zone, simCallerFraction))
 		f.arrive(zone)
 	})
 }
 
+// place sends a prompt to the engine that a box's balancer picks.
 func (f *simFleet) place(b *simBox) {
-	prompt := int(simPrompt * (0.4 + 1.2*f.random.Float64()))
-	output := int(simOutput * (0.3 + 1.4*f.random.Float64()))
-	if f.random.Float64() < shortPart {
-		output = simShort
+	prompt := int(simMeanPrompt * (0.4 + 1.2*f.random.Float64()))
+	output := int(simMeanOutput * (0.3 + 1.4*f.random.Float64()))
+	if f.random.Float64() < simShortFraction {
+		output = simShortOutput
 	}
-	chosen, ok := b.spread.Pick(f.clock(), f.serving, admission.Requirements{
+	chosen, ok := b.balancer.Pick(f.clock(), f.endpoints, admission.Requirements{
 		Tokens: prompt + output,
 		Memory: simMemory,
 		Shared: true,
@@ -322,42 +332,42 @@
 	}
 	e := f.engines[chosen.ID]
 	if e.zone != b.zone {
-		f.result.Crossed++
+		f.result.CrossZone++
 	}
 	sent := f.clock()
-	b.spread.BeginSend(sent, e.id, prompt+output, prompt)
-	queued := b.spread.AddPrompt(sent, e.id, prompt)
-	f.after(simTold, func() {
+	b.balancer.BeginSend(sent, e.id, prompt+output, prompt)
+	queued := b.balancer.AddPrompt(sent, e.id, prompt)
+	f.schedule(simNotifyDelay, func() {
 		for _, other := range f.boxes {
 			if other != b && other.zone == b.zone {
-				other.spread.AddRemotePrompt(f.clock(), e.id, prompt)
+				other.balancer.AddRemotePrompt(f.clock(), e.id, prompt)
 			}
 		}
 	})
 	f.run(b, e, prompt, output, queued)
 }
 
-// run reads a prompt behind those that wait, then generates.
+// run prefills a prompt after those queued earlier, then generates its output.
 func (f *simFleet) run(b *simBox, e *simEngine, prompt, output int, queued float64) {
 	sent, held := f.clock(), prompt+output/2
 	e.waiting++
-	e.readAt = max(e.readAt, f.now) + time.Duration(float64(prompt)/simReading*float64(time.Second))
-	first := e.readAt - f.now + simStep
-	f.after(first, func() {
+	e.prefillDoneAt = max(e.prefillDoneAt, f.now) + time.Duration(float64(prompt)/simPrefillRate*float64(time.Second))
+	first := e.prefillDoneAt - f.now + simStep
+	f.schedule(first, func() {
 		f.result.Prompts++
-		if first > simTarget {
+		if first > simFirstEventTarget {
 			f.result.Late++
 		}
-		b.spread.ObservePrefill(queued, first)
+		b.balancer.ObservePrefill(queued, first)
 		e.waiting--
 		e.running++
 		e.used += held
 	})
-	f.after(first+time.Duration(output)*simStep, func() {
+	f.schedule(first+time.Duration(output)*simStep, func() {
 		e.running--
 		e.used -= held
-		b.spread.EndSend(f.clock(), e.id, sent, prompt+output)
-		b.spread.Succeeded(f.clock(), e.id, first)
-		b.spread.ObserveLengths(prompt, output)
+		b.balancer.EndSend(f.clock(), e.id, sent, prompt+output)
+		b.balancer.Succeeded(f.clock(), e.id, first)
+		b.balancer.ObserveLengths(prompt, output)
 	})
 }
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func oneEngine(tokens int, change func(*admission.Rules)) *admission.Model {
+func newModelWithEngine(tokens int, change func(*admission.Rules)) *admission.Model {
 	rules := admission.DefaultRules()
 	if change != nil {
 		change(&rules)
@@ -51,7 +51,7 @@
 	return m
 }
 
-func placements(commands []core.Command) []string {
+func placedIDs(commands []core.Command) []string {
 	var ids []string
 	for _, c := range commands {
 		if p, ok := c.(admission.PlaceRequest); ok {
@@ -71,24 +71,25 @@
 	return all
 }
 
-// free ends a generation and ticks on until the next may be sent.
-func free(m *admission.Model, id string, now time.Time) []string {
+// endAndTick ends a generation, advances the time past the prompt interval and returns the
+// requests placed.
+func endAndTick(m *admission.Model, id string, now time.Time) []string {
 	commands := m.Step(now, admission.GenerationEnded{ID: id, Generated: 50, Whole: true})
-	return placements(append(commands, m.Step(now.Add(time.Second), admission.Ticked{})...))
+	return placedIDs(append(commands, m.Step(now.Add(time.Second), admission.Ticked{})...))
 }
 
 var _ = Describe("admission", func() {
-	It("sends nothing on a lease that has ended", func() {
+	It("places nothing on an expired lease", func() {
 		m := admission.NewModel()
 		m.Step(start, admission.EndpointsChanged{Names: []string{"engine-1"}})
 		m.Step(start, lease("engine-1", time.Second, 100000))
 		late := request("late", "a", 0, start.Add(2*time.Second))
-		Expect(placements(arrive(m, late))).To(BeEmpty())
+		Expect(placedIDs(arrive(m, late))).To(BeEmpty())
 		Expect(m.Waiting()).To(Equal(1))
 	})
 
-	It("never plans more than what is leased", func() {
-		m := oneEngine(5000, nil)
+	It("never plans more memory than is leased", func() {
+		m := newModelWithEngine(5000, nil)
 		for i := range 200 {
 			arrive(m, request(fmt.Sprint("r", i), "a", 0, start.Add(time.Duration(i)*100*time.Millisecond)))
 		}
@@ -97,44 +98,44 @@
 		Expect(wishes[0].Profile.Peak(0)).To(BeNumerically("<=", 5000))
 	})
 
-	It("serves the better rank first, whoever came first", func() {
-		m := oneEngine(700, nil)
-		Expect(placements(arrive(m, request("first", "a", 1, start)))).To(ConsistOf("first"))
+	It("places the more urgent rank first, regardless of arrival", func() {
+		m := newModelWithEngine(700, nil)
+		Expect(placedIDs(arrive(m, request("first", "a", 1, start)))).To(ConsistOf("first"))
 		arrive(m, request("low", "b", 2, start.Add(time.Second)))
 		arrive(m, request("high", "c", 0, start.Add(2*time.Second)))
-		Expect(free(m, "first", start.Add(3*time.Second))).To(HaveExactElements("high"))
+		Expect(endAndTick(m, "first", start.Add(3*time.Second))).To(HaveExactElements("high"))
 	})
 
-	It("serves the customer that was served fewer tokens first, within a rank", func() {
-		m := oneEngine(700, nil)
+	It("places the customer that was served fewer tokens first, within a rank", func() {
+		m := newModelWithEngine(700, nil)
 		arrive(m, request("a1", "a", 0, start))
 		m.Step(start, admission.TokensMade{ID: "a1", Generated: 400})
 		arrive(m, request("a2", "a", 0, start.Add(time.Second)))
 		arrive(m, request("b1", "b", 0, start.Add(2*time.Second)))
-		Expect(free(m, "a1", start.Add(3*time.Second))).To(HaveExactElements("b1"))
+		Expect(endAndTick(m, "a1", start.Add(3*time.Second))).To(HaveExactElements("b1"))
 	})
 
-	It("lets a low rank gain on the others as it waits", func() {
-		m := oneEngine(700, nil)
+	It("raises the priority of a less urgent rank while it waits", func() {
+		m := newModelWithEngine(700, nil)
 		arrive(m, request("first", "a", 0, start))
 		arrive(m, request("old", "b", 1, start))
 		arrive(m, request("young", "c", 0, start.Add(25*time.Second)))
-		Expect(free(m, "first", start.Add(26*time.Second))).To(HaveLen(1))
+		Expect(endAndTick(m, "first", start.Add(26*time.Second))).To(HaveLen(1))
 	})
 
-	It("refuses at once, with when to come back by the queue's drain", func() {
-		m := oneEngine(700, func(r *admission.Rules) {
+	It("refuses at once if the expected wait is too long, with a retry delay", func() {
+		m := newModelWithEngine(700, func(r *admission.Rules) {
 			r.MaxWait = 5 * time.Second
 			r.Aging = 0
 		})
 		now := start
 		var refused []admission.RefuseRequest
-		running := placements(arrive(m, request("r0", "a", 0, now)))
+		running := placedIDs(arrive(m, request("r0", "a", 0, now)))
 		for i := 1; i < 60 && len(refused) == 0; i++ {
 			now = now.Add(500 * time.Millisecond)
 			refused = refusals(arrive(m, request(fmt.Sprint("r", i), "a", 0, now)))
 			if i%4 == 0 && len(running) > 0 {
-				running = free(m, running[0], now)
+				running = endAndTick(m, running[0], now)
 			}
 		}
 		Expect(refused).NotTo(BeEmpty())
@@ -142,7 +143,7 @@
 		Expect(refused[0].RetryAfter).To(BeNumerically(">=", time.Second))
 	})
 
-	It("does what the tier's program says, and falls back to the tier's order when it fails", func() {
+	It("follows the tier's policy program, and falls back to the tier's order if it fails", func() {
 		refuse, err := policy.Compile("p", "request.prompt_tokens > 100 ? 'refuse' : 'run'", "")
 		Expect(err).NotTo(HaveOccurred())
 		broken, err := policy.Compile("p", "[1][int(request.prompt_tokens)] == 1 ? 'run' : 'wait'", "")
@@ -151,7 +152,7 @@
 			program *policy.Program
 			want    string
 		}{{refuse, "refused"}, {broken, "placed"}} {
-			m := oneEngine(10000, func(r *admission.Rules) {
+			m := newModelWithEngine(10000, func(r *admission.Rules) {
 				r.Program = func(string) *policy.Program { return c.program }
 			})
 			commands := arrive(m, request("r", "a", 0, start))
@@ -159,12 +160,12 @@
 				Expect(refusals(commands)).To(HaveLen(1))
 				continue
 			}
-			Expect(placements(commands)).To(ConsistOf("r"))
+			Expect(placedIDs(commands)).To(ConsistOf("r"))
 			Expect(commands).To(ContainElement(BeAssignableToTypeOf(admission.PolicyFailed{})))
 		}
 	})
 
-	It("sends a prefix to the endpoint that likely holds it", func() {
+	It("places a request on the endpoint that probably caches its prefix", func() {
 		m := admission.NewModel()
 		m.Step(start, admission.EndpointsChanged{Names: []string{"e1", "e2", "e3"}})
 		for _, name := range []string{"e1", "e2", "e3"} {
@@ -176,8 +177,8 @@
 		Expect(arrive(m, r)).To(ContainElement(HaveField("Endpoint", "e2")))
 	})
 
-	It("has one wake-up under way for many that wait between prompts", func() {
-		m := oneEngine(100000, nil)
+	It("requests one wake-up for many requests that wait for the prompt interval", func() {
+		m := newModelWithEngine(100000, nil)
 		wakes := 0
 		for i := range 50 {
 			for _, c := range arrive(m, request(fmt.Sprint("r", i), "a", 0, start)) {
@@ -191,10 +192,10 @@
 	})
 })
 
-var _ = Describe("an estimate of lengths", func() {
+var _ = Describe("a length estimator", func() {
 	key := admission.LengthKey{Customer: "a", Class: "standard"}
 
-	It("learns short lengths, and long ones before the first has ended", func() {
+	It("learns short lengths, and long ones before the first generation has ended", func() {
 		e := admission.NewLengthEstimator(256)
 		for range 200 {
 			e.ObserveProgress(key, 0, 20)
@@ -208,7 +209,7 @@
 		Expect(e.Curve(key).Remaining(0, 10000)).To(BeNumerically(">", 3*short))
 	})
 
-	It("expects more of a generation that has outlived the usual", func() {
+	It("expects more tokens of a generation that is longer than usual", func() {
 		e := admission.NewLengthEstimator(100)
 		c := e.Curve(key)
 		Expect(c.Beyond(1000, 100)).To(BeNumerically(">", 0))
@@ -217,15 +218,15 @@
 })
 
 var _ = Describe("the shares of an endpoint", func() {
-	owner := func() *admission.Shares {
-		hold := core.NewOwnership("engine", core.DefaultLeaseRules())
-		hold.Step(start, core.HoldTaken{Fresh: true})
-		hold.Step(start, core.ListConfirmed{At: start})
-		return admission.NewShares(hold, 20000, 64, 30*time.Millisecond)
+	newShares := func() *admission.Shares {
+		ownership := core.NewOwnership("engine", core.DefaultLeaseRules())
+		ownership.Step(start, core.HoldTaken{Fresh: true})
+		ownership.Step(start, core.ListConfirmed{At: start})
+		return admission.NewShares(ownership, 20000, 64, 30*time.Millisecond)
 	}
 
-	It("never promise more growth than is free, over all boxes", func() {
-		s := owner()
+	It("never grant a box more growth than the memory of the slot", func() {
+		s := newShares()
 		for turn := range 40 {
 			promised := 0
 			for b := range 4 {
@@ -237,14 +238,14 @@
 		}
 	})
 
-	It("give nothing of an endpoint that leaves", func() {
-		s := owner()
+	It("grant nothing of an endpoint that is leaving", func() {
+		s := newShares()
 		s.Ownership().Step(start, core.EndpointLeaving{Leaving: true})
 		Expect(s.Grant(start, "box-0", admission.Demand{})).To(Equal(admission.Grant{}))
 	})
 
-	It("give half on an old reading", func() {
-		s := owner()
+	It("grant half if the owner's list was not confirmed recently", func() {
+		s := newShares()
 		late := start.Add(time.Minute)
 		for at := start; at.Before(late); at = at.Add(time.Second) {
 			s.Ownership().Step(at, core.HoldTicked{})
@@ -252,7 +253,7 @@
 		Expect(s.Grant(late, "box-0", admission.Demand{}).Tokens).To(Equal(5000))
 	})
 
-	It("learn the batch at which the time between tokens holds", func() {
+	It("fit the batch size at which the time between tokens meets the target", func() {
 		var fit admission.StepFit
 		for n := range 60 {
 			fit.Observe(n+1, 10*time.Millisecond+time.Duration(n+1)*500*time.Microsecond)
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -5,36 +5,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load is that of a fleet of 295 boxes on a calm day, on which engines leave and
-// join all the time. Each zone's boxes hear of each other's placements and not of other
-// zones'. Late first events, of all prompts, four seeds each:
-//
-//	                                 before   with other groups' unseen prompts
-//	all zones alike                  0.022    0.000
-//	one zone with 1.7 times as many  0.053    0.004
+// Guards against engines of other zones being overloaded because their recent placements
+// are unknown to this zone's boxes.
 var _ = Describe("placements of many boxes in several zones", func() {
-	play := func(l fleetLoad) fleetResult {
+	simulate := func(l fleetConfig) fleetResult {
 		var all fleetResult
 		for seed := range uint64(2) {
-			r := l.play(seed)
+			r := l.simulate(seed)
 			all.Prompts += r.Prompts
 			all.Late += r.Late
-			all.Crossed += r.Crossed
+			all.CrossZone += r.CrossZone
 		}
 		return all
 	}
 
-	It("are in time where all zones are alike", func() {
-		r := play(largeFleet())
+	It("meet the first-event target where all zones have the same load", func() {
+		r := simulate(newLargeFleet())
 		Expect(r.Prompts).To(BeNumerically(">", 3000))
-		Expect(r.late()).To(BeNumerically("<", 0.002))
+		Expect(r.lateFraction()).To(BeNumerically("<", 0.002))
 	})
 
-	It("use other zones' engines where one zone has more callers", func() {
-		l := largeFleet()
-		l.Hot = 1.7
-		r := play(l)
-		Expect(r.Crossed).To(BeNumerically(">", r.Prompts/100))
-		Expect(r.late()).To(BeNumerically("<", 0.015))
+	It("use other zones' engines where one zone has a higher load", func() {
+		l := newLargeFleet()
+		l.HotZoneFactor = 1.7
+		r := simulate(l)
+		Expect(r.CrossZone).To(BeNumerically(">", r.Prompts/100))
+		Expect(r.lateFraction()).To(BeNumerically("<", 0.015))
 	})
 })
