--- a/admission/endpoint_state.go
+++ b/admission/endpoint_state.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// affinity scores how well an endpoint suits a prompt prefix. Endpoints that reported the
-// prefix as cached come first; the others are ordered by rendezvous hashing.
+// affinity scores how well an endpoint suits a prompt prefix. Endpoints that probably have
+// the prefix in their cache come first; the others are ordered by rendezvous hashing.
 func (p *endpointState) affinity(prefix uint64) uint64 {
 	if prefix == 0 {
 		return 0
@@ -213,4 +213,4 @@
 	x.order = append(x.order, prefix)
 }
 
-func (x *prefixes) drop(prefix uint64) { delete(x.held, prefix) }
+func (x *prefixes) remove(prefix uint64) { delete(x.held, prefix) }
--- a/admission/model.go
+++ b/admission/model.go
@@ -180,7 +180,7 @@
 		return
 	}
 	if e.Dropped {
-		p.prefixes.drop(e.Prefix)
+		p.prefixes.remove(e.Prefix)
 		return
 	}
 	p.prefixes.add(e.Prefix)
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -31,7 +31,7 @@
 type Shares struct {
 	Capacity       int // tokens of the whole endpoint
 	Slots          int // batch slots of the whole endpoint
-	hold           *core.Ownership
+	ownership      *core.Ownership
 	boxes          map[string]*share
 	boxNames       []string // sorted, so that float sums are reproducible
 	stepFit        StepFit
@@ -56,18 +56,18 @@
 
 // NewShares returns the shares of an endpoint that this box owns a slot of. TargetStep is
 // the longest acceptable time between two tokens.
-func NewShares(hold *core.Ownership, capacity, slots int, targetStep time.Duration) *Shares {
+func NewShares(ownership *core.Ownership, capacity, slots int, targetStep time.Duration) *Shares {
 	return &Shares{
 		Capacity:   capacity,
 		Slots:      slots,
-		hold:       hold,
+		ownership:  ownership,
 		boxes:      make(map[string]*share),
 		targetStep: targetStep,
 	}
 }
 
 // Ownership returns the ownership that the grants depend on.
-func (s *Shares) Ownership() *core.Ownership { return s.hold }
+func (s *Shares) Ownership() *core.Ownership { return s.ownership }
 
 // Boxes returns the number of boxes that use the endpoint.
 func (s *Shares) Boxes() int { return len(s.boxes) }
@@ -75,7 +75,7 @@
 // Grant records a box's demand and returns what the box is granted.
 func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
 	half := s.Capacity / core.SlotCount
-	tokens, ttl := s.hold.Grantable(now, half)
+	tokens, ttl := s.ownership.Grantable(now, half)
 	s.dropExpired(now, ttl)
 	own := &share{
 		demand: w,
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,6 +1,6 @@
-// Package policy compiles the operators' short programs and evaluates them.
+// Package policy compiles and evaluates the operators' policy programs.
 //
-// A program is a CEL expression over one request and the load it meets. It is
-// type-checked and cost-bounded when it is compiled, so that a published
-// configuration can hold no program that fails to end.
+// A program is a CEL expression over one request and the current load. Its type
+// is checked when it is compiled, and its cost is bounded when it is evaluated,
+// so every evaluation ends.
 package policy
--- a/policy/program.go
+++ b/policy/program.go
@@ -8,20 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// Verdict is what a program decides for one request.
+// Verdict is the decision of a program on a request.
 type Verdict string
 
-// The three verdicts that a program may give.
+// The verdicts.
 const (
 	Run    Verdict = "run"
 	Wait   Verdict = "wait"
 	Refuse Verdict = "refuse"
 )
 
-// costLimit bounds the CEL cost units of one evaluation.
-const costLimit = 2000
+// maxEvalCost is the limit of one evaluation in CEL cost units.
+const maxEvalCost = 2000
 
-// Input is what a program sees of a request and of the load it meets.
+// Input is the variable "request" of a program.
 type Input struct {
 	Customer      string  `cel:"customer"`
 	Class         string  `cel:"class"`
@@ -36,38 +36,38 @@
 	Fits          bool    `cel:"fits"`
 }
 
-// CompileError reports a program that can't be used, with its remedy.
+// CompileError is returned for a program that doesn't compile.
 type CompileError struct {
 	Program string
 	Cause   string
 }
 
-// Error names the fault and the remedy.
+// Error describes the error and what to write instead.
 func (e *CompileError) Error() string {
 	return "policy program " + e.Program + ": " + e.Cause +
-		"; write a CEL expression over request.* that gives 'run', 'wait' or 'refuse' (rank: a number)"
+		"; write a CEL expression over request.* that returns 'run', 'wait' or 'refuse' (for a rank: a number)"
 }
 
-// EvalError reports a program that failed while it ran.
+// EvalError is returned when the evaluation of a program fails.
 type EvalError struct {
 	Cause error
 }
 
-// Error names the fault and what happens instead.
+// Error describes the error and the fallback.
 func (e *EvalError) Error() string {
-	return "policy program failed and its tier's order is used instead: " + e.Cause.Error()
+	return "policy program failed; using the tier's order instead: " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *EvalError) Unwrap() error { return e.Cause }
 
-// Program is one compiled policy: a decision and a rank.
+// Program is a compiled policy program.
 type Program struct {
 	decide cel.Program
-	rank   cel.Program
+	rank   cel.Program // nil to use the tier's rank
 }
 
-// Compile checks and compiles a decision and an optional rank expression.
+// Compile compiles a decision expression and an optional rank expression.
 func Compile(name, decide, rank string) (*Program, error) {
 	env, err := cel.NewEnv(
 		ext.NativeTypes(reflect.TypeFor[Input](), ext.ParseStructTags(true)),
@@ -76,55 +76,55 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build the policy environment")
 	}
-	d, err := compileOne(env, name, decide, cel.StringType)
+	d, err := compileExpression(env, name, decide, cel.StringType)
 	if err != nil {
 		return nil, err
 	}
 	if rank == "" {
 		return &Program{decide: d}, nil
 	}
-	r, err := compileOne(env, name, rank, cel.DoubleType)
+	r, err := compileExpression(env, name, rank, cel.DoubleType)
 	if err != nil {
 		return nil, err
 	}
 	return &Program{decide: d, rank: r}, nil
 }
 
-func compileOne(env *cel.Env, name, source string, want *cel.Type) (cel.Program, error) {
+func compileExpression(env *cel.Env, name, source string, want *cel.Type) (cel.Program, error) {
 	ast, issues := env.Compile(source)
 	if issues.Err() != nil {
 		return nil, &CompileError{Program: name, Cause: issues.Err().Error()}
 	}
 	if !ast.OutputType().IsExactType(want) {
-		return nil, &CompileError{Program: name, Cause: "gives " + ast.OutputType().String() + ", not " + want.String()}
+		return nil, &CompileError{Program: name, Cause: "expression has type " + ast.OutputType().String() + ", not " + want.String()}
 	}
-	program, err := env.Program(ast, cel.CostLimit(costLimit), cel.EvalOptions(cel.OptOptimize))
+	program, err := env.Program(ast, cel.CostLimit(maxEvalCost), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
 		return nil, &CompileError{Program: name, Cause: err.Error()}
 	}
 	return program, nil
 }
 
-// Decide evaluates the decision for one request.
+// Decide evaluates the decision expression.
 func (p *Program) Decide(in *Input) (Verdict, error) {
-	out, _, err := p.decide.Eval(activation(in))
+	out, _, err := p.decide.Eval(programVariables(in))
 	if err != nil {
 		return Wait, &EvalError{Cause: err}
 	}
 	text, _ := out.Value().(string)
 	verdict := Verdict(text)
 	if verdict != Run && verdict != Wait && verdict != Refuse {
-		return Wait, &EvalError{Cause: errors.Errorf("verdict %q is none of run, wait, refuse", text)}
+		return Wait, &EvalError{Cause: errors.Errorf("invalid verdict %q; want run, wait or refuse", text)}
 	}
 	return verdict, nil
 }
 
-// Rank evaluates the order of a waiting request; the lower rank goes first.
+// Rank evaluates the rank expression; requests with a lower rank run first.
 func (p *Program) Rank(in *Input) (float64, error) {
 	if p.rank == nil {
 		return float64(in.TierRank), nil
 	}
-	out, _, err := p.rank.Eval(activation(in))
+	out, _, err := p.rank.Eval(programVariables(in))
 	if err != nil {
 		return float64(in.TierRank), &EvalError{Cause: err}
 	}
@@ -132,6 +132,6 @@
 	return rank, nil
 }
 
-func activation(in *Input) map[string]any {
+func programVariables(in *Input) map[string]any {
 	return map[string]any{"request": in}
 }
--- a/policy/program_test.go
+++ b/policy/program_test.go
@@ -18,18 +18,18 @@
 		Expect(p.Rank(&policy.Input{TierRank: 2, WaitSeconds: 5})).To(BeNumerically("~", 1.5))
 	})
 
-	DescribeTable("is refused at check time, with the remedy",
+	DescribeTable("doesn't compile with an error, and the error says what to write instead",
 		func(decide, rank, cause string) {
 			_, err := policy.Compile("p", decide, rank)
 			Expect(err).To(MatchError(And(ContainSubstring(cause), ContainSubstring("write a CEL expression"))))
 		},
-		Entry("no verdict", "request.fits", "", "not string"),
+		Entry("decision of the wrong type", "request.fits", "", "not string"),
 		Entry("unknown field", "request.colour == 'red' ? 'run' : 'wait'", "", "undefined field"),
-		Entry("no syntax", "request.fits ?", "", "Syntax error"),
+		Entry("syntax error", "request.fits ?", "", "Syntax error"),
 		Entry("rank of the wrong type", "'run'", "request.fits", "not double"),
 	)
 
-	It("ends when it costs too much", func() {
+	It("fails if the evaluation exceeds the cost limit", func() {
 		long := "[" + strings.TrimSuffix(strings.Repeat("1,", 200), ",") + "]"
 		p, err := policy.Compile("p", long+".all(a, "+long+".all(b, a == b)) ? 'run' : "+long+".map(a, "+long+".map(b, a + b)).size() > 3 ? 'run' : 'wait'", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -37,7 +37,7 @@
 		Expect(err).To(MatchError(ContainSubstring("cost")))
 	})
 
-	It("reports a verdict that is none", func() {
+	It("fails for an invalid verdict", func() {
 		p, err := policy.Compile("p", "'maybe'", "")
 		Expect(err).NotTo(HaveOccurred())
 		_, err = p.Decide(&policy.Input{})
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,4 +1,4 @@
-// Package routing holds what is published about a deployment: the routes, the
-// services and customers of one configuration version, and the endpoints that
-// serve it. It is pure: values and look-ups, no sockets and no clocks.
+// Package routing holds the published configuration of a deployment: routes,
+// services and customers of one version, and the endpoints of the services. It
+// contains only values and look-ups; it does no I/O and reads no clock.
 package routing
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Regions gives the region of each availability zone, as the settings tell them.
+// Regions maps each availability zone to its region.
 type Regions struct {
 	ofZone map[string]string
 }
 
-// NewRegions takes the zones' regions.
+// NewRegions returns the given mapping of zones to regions.
 func NewRegions(ofZone map[string]string) Regions { return Regions{ofZone: ofZone} }
 
-// AllowedRegions are the regions whose endpoints may get a request, by its route and its customer.
+// AllowedRegions are the regions whose endpoints may get a request.
 type AllowedRegions struct {
 	regions  Regions
-	route    []string
-	customer []string
+	route    []string // allowed by the route; empty for all
+	customer []string // allowed by the customer; empty for all
 }
 
-// NewAllowedRegions gives the homes of a route's requests from a customer, or from nobody known.
+// NewAllowedRegions returns the allowed regions for a route and a customer, which may be nil.
 func NewAllowedRegions(regions Regions, r *Route, c *Customer) AllowedRegions {
 	h := AllowedRegions{
 		regions: regions,
@@ -29,15 +29,15 @@
 	return h
 }
 
-// IsRestricted tells whether there are endpoints that may not get the request.
+// IsRestricted reports whether the route or the customer restricts the regions.
 func (h AllowedRegions) IsRestricted() bool { return len(h.route) > 0 || len(h.customer) > 0 }
 
-// AllowsZone tells whether a zone's endpoints may get the request. A zone whose region nobody
-// told is no home.
+// AllowsZone reports whether a zone's endpoints may get the request. A zone without a known
+// region is allowed only if there is no restriction.
 func (h AllowedRegions) AllowsZone(zone string) bool {
 	region := h.regions.ofZone[zone]
-	for _, homes := range [][]string{h.route, h.customer} {
-		if len(homes) > 0 && !slices.Contains(homes, region) {
+	for _, regionNames := range [][]string{h.route, h.customer} {
+		if len(regionNames) > 0 && !slices.Contains(regionNames, region) {
 			return false
 		}
 	}
--- a/routing/revision_test.go
+++ b/routing/revision_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("a revision", func() {
-	It("is ordered by its era, and within one by the store's count", func() {
+	It("is ordered by era, then by number", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			draw := func(label string) (era, number uint64, r routing.Revision) {
 				era = rapid.Uint64Range(0, 1<<16-1).Draw(t, label+" era")
@@ -28,7 +28,7 @@
 		})
 	})
 
-	It("can't be beyond what a store can have", func() {
+	It("rejects an era or a number that is out of range", func() {
 		for _, pair := range [][2]uint64{{1 << 16, 1}, {0, 1 << 48}} {
 			_, err := routing.NewRevision(pair[0], pair[1])
 			Expect(err).To(MatchError(routing.ErrRevisionTooLarge))
--- a/routing/table.go
+++ b/routing/table.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table is a document with indexes for look-ups; it doesn't change once built.
+// Table indexes a document for look-ups. It is immutable.
 type Table struct {
 	document  *Document
 	byHost    map[string][]*Route // longest prefix first
@@ -17,7 +17,7 @@
 	customers map[string]*Customer // by key
 }
 
-// NewTable indexes a document.
+// NewTable returns the index of a document.
 func NewTable(d *Document) *Table {
 	t := &Table{
 		document:  d,
@@ -44,19 +44,19 @@
 	return t
 }
 
-// Version gives the version of the table's document.
+// Version returns the version of the table's document.
 func (t *Table) Version() uint64 { return t.document.Version }
 
-// Document gives what the table was built from; it must not be changed.
+// Document returns the table's document, which must not be modified.
 func (t *Table) Document() *Document { return t.document }
 
-// Limits gives the bounds on what callers send.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.document.Limits }
 
-// Match gives the route of a request by its host and the path as it was sent,
-// or nil. Of several it is the one with the longest prefix.
+// Match returns the route with the longest prefix that matches a request's host and
+// undecoded path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.byHost[bareHost(host)] {
+	for _, r := range t.byHost[hostWithoutPort(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
@@ -64,25 +64,25 @@
 	return nil
 }
 
-// bareHost drops a port and case.
-func bareHost(host string) string {
+// hostWithoutPort removes the port of a host and converts it to lower case.
+func hostWithoutPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Customer gives the owner of a key, or nil.
+// Customer returns the customer that a key belongs to, or nil.
 func (t *Table) Customer(key string) *Customer { return t.customers[key] }
 
-// RequiresKey tells whether requests need a customer's key.
+// RequiresKey reports whether requests need a customer's key.
 func (t *Table) RequiresKey() bool { return t.document.RequiresKey }
 
-// Service gives a service by name, or nil.
+// Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick gives the service for one request of a route. The same id always gets
-// the same service, so that a repeat inside one attempt doesn't change sides.
+// Pick returns the service for one request of a route, chosen by weight. It depends only on
+// the request's ID, so that repeated attempts use the same service.
 func (r *Route) Pick(id string) string {
 	total := 0
 	for _, s := range r.Split {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -21,7 +21,7 @@
 		Customers: []routing.Customer{{Name: "one", Keys: []string{"k1", "k2"}}},
 	})
 
-	DescribeTable("finds the route with the longest prefix of the host",
+	DescribeTable("finds the route of the host with the longest matching prefix",
 		func(host, path, name string) {
 			r := t.Match(host, path)
 			if name == "" {
@@ -30,28 +30,28 @@
 			}
 			Expect(r.Name).To(Equal(name))
 		},
-		Entry("the longer", "a.example", "/x/y/z", "long"),
-		Entry("the shorter", "a.example", "/x/z", "short"),
-		Entry("a path that only begins alike", "a.example", "/xy", ""),
+		Entry("the longer prefix", "a.example", "/x/y/z", "long"),
+		Entry("the shorter prefix", "a.example", "/x/z", "short"),
+		Entry("a path with a longer first segment", "a.example", "/xy", ""),
 		Entry("a host in capitals with a port", "A.EXAMPLE:80", "/x/", "short"),
 		Entry("another host", "b.example", "/x/", "other"),
-		Entry("no host", "c.example", "/x/", ""),
+		Entry("an unknown host", "c.example", "/x/", ""),
 	)
 
-	It("finds customers by each of their keys", func() {
+	It("finds a customer by each of its keys", func() {
 		Expect(t.Customer("k2").Name).To(Equal("one"))
 		Expect(t.Customer("k3")).To(BeNil())
 	})
 })
 
-var _ = Describe("a split", func() {
+var _ = Describe("a route's split", func() {
 	r := &routing.Route{Split: []routing.Share{
 		{Service: "a", Weight: 90},
 		{Service: "b", Weight: 10},
 		{Service: "c"},
 	}}
 
-	It("gives one id always the same service, and services their weights", func() {
+	It("maps an ID to the same service each time, and IDs to services by weight", func() {
 		counts := make(map[string]int)
 		for i := range 10_000 {
 			id := strconv.Itoa(i)
@@ -63,7 +63,7 @@
 		Expect(counts["c"]).To(BeZero())
 	})
 
-	It("without weights gives the first", func() {
+	It("without weights uses the first service", func() {
 		Expect((&routing.Route{Split: []routing.Share{{Service: "a"}}}).Pick("x")).To(Equal("a"))
 	})
 })
--- a/shard/doc.go
+++ b/shard/doc.go
@@ -1,3 +1,3 @@
-// Package shard holds state split into parts, each under its own lock, so that
-// many threads work on different keys without waiting for each other.
+// Package shard provides a map that is split into shards with a lock each, so
+// that goroutines working on different keys rarely wait for each other.
 package shard
--- a/shard/map.go
+++ b/shard/map.go
@@ -6,36 +6,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shardCount is a power of two well above the cores of a small box.
+// shardCount is well above the number of CPUs of a typical box.
 const shardCount = 64
 
-// Map is a map by string key whose parts are locked apart.
+// Map is a sharded map with string keys. It is safe for concurrent use.
 type Map[V any] struct {
-	parts [shardCount]part[V]
+	shards [shardCount]shard[V]
 }
 
-type part[V any] struct {
+type shard[V any] struct {
 	mu     sync.Mutex
 	values map[string]V
-	_      [40]byte // keeps neighbours off one cache line
+	_      [40]byte // padding against false sharing
 }
 
-// NewMap builds an empty map.
+// NewMap returns an empty map.
 func NewMap[V any]() *Map[V] {
 	m := &Map[V]{}
-	for i := range m.parts {
-		m.parts[i].values = make(map[string]V)
+	for i := range m.shards {
+		m.shards[i].values = make(map[string]V)
 	}
 	return m
 }
 
-func (m *Map[V]) part(key string) *part[V] {
-	return &m.parts[xxhash.Sum64String(key)%shardCount]
+func (m *Map[V]) shard(key string) *shard[V] {
+	return &m.shards[xxhash.Sum64String(key)%shardCount]
 }
 
-// Get gives the value of a key.
+// Get returns the value of a key and whether it exists.
 func (m *Map[V]) Get(key string) (V, bool) {
-	p := m.part(key)
+	p := m.shard(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, ok := p.values[key]
@@ -44,7 +44,7 @@
 
 // Put sets the value of a key.
 func (m *Map[V]) Put(key string, v V) {
-	p := m.part(key)
+	p := m.shard(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.values[key] = v
@@ -52,15 +52,16 @@
 
 // Delete removes a key.
 func (m *Map[V]) Delete(key string) {
-	p := m.part(key)
+	p := m.shard(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.values, key)
 }
 
-// GetOrCreate gives the value of a key, made under the part's lock if missing.
+// GetOrCreate returns the value of a key. If it is missing, build is called under the
+// shard's lock to create it.
 func (m *Map[V]) GetOrCreate(key string, build func() V) V {
-	p := m.part(key)
+	p := m.shard(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, ok := p.values[key]
@@ -71,16 +72,16 @@
 	return v
 }
 
-// Each calls visit for a copy of each part's values, without holding a lock.
+// Each calls visit for each key and value, without holding a lock.
 func (m *Map[V]) Each(visit func(key string, v V)) {
-	for i := range m.parts {
-		for key, v := range m.parts[i].copied() {
+	for i := range m.shards {
+		for key, v := range m.shards[i].snapshot() {
 			visit(key, v)
 		}
 	}
 }
 
-func (p *part[V]) copied() map[string]V {
+func (p *shard[V]) snapshot() map[string]V {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make(map[string]V, len(p.values))
@@ -90,13 +91,13 @@
 	return all
 }
 
-// Len counts the values of all parts.
+// Len returns the number of values.
 func (m *Map[V]) Len() int {
 	total := 0
-	for i := range m.parts {
-		m.parts[i].mu.Lock()
-		total += len(m.parts[i].values)
-		m.parts[i].mu.Unlock()
+	for i := range m.shards {
+		m.shards[i].mu.Lock()
+		total += len(m.shards[i].values)
+		m.shards[i].mu.Unlock()
 	}
 	return total
 }
