--- a/routing/document.go
+++ b/routing/document.go
@@ -29,7 +29,7 @@
 	PathPrefix     string        `cbor:"3,keyasint,omitempty"`
 	Kind           Kind          `cbor:"4,keyasint,omitempty"`
 	Timeout        time.Duration `cbor:"5,keyasint,omitempty"`  // longest time until the response
-	Target         time.Duration `cbor:"6,keyasint,omitempty"`  // latency target
+	LatencyTarget  time.Duration `cbor:"6,keyasint,omitempty"`  // latency target
 	PauseTarget    time.Duration `cbor:"7,keyasint,omitempty"`  // target for the time between two events of a stream
 	Rank           int           `cbor:"8,keyasint,omitempty"`  // priority; 0 is the most urgent
 	Split          []Share       `cbor:"9,keyasint,omitempty"`  // services that share the route's requests
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -15,7 +15,7 @@
 	Zone      string         `cbor:"4,keyasint,omitempty"`
 	Slots     int            `cbor:"5,keyasint,omitempty"`
 	Leaving   bool           `cbor:"6,keyasint,omitempty"` // it announced that it terminates; it gets no new requests
-	Cold      time.Duration  `cbor:"7,keyasint,omitempty"` // remaining warm-up time at the time of publication
+	ColdFor   time.Duration  `cbor:"7,keyasint,omitempty"` // remaining warm-up time at the time of publication
 	Revision  Revision       `cbor:"8,keyasint,omitempty"` // store revision of the last change
 	ColdUntil time.Time      `cbor:"-"`                    // end of the warm-up by this box's clock; zero if it is warm
 	Started   int64          `cbor:"9,keyasint,omitempty"` // start time by the server's clock in Unix milliseconds; 0 if unknown
