--- a/admission/balancer.go
+++ b/admission/balancer.go
@@ -21,7 +21,7 @@
 	// crossZoneCost is the cost of an engine in another availability zone, for the traffic
 	// between zones.
 	crossZoneCost = 0.03
-	// callCrossZoneCost is the same for services that are no model engines. Their requests
+	// callCrossZoneCost is the same for services that are not model engines, whose requests
 	// are cheap compared to the traffic.
 	callCrossZoneCost = 0.2
 	// outsideGroupCost is the cost of an engine that is not assigned to this box's group,
@@ -76,7 +76,7 @@
 
 // Balancer chooses an endpoint for each request by the estimated load of the endpoints:
 // what this box sent to them, what they reported, what other boxes sent there, and which
-// of the last requests failed.
+// of the last requests failed. It is safe for concurrent use.
 type Balancer struct {
 	mu                sync.Mutex
 	zone              string                   // of this box
@@ -113,7 +113,7 @@
 }
 
 // Requirements is what a request needs of an endpoint. Fields about tokens are 0 for
-// services that are no model engines.
+// services that are not model engines.
 type Requirements struct {
 	Tokens        int             // memory that the run is expected to hold at its end
 	Prompt        int             // prompt tokens to prefill
@@ -160,7 +160,6 @@
 			outside = append(outside, i)
 		}
 	}
-	// The group's own engines come first, so that they win ties.
 	var chosen []routing.Endpoint
 	most := maxChoices
 	switch {
--- a/admission/balancer_test.go
+++ b/admission/balancer_test.go
@@ -56,18 +56,18 @@
 		all := engines(20)
 		shared := want
 		shared.Shared = true
-		random := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
+		balancer := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
 		emptiest := func() int {
 			n := 0
 			for range 100 {
-				if e, _ := random.Pick(now, all, shared); e.ID == "e0" {
+				if e, _ := balancer.Pick(now, all, shared); e.ID == "e0" {
 					n++
 				}
 			}
 			return n
 		}
 		for i, e := range all {
-			random.Memory(now, routing.Report{
+			balancer.Memory(now, routing.Report{
 				Endpoint: e.ID,
 				Used:     500 * i,
 				Total:    10_000,
@@ -75,26 +75,26 @@
 		}
 		// Each pick compares two of the 20 engines, or all of them.
 		Expect(emptiest()).To(BeNumerically("~", 10, 6))
-		random.AddRemotePrompt(now, "e19", 10)
+		balancer.AddRemotePrompt(now, "e19", 10)
 		Expect(emptiest()).To(Equal(100))
 	})
 
 	It("compares few engines of its group if there are engines outside the group", func() {
 		all := engines(21)
 		own := make(map[string]bool)
-		random := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
+		balancer := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
 		for i, e := range all {
 			own[e.ID] = i < 20
-			random.Memory(now, routing.Report{
+			balancer.Memory(now, routing.Report{
 				Endpoint: e.ID,
 				Used:     400 * i,
 				Total:    10_000,
 			})
 		}
-		random.SetShare(own)
+		balancer.SetShare(own)
 		n := 0
 		for range 100 {
-			if e, _ := random.Pick(now, all, want); e.ID == "e0" {
+			if e, _ := balancer.Pick(now, all, want); e.ID == "e0" {
 				n++
 			}
 		}
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -23,7 +23,7 @@
 	return append(commands, m.scheduleWake(now)...)
 }
 
-// scheduleWake requests a wake-up if only the interval between prompts holds a request back.
+// scheduleWake requests a wake-up if the interval between prompts holds a request back.
 // At most one wake-up is outstanding.
 func (m *Model) scheduleWake(now time.Time) []core.Command {
 	after := m.shortestDelay
@@ -176,6 +176,7 @@
 	score uint64
 }
 
+// refusal returns the command to refuse a request.
 func (m *Model) refusal(r *Request, reason RefusalReason) core.Command {
 	return RefuseRequest{
 		ID:         r.ID,
--- a/admission/endpoint_load.go
+++ b/admission/endpoint_load.go
@@ -83,8 +83,8 @@
 }
 
 // BeginSend counts a request sent to an endpoint: the memory that it holds at its expected
-// end, and the tokens that other boxes are notified of, which are 0 for other services than
-// engines.
+// end, and the tokens that other boxes are notified of. The latter are 0 for services that
+// are not model engines.
 func (s *Balancer) BeginSend(now time.Time, id string, tokens, announced int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/admission/model.go
+++ b/admission/model.go
@@ -86,6 +86,8 @@
 	return count
 }
 
+// handleEndpoints replaces the endpoints that serve the model. The state of a removed endpoint
+// is kept while generations run there.
 func (m *Model) handleEndpoints(endpointNames []string) {
 	m.endpointNames = slices.Sorted(slices.Values(endpointNames))
 	for _, name := range m.endpointNames {
@@ -115,6 +117,7 @@
 	p.recomputeOwn(m.profile)
 }
 
+// profile returns the memory profile of a running generation at its current length.
 func (m *Model) profile(r *running) Profile {
 	return m.plan(&r.request, r.generated)
 }
@@ -229,6 +232,8 @@
 	return nil
 }
 
+// verdict evaluates the tier's policy program. If there is none or it fails, a request runs
+// if it fits and waits otherwise.
 func (m *Model) verdict(r *Request, in *policy.Input) (policy.Verdict, []core.Command) {
 	program := m.rules.Program(r.Tier)
 	if program == nil {
@@ -251,6 +256,7 @@
 	return policy.Wait
 }
 
+// policyInput returns the input of a policy program for a request.
 func (m *Model) policyInput(now time.Time, r *Request) *policy.Input {
 	curve := m.estimator.Curve(r.key())
 	_, fits := m.chooseEndpoint(now, r)
@@ -269,6 +275,7 @@
 	}
 }
 
+// customerShare returns the fraction of the running generations that are a customer's.
 func (m *Model) customerShare(customer string) float64 {
 	if len(m.running) == 0 {
 		return 0
@@ -282,6 +289,7 @@
 	return float64(n) / float64(len(m.running))
 }
 
+// meanLoad returns the average load of the endpoints that have a usable lease, at most 1.
 func (m *Model) meanLoad(now time.Time) float64 {
 	sum, n := 0.0, 0
 	for _, name := range m.endpointNames {
@@ -300,6 +308,8 @@
 // Explain returns the input that a policy program would get for a request now.
 func (m *Model) Explain(now time.Time, r Request) *policy.Input { return m.policyInput(now, &r) }
 
+// tick refuses the requests at the heads of the customers' queues that have waited longer
+// than MaxWait, then dispatches.
 func (m *Model) tick(now time.Time) []core.Command {
 	var commands []core.Command
 	m.drainRate.tick(now)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -94,6 +94,7 @@
 	return heads
 }
 
+// remove removes a request and returns it, or nil if it isn't waiting.
 func (q *queue) remove(id, customer string) *Request {
 	line := q.byCustomer[customer]
 	at := slices.IndexFunc(line, func(r *Request) bool { return r.ID == id })
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -47,8 +47,6 @@
 }
 
 // shareExpiryTTLs is the number of lease TTLs after which a silent box's share is dropped.
-
-// shareExpiryTTLs is after how many lease times a silent box's use is dropped.
 const shareExpiryTTLs = 3
 
 // ownerOverflowRisk is the probability with which memory may exceed an owner's plan.
@@ -74,8 +72,8 @@
 
 // Grant records a box's demand and returns what the box is granted.
 func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
-	half := s.Capacity / core.SlotCount
-	tokens, ttl := s.ownership.Grantable(now, half)
+	slotTokens := s.Capacity / core.SlotCount
+	tokens, ttl := s.ownership.Grantable(now, slotTokens)
 	s.dropExpired(now, ttl)
 	own := &share{
 		demand: w,
@@ -102,6 +100,7 @@
 	}
 }
 
+// setShare stores a box's share and keeps boxNames sorted.
 func (s *Shares) setShare(box string, own *share) {
 	if s.boxes[box] == nil {
 		at, _ := slices.BinarySearch(s.boxNames, box)
--- a/admission/stepfit.go
+++ b/admission/stepfit.go
@@ -30,11 +30,11 @@
 // Limit returns the batch size at which the time between tokens reaches the target, or 0 if
 // the reports don't determine it.
 func (f *StepFit) Limit(target time.Duration) int {
-	spread := f.weight*f.xx - f.x*f.x
-	if f.weight < minStepFitWeight || target <= 0 || spread < f.weight*f.weight {
+	determinant := f.weight*f.xx - f.x*f.x
+	if f.weight < minStepFitWeight || target <= 0 || determinant < f.weight*f.weight {
 		return 0
 	}
-	slope := (f.weight*f.xy - f.x*f.y) / spread
+	slope := (f.weight*f.xy - f.x*f.y) / determinant
 	if slope <= 0 {
 		return 0
 	}
--- a/routing/document.go
+++ b/routing/document.go
@@ -56,7 +56,7 @@
 	Name           string  `cbor:"1,keyasint,omitempty"`
 	HealthPath     string  `cbor:"2,keyasint,omitempty"`
 	MaxConnections int     `cbor:"3,keyasint,omitempty"` // per endpoint, from all boxes together
-	Engine         *Engine `cbor:"4,keyasint,omitempty"` // nil for services that are no model engines
+	Engine         *Engine `cbor:"4,keyasint,omitempty"` // nil for services that are not model engines
 	ColdPerSecond  float64 `cbor:"5,keyasint,omitempty"` // requests per second to a cold endpoint, from all boxes together; 0 for no limit
 }
 
