--- a/routing/document.go
+++ b/routing/document.go
@@ -28,7 +28,7 @@
 	Host           string        `cbor:"2,keyasint,omitempty"`
 	PathPrefix     string        `cbor:"3,keyasint,omitempty"`
 	Kind           Kind          `cbor:"4,keyasint,omitempty"`
-	Timeout        time.Duration `cbor:"5,keyasint,omitempty"`  // longest time until the response
+	Timeout        time.Duration `cbor:"5,keyasint,omitempty"`  // longest time that a request may take
 	LatencyTarget  time.Duration `cbor:"6,keyasint,omitempty"`  // latency target
 	PauseTarget    time.Duration `cbor:"7,keyasint,omitempty"`  // target for the time between two events of a stream
 	Rank           int           `cbor:"8,keyasint,omitempty"`  // priority; 0 is the most urgent
