--- a/admission/balancer.go
+++ b/admission/balancer.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// SetShare sets the engines that are assigned to the box's group and preferred by it.
-func (s *Balancer) SetShare(groupEngines map[string]bool) {
+// SetGroupEngines sets the engines that are assigned to the box's group and preferred by it.
+func (s *Balancer) SetGroupEngines(groupEngines map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.groupEngines = groupEngines
--- a/admission/balancer_test.go
+++ b/admission/balancer_test.go
@@ -91,7 +91,7 @@
 				Total:    10_000,
 			})
 		}
-		balancer.SetShare(own)
+		balancer.SetGroupEngines(own)
 		n := 0
 		for range 100 {
 			if e, _ := balancer.Pick(now, all, want); e.ID == "e0" {
--- a/admission/fleet_simulation_test.go
+++ b/admission/fleet_simulation_test.go
@@ -246,7 +246,7 @@
 		shares[e.zone][id] = true
 	}
 	for _, b := range f.boxes {
-		b.balancer.SetShare(shares[b.zone])
+		b.balancer.SetGroupEngines(shares[b.zone])
 	}
 }
 
