--- /dev/null
+++ b/admission/balancer.go
@@ -0,0 +1,299 @@
+package admission
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	"dillsaddle.example/dillsaddle/routing"
+)
+
+const (
+	// loadReportTTL is how long the load in an endpoint's response header is used. Without
+	// it, only the requests of this box are known.
+	loadReportTTL = 2 * time.Second
+	// memoryReportTTL is how long an engine's memory report is used.
+	memoryReportTTL = 5 * time.Second
+
+	// The costs below are added to an endpoint's load, in units of its whole capacity (slots
+	// or memory). The endpoint with the lowest sum is chosen.
+
+	// crossZoneCost is the cost of an engine in another availability zone, for the traffic
+	// between zones.
+	crossZoneCost = 0.03
+	// callCrossZoneCost is the same for services that are not model engines, whose requests
+	// are cheap compared to the traffic.
+	callCrossZoneCost = 0.2
+	// outsideGroupCost is the cost of an engine that is not assigned to this box's group,
+	// because most of the placements there are unknown to this box.
+	outsideGroupCost = 0.35
+	// coldCost is the cost of an endpoint that is still warming up.
+	coldCost = 0.5
+	// failureDecay is the time constant of an endpoint's failure score.
+	failureDecay = 3 * time.Second
+	// failureCost is the cost of a failure score of 1.
+	failureCost = 3.0
+	// failureStep is added to the failure score at each failure; the score is at most 1.
+	failureStep = 0.34
+	// unresponsiveTime is how long an endpoint that didn't respond is avoided.
+	unresponsiveTime = 2 * time.Second
+	// overcommitCost is the cost of memory planned beyond an engine's total, where the engine
+	// preempts runs and prefills them again later.
+	overcommitCost = 24.0
+	// unmovableCost is the cost of memory beyond what can be moved off an engine within the
+	// notice before it terminates; the runs that remain are lost.
+	unmovableCost = 9.0
+	// scoreNoise is the range of a random cost that spreads requests over equal engines.
+	scoreNoise = 0.06
+	// initialPrefillRate is the assumed prefill rate before it is observed, in tokens per
+	// second.
+	initialPrefillRate = 8000.0
+	// prefillDelayCost is the cost of one second of prefill delay.
+	prefillDelayCost = 6.0
+	// suspectLatencyFactor is the multiple of an endpoint's average latency after which it is
+	// suspect if it sends nothing.
+	suspectLatencyFactor = 6.0
+	// minCallSuspectTime is the shortest silence after which an endpoint is suspect.
+	minCallSuspectTime = 250 * time.Millisecond
+	// minEngineSuspectTime is the same for engines, which are silent during prefill.
+	minEngineSuspectTime = 2500 * time.Millisecond
+	// latencyWeight is the weight of the latest response in an endpoint's average latency.
+	latencyWeight = 0.1
+	// maxChoices is the number of endpoints compared for a request.
+	maxChoices = 5
+	// fullViewChoices is used instead if this box is notified of all placements.
+	fullViewChoices = 20
+	// blindChoices is used instead if no other box has reported a placement for blindAfter,
+	// as after a restart of all boxes. They all have the same reports then, and would all
+	// choose the same engine.
+	blindChoices = 2
+	blindAfter   = time.Second
+	// outsideGroupChoices is the number of other groups' engines compared in addition.
+	outsideGroupChoices = 2
+	// learningWeight is the weight of the latest run in the average lengths and prefill rate.
+	learningWeight = 0.05
+)
+
+// Balancer chooses an endpoint for each request by the estimated load of the endpoints:
+// what this box sent to them, what they reported, what other boxes sent there, and which
+// of the last requests failed. It is safe for concurrent use.
+type Balancer struct {
+	mu                sync.Mutex
+	zone              string                   // of this box
+	random            func() float64           // uniform in [0, 1)
+	groupEngines      map[string]bool          // engines assigned to this box's group; nil for all
+	loads             map[string]*endpointLoad // by endpoint ID
+	prompt            float64                  // average prompt length in tokens
+	prefillRate       float64                  // average prefill rate of an engine, in tokens per second
+	output            float64                  // average output length in tokens
+	remotePlacementAt time.Time                // when another box last reported a placement
+	flow              flow                     // prompt tokens sent by the group's boxes
+	released          flow                     // tokens of memory freed by the group's runs
+}
+
+// reportLag is the age of an engine's report when it is received.
+const reportLag = 500 * time.Millisecond
+
+// NewBalancer returns a balancer for a box in an availability zone. Random returns uniform
+// numbers in [0, 1).
+func NewBalancer(zone string, random func() float64) *Balancer {
+	return &Balancer{
+		zone:        zone,
+		random:      random,
+		prefillRate: initialPrefillRate,
+		loads:       make(map[string]*endpointLoad),
+	}
+}
+
+// SetGroupEngines sets the engines that are assigned to the box's group and preferred by it.
+func (s *Balancer) SetGroupEngines(groupEngines map[string]bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.groupEngines = groupEngines
+}
+
+// Requirements is what a request needs of an endpoint. Fields about tokens are 0 for
+// services that are not model engines.
+type Requirements struct {
+	Tokens        int             // memory that the run is expected to hold at its end
+	Prompt        int             // prompt tokens to prefill
+	Memory        int             // total memory of an engine
+	Exclude       map[string]bool // endpoints that must not be chosen, by ID
+	Zone          string          // preferred zone; empty for the box's own
+	Shared        bool            // whether other boxes send requests to these endpoints
+	MovableTokens int             // memory that can be moved off an engine before it terminates; 0 if unknown
+	MaxMemoryUse  float64         // highest fraction of memory in use, including this request; 0 for no limit
+}
+
+// Pick returns the endpoint with the lowest score, or false if there is none to choose.
+func (s *Balancer) Pick(now time.Time, endpoints []routing.Endpoint, w Requirements) (routing.Endpoint, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	best := -1
+	least := math.Inf(1)
+	choices := s.choices(now, endpoints, w)
+	for i, e := range choices {
+		score := s.score(now, e, w)
+		if score < least {
+			best = i
+			least = score
+		}
+	}
+	if best < 0 {
+		return routing.Endpoint{}, false
+	}
+	return choices[best], true
+}
+
+// choices returns a random sample of the endpoints that may take the request. All boxes
+// have the same reports, so without sampling they would all choose the same endpoint.
+func (s *Balancer) choices(now time.Time, endpoints []routing.Endpoint, w Requirements) []routing.Endpoint {
+	var own, outside []int
+	for i := range endpoints {
+		id := endpoints[i].ID
+		if w.Exclude[id] || (w.MaxMemoryUse > 0 && s.memoryUse(now, s.load(id), w) > w.MaxMemoryUse) {
+			continue
+		}
+		if s.groupEngines == nil || s.groupEngines[id] {
+			own = append(own, i)
+		} else {
+			outside = append(outside, i)
+		}
+	}
+	var chosen []routing.Endpoint
+	most := maxChoices
+	switch {
+	case w.Shared && now.Sub(s.remotePlacementAt) > blindAfter:
+		most = blindChoices
+	case w.Memory > 0 && len(outside) == 0:
+		most = fullViewChoices
+	}
+	for _, i := range append(s.sample(own, most), s.sample(outside, outsideGroupChoices)...) {
+		chosen = append(chosen, endpoints[i])
+	}
+	return chosen
+}
+
+// sample draws at most a number of elements at random; it reorders its argument.
+func (s *Balancer) sample(all []int, most int) []int {
+	n := min(len(all), most)
+	for i := range n {
+		j := i + int(s.random()*float64(len(all)-i))
+		all[i], all[j] = all[j], all[i]
+	}
+	return all[:n:n]
+}
+
+// score returns the cost of sending a request to an endpoint; the lowest is best.
+func (s *Balancer) score(now time.Time, e routing.Endpoint, w Requirements) float64 {
+	l := s.load(e.ID)
+	slots := float64(max(e.Slots, 1))
+	load := float64(l.running)
+	if now.Sub(l.loadReportedAt) < loadReportTTL {
+		load = math.Max(load, float64(l.reportedRequests+l.startedSince))
+	}
+	score := load / slots
+	if w.Memory > 0 {
+		full := s.memoryUse(now, l, w)
+		score += full + overcommitCost*math.Max(0, full-1) + scoreNoise*s.random()
+		if w.MovableTokens > 0 {
+			score += unmovableCost * math.Max(0, full-float64(w.MovableTokens)/float64(w.Memory))
+		}
+		ahead := l.backlog(now, s.prefillRate)
+		if s.isOutsideGroup(e.ID) {
+			score += outsideGroupCost
+			ahead += s.unreportedPromptTokens(now, l)
+		}
+		score += prefillDelayCost * ahead / s.prefillRate
+	}
+	if e.Zone != w.zone(s) {
+		score += w.crossZoneCost()
+	}
+	if e.ColdAt(now) {
+		score += coldCost
+	}
+	score += failureCost * l.failureScore(now)
+	if now.Before(l.avoidUntil) || l.isSuspect(now, w) {
+		score += failureCost
+	}
+	return score + s.random()/(4*slots)
+}
+
+// isOutsideGroup reports whether an endpoint is not assigned to the box's group.
+func (s *Balancer) isOutsideGroup(id string) bool {
+	return s.groupEngines != nil && !s.groupEngines[id]
+}
+
+// crossZoneCost returns the cost of an endpoint outside the preferred zone.
+func (w Requirements) crossZoneCost() float64 {
+	if w.Memory > 0 {
+		return crossZoneCost
+	}
+	return callCrossZoneCost
+}
+
+// zone returns the preferred availability zone.
+func (w Requirements) zone(s *Balancer) string {
+	if w.Zone != "" {
+		return w.Zone
+	}
+	return s.zone
+}
+
+// memoryUse estimates the fraction of an engine's memory that is in use with this request:
+// the last report, the changes since, and the further growth of the running generations.
+func (s *Balancer) memoryUse(now time.Time, l *endpointLoad, w Requirements) float64 {
+	total := float64(max(w.Memory, 1))
+	if now.Sub(l.reportAt) > memoryReportTTL {
+		// Other boxes' placements count as well: an engine that has just joined looks
+		// empty to all boxes until its first report arrives.
+		used := max(l.tokens+l.copyTokens, l.tokensSince(now.Add(-memoryReportTTL)))
+		return float64(used+w.Tokens) / total
+	}
+	if l.report.Total > 0 {
+		total = float64(l.report.Total)
+	}
+	used := float64(l.report.Used)
+	used += float64(l.report.Running) * s.output / 2
+	used += float64(l.report.Waiting) * (s.prompt + s.output)
+	for _, c := range l.recentChanges {
+		used += float64(c.tokens)
+	}
+	return (math.Max(used, 0) + float64(w.Tokens)) / total
+}
+
+// isSuspect reports whether an endpoint has pending requests of this box and has sent
+// nothing for much longer than its average latency.
+func (l *endpointLoad) isSuspect(now time.Time, w Requirements) bool {
+	if len(l.pending) == 0 {
+		return false
+	}
+	since := l.pending[0]
+	if l.activeAt.After(since) {
+		since = l.activeAt
+	}
+	limit := time.Duration(suspectLatencyFactor * l.latency * float64(time.Second))
+	least := minCallSuspectTime
+	if w.Memory > 0 {
+		least = minEngineSuspectTime
+	}
+	return now.Sub(since) > max(limit, least)
+}
+
+// failureScore returns the decayed score of the last failures, from 0 to 1.
+func (l *endpointLoad) failureScore(now time.Time) float64 {
+	if l.failures == 0 {
+		return 0
+	}
+	return l.failures * math.Exp(-float64(now.Sub(l.failedAt))/float64(failureDecay))
+}
+
+// load returns the load of an endpoint, creating it if needed. The caller holds mu.
+func (s *Balancer) load(id string) *endpointLoad {
+	l := s.loads[id]
+	if l == nil {
+		l = &endpointLoad{}
+		s.loads[id] = l
+	}
+	return l
+}
--- /dev/null
+++ b/admission/endpoint_load.go
@@ -0,0 +1,254 @@
+package admission
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"dillsaddle.example/dillsaddle/routing"
+)
+
+// endpointLoad is this box's view of the load of one endpoint.
+type endpointLoad struct {
+	running          int            // requests of this box
+	reportedRequests int            // running and waiting requests by the last response header
+	loadReportedAt   time.Time      // when that header was received
+	startedSince     int            // requests that this box sent after it
+	report           routing.Report // last memory report of the engine
+	reportAt         time.Time      // when the report was made
+	recentChanges    []memoryChange // not yet included in the report
+	tokens           int            // memory of this box's runs at their expected ends
+	copyTokens       int            // memory of the copies that this box is sending
+	failures         float64        // failure score at failedAt
+	failedAt         time.Time
+	avoidUntil       time.Time   // end of the time without requests after a timeout
+	pending          []time.Time // send times of this box's pending requests, oldest first
+	activeAt         time.Time   // when this box last received data from the endpoint
+	latency          float64     // average latency in seconds
+	lastSendAt       time.Time
+	queuedTokens     float64 // prompt tokens waiting for prefill at queuedAt
+	queuedAt         time.Time
+}
+
+// memoryChange is memory allocated by a run or a copy, or freed at its end.
+type memoryChange struct {
+	at        time.Time
+	tokens    int // negative if freed
+	announced int // tokens that the boxes were notified of, to match a run's end to its start; 0 for none
+}
+
+// backlog estimates the prompt tokens waiting for prefill at an engine.
+func (l *endpointLoad) backlog(now time.Time, prefillRate float64) float64 {
+	return math.Max(0, l.queuedTokens-prefillRate*now.Sub(l.queuedAt).Seconds())
+}
+
+// AddPrompt counts a prompt that this box or another one sent to an engine. It returns the
+// prompt tokens to be prefilled there, including this prompt.
+func (s *Balancer) AddPrompt(now time.Time, id string, prompt int) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	l.queuedTokens = l.backlog(now, s.prefillRate) + float64(prompt)
+	l.queuedAt = now
+	s.flow.add(now, float64(prompt))
+	return l.queuedTokens
+}
+
+// AddRemotePrompt counts a prompt that another box sent to an engine, and the memory that
+// its run will hold.
+func (s *Balancer) AddRemotePrompt(now time.Time, id string, prompt int) {
+	s.AddPrompt(now, id, prompt)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.load(id).addChange(now, prompt+int(s.output), prompt)
+	s.remotePlacementAt = now
+}
+
+// AddRemoteCopy counts the copy of a run's memory that another box sends to an engine.
+func (s *Balancer) AddRemoteCopy(now time.Time, id string, tokens int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.load(id).addChange(now, tokens, tokens)
+}
+
+// ObservePrefill records how long an engine took to prefill its queued tokens, ending with
+// a prompt of this box.
+func (s *Balancer) ObservePrefill(queuedTokens float64, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if took <= 0 || queuedTokens <= 0 {
+		return
+	}
+	s.prefillRate += learningWeight * (queuedTokens/took.Seconds() - s.prefillRate)
+}
+
+// BeginSend counts a request sent to an endpoint: the memory that it holds at its expected
+// end, and the tokens that other boxes are notified of. The latter are 0 for services that
+// are not model engines.
+func (s *Balancer) BeginSend(now time.Time, id string, tokens, announced int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	l.running++
+	l.startedSince++
+	l.tokens += tokens
+	l.lastSendAt = now
+	l.pending = append(l.pending, now)
+	l.addChange(now, tokens, announced)
+}
+
+// RunEnded counts the memory freed by a run of this box or another one. It finds the run by
+// its announced tokens; held is the memory that it held at its end. Without this, engines
+// look full until their next report.
+func (s *Balancer) RunEnded(now time.Time, id string, announced, held int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.released.add(now, float64(held))
+	l := s.load(id)
+	l.dropBefore(now.Add(-memoryReportTTL))
+	index := slices.IndexFunc(l.recentChanges, func(c memoryChange) bool { return c.announced == announced && c.tokens > 0 })
+	if index >= 0 {
+		l.recentChanges = slices.Delete(l.recentChanges, index, index+1)
+		return
+	}
+	// The report includes the run and, in memoryUse, its expected growth.
+	l.recentChanges = append(l.recentChanges, memoryChange{
+		at:        now,
+		tokens:    -held - int(s.output/2),
+		announced: announced,
+	})
+}
+
+// RecordActivity records that data was received from an endpoint.
+func (s *Balancer) RecordActivity(now time.Time, id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.load(id).activeAt = now
+}
+
+// ActiveSince reports whether an endpoint sent anything after a time, to this box or to a
+// box that forwarded its report.
+func (s *Balancer) ActiveSince(at time.Time, id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	return l.activeAt.After(at) || l.loadReportedAt.After(at) || l.reportAt.After(at)
+}
+
+// addChange records memory that is being allocated at an endpoint.
+func (l *endpointLoad) addChange(now time.Time, tokens, announced int) {
+	l.dropBefore(now.Add(-memoryReportTTL))
+	if tokens > 0 {
+		l.recentChanges = append(l.recentChanges, memoryChange{
+			at:        now,
+			tokens:    tokens,
+			announced: announced,
+		})
+	}
+}
+
+// dropBefore removes the changes before a time.
+func (l *endpointLoad) dropBefore(before time.Time) {
+	l.recentChanges = slices.DeleteFunc(l.recentChanges, func(c memoryChange) bool { return c.at.Before(before) })
+}
+
+// tokensSince returns the memory allocated after a time, net of what was freed.
+func (l *endpointLoad) tokensSince(after time.Time) int {
+	tokens := 0
+	for _, c := range l.recentChanges {
+		if c.at.After(after) {
+			tokens += c.tokens
+		}
+	}
+	return max(tokens, 0)
+}
+
+// EndSend ends a request that was sent at a time and counted by BeginSend.
+func (s *Balancer) EndSend(now time.Time, id string, sentAt time.Time, tokens int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	if i := slices.Index(l.pending, sentAt); i >= 0 {
+		l.pending = slices.Delete(l.pending, i, i+1)
+	}
+	l.running--
+	l.tokens -= tokens
+}
+
+// Copy counts a copy of a run's memory that this box sends to an endpoint. A negative
+// number of tokens ends the copy.
+func (s *Balancer) Copy(now time.Time, id string, tokens int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	l.copyTokens += tokens
+	l.addChange(now, tokens, 0)
+}
+
+// ObserveLoad records the number of requests that an endpoint reported with a response.
+func (s *Balancer) ObserveLoad(now time.Time, id string, requests int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	l.reportedRequests = requests
+	l.startedSince = 0
+	l.loadReportedAt = now
+}
+
+// Memory records an engine's memory report and when it was made.
+func (s *Balancer) Memory(at time.Time, r routing.Report) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(r.Endpoint)
+	if !at.After(l.reportAt) {
+		return
+	}
+	l.report = r
+	l.reportAt = at
+	l.dropBefore(at.Add(-reportLag))
+}
+
+// ObserveLengths records the lengths of a completed generation, in tokens.
+func (s *Balancer) ObserveLengths(prompt, output int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.prompt == 0 {
+		s.prompt = float64(prompt)
+		s.output = float64(output)
+	}
+	s.prompt += learningWeight * (float64(prompt) - s.prompt)
+	s.output += learningWeight * (float64(output) - s.output)
+}
+
+// Succeeded records a successful response of an endpoint and its latency.
+func (s *Balancer) Succeeded(now time.Time, id string, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	l.activeAt = now
+	l.latency += latencyWeight * (took.Seconds() - l.latency)
+	l.failures = l.failureScore(now) / 2
+	l.failedAt = now
+	l.avoidUntil = time.Time{}
+}
+
+// Failed records a failure of an endpoint. An unresponsive one is avoided for a while.
+func (s *Balancer) Failed(now time.Time, id string, unresponsive bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.load(id)
+	l.failures = math.Min(1, l.failureScore(now)+failureStep)
+	l.failedAt = now
+	if unresponsive {
+		l.avoidUntil = now.Add(unresponsiveTime)
+	}
+}
+
+// Forget drops the load of an endpoint that no longer exists.
+func (s *Balancer) Forget(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if l := s.loads[id]; l != nil && l.running <= 0 && l.copyTokens <= 0 {
+		delete(s.loads, id)
+	}
+}
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -7,50 +7,50 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Estimate is what a box believes of an engine when it places a prompt there.
+// Estimate is the expected state of an engine at the time when a prompt is sent to it.
 type Estimate struct {
-	MemoryUse          float64       // how full its memory gets with the prompt, as a part of it
-	PrefillDelay       time.Duration // until the prompts that came before are read
-	ReportAge          time.Duration // since the engine's own word was true; 0 when there is none that counts
-	RemotePlacementAge time.Duration // since another box last told of any placement; 0 for never
-	UntilFirstEvent    time.Duration // until its first event: until there is room and all prompts are read
+	MemoryUse          float64       // fraction of the engine's memory in use, including the prompt
+	PrefillDelay       time.Duration // time until the prompts queued earlier are prefilled
+	ReportAge          time.Duration // age of the engine's last report; 0 without a current report
+	RemotePlacementAge time.Duration // time since another box last reported a placement; 0 if none did
+	UntilFirstEvent    time.Duration // time until the first event of the response
 }
 
-// Estimate gives what a request would meet at an endpoint.
+// Estimate returns the expected state of an endpoint if the request is sent there now.
 func (s *Balancer) Estimate(now time.Time, e routing.Endpoint, w Requirements) Estimate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(e.ID)
 	out := Estimate{
-		MemoryUse:    s.fullness(now, l, w),
-		PrefillDelay: time.Duration(l.waiting(now, s.rate) / s.rate * float64(time.Second)),
+		MemoryUse:    s.memoryUse(now, l, w),
+		PrefillDelay: time.Duration(l.backlog(now, s.prefillRate) / s.prefillRate * float64(time.Second)),
 	}
-	if age := now.Sub(l.memoryAt); age <= memoryLife {
+	if age := now.Sub(l.reportAt); age <= memoryReportTTL {
 		out.ReportAge = age
 	}
-	out.UntilFirstEvent = s.untilFirst(now, l, w)
-	if !s.heard.IsZero() {
-		out.RemotePlacementAge = now.Sub(s.heard)
+	out.UntilFirstEvent = s.timeToFirstEvent(now, l, w)
+	if !s.remotePlacementAt.IsZero() {
+		out.RemotePlacementAge = now.Sub(s.remotePlacementAt)
 	}
 	return out
 }
 
-// untilFirst estimates the time until a prompt's first event: until enough runs have ended
-// that it has room, and until the prompts before it and itself are read.
-func (s *Balancer) untilFirst(now time.Time, l *endpointLoad, w Requirements) time.Duration {
-	seconds := (l.waiting(now, s.rate) + float64(w.Prompt)) / s.rate
-	if over := s.fullness(now, l, w) - 1; over > 0 {
-		seconds += over * float64(max(w.Memory, 1)) / s.freed(now)
+// timeToFirstEvent estimates the time until the first event of a response: until enough
+// runs have ended to make room, and until the queued prompts and this one are prefilled.
+func (s *Balancer) timeToFirstEvent(now time.Time, l *endpointLoad, w Requirements) time.Duration {
+	seconds := (l.backlog(now, s.prefillRate) + float64(w.Prompt)) / s.prefillRate
+	if over := s.memoryUse(now, l, w) - 1; over > 0 {
+		seconds += over * float64(max(w.Memory, 1)) / s.freedPerSecond(now)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// freed gives the tokens of memory that ended runs give back at one engine in a second.
-func (s *Balancer) freed(now time.Time) float64 {
-	perEngine := s.over.perSecond(now) / float64(max(len(s.share), 1))
-	return math.Max(perEngine, leastFreed)
+// freedPerSecond returns the tokens of memory that ending runs free per engine and second.
+func (s *Balancer) freedPerSecond(now time.Time) float64 {
+	perEngine := s.released.perSecond(now) / float64(max(len(s.groupEngines), 1))
+	return math.Max(perEngine, minFreedPerSecond)
 }
 
-// leastFreed is what an engine gives back at least, in tokens a second, as long as few runs
-// ended: one run of some thousand tokens that lasts ten seconds.
-const leastFreed = 400.0
+// minFreedPerSecond is the lower bound of freedPerSecond, in tokens. It covers the time
+// after a start, when few runs have ended.
+const minFreedPerSecond = 400.0
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -1,35 +1,36 @@
 package admission
 
-// LengthKey names whose lengths are estimated together.
+// LengthKey identifies a group of requests whose output lengths are estimated together.
 type LengthKey struct {
 	Customer string
 	Class    string
 }
 
-// LengthEstimator holds the length estimates of one model: for the model, for each
-// class, and for each customer and class, each leaning on the one above.
+// LengthEstimator estimates output lengths for one model, for each class, and for each
+// customer within a class. Each level uses the level above as its prior.
 type LengthEstimator struct {
-	prior   [bucketCount]float64
-	model   Lengths
-	classes map[string]*Lengths
-	leaves  map[LengthKey]*leaf
+	prior        [bucketCount]float64
+	model        Lengths
+	classes      map[string]*Lengths
+	keyEstimates map[LengthKey]*keyEstimate
 }
 
-type leaf struct {
-	lengths Lengths
-	curve   Curve
-	stale   int
+// keyEstimate holds the lengths observed for one key and the curve computed from them.
+type keyEstimate struct {
+	lengths         Lengths
+	curve           Curve
+	newObservations int // since the curve was computed
 }
 
-// curveRefresh is how many observations a cached curve may lag.
-const curveRefresh = 4
+// curveRefreshAfter is the number of observations after which a curve is recomputed.
+const curveRefreshAfter = 4
 
-// NewLengthEstimator starts from an expected mean length.
-func NewLengthEstimator(expectTokens int) *LengthEstimator {
+// NewLengthEstimator returns an estimator that expects the given mean length at first.
+func NewLengthEstimator(meanTokens int) *LengthEstimator {
 	return &LengthEstimator{
-		prior:   priorHazard(float64(max(1, expectTokens))),
-		classes: make(map[string]*Lengths),
-		leaves:  make(map[LengthKey]*leaf),
+		prior:        priorHazard(float64(max(1, meanTokens))),
+		classes:      make(map[string]*Lengths),
+		keyEstimates: make(map[LengthKey]*keyEstimate),
 	}
 }
 
@@ -42,43 +43,43 @@
 	return c
 }
 
-func (e *LengthEstimator) leaf(key LengthKey) *leaf {
-	l := e.leaves[key]
+func (e *LengthEstimator) keyEstimate(key LengthKey) *keyEstimate {
+	l := e.keyEstimates[key]
 	if l == nil {
-		l = &leaf{stale: curveRefresh}
-		e.leaves[key] = l
+		l = &keyEstimate{newObservations: curveRefreshAfter}
+		e.keyEstimates[key] = l
 	}
 	return l
 }
 
-// ObserveEnd learns a length.
+// ObserveEnd records the final length of a generation.
 func (e *LengthEstimator) ObserveEnd(key LengthKey, tokens int) {
 	e.model.ObserveEnd(tokens)
 	e.class(key.Class).ObserveEnd(tokens)
-	l := e.leaf(key)
+	l := e.keyEstimate(key)
 	l.lengths.ObserveEnd(tokens)
-	l.stale++
+	l.newObservations++
 }
 
-// ObserveProgress learns that a running generation grew from one length to another.
+// ObserveProgress records that a running generation grew from one length to another.
 func (e *LengthEstimator) ObserveProgress(key LengthKey, from, to int) {
 	for b := bucketOf(from); b < bucketOf(to); b++ {
 		e.model.ObservePassed(b)
 		e.class(key.Class).ObservePassed(b)
-		l := e.leaf(key)
+		l := e.keyEstimate(key)
 		l.lengths.ObservePassed(b)
-		l.stale++
+		l.newObservations++
 	}
 }
 
-// Curve gives the length curve of a customer and class.
+// Curve returns the survival curve of the lengths of a customer and class.
 func (e *LengthEstimator) Curve(key LengthKey) *Curve {
-	l := e.leaf(key)
-	if l.stale >= curveRefresh {
+	l := e.keyEstimate(key)
+	if l.newObservations >= curveRefreshAfter {
 		model := e.model.hazard(e.prior)
 		class := e.class(key.Class).hazard(model)
 		l.curve = curveOf(l.lengths.hazard(class))
-		l.stale = 0
+		l.newObservations = 0
 	}
 	return &l.curve
 }
--- a/admission/stepfit.go
+++ b/admission/stepfit.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// StepFit fits an engine's time between tokens as a line over its batch, from
-// lagged reports, the newer counting more.
+// StepFit fits the time between tokens as a linear function of the batch size, by weighted
+// least squares over an engine's reports. Newer reports count more.
 type StepFit struct {
-	weight, x, y, xx, xy float64
+	weight, x, y, xx, xy float64 // weighted sums over the reports
 }
 
-const fitDecay = 0.98
+// stepFitDecay is the factor applied to older reports at each new one.
+const stepFitDecay = 0.98
 
-// fitLeast is the weight of reports below which no limit is given.
-const fitLeast = 10
+// minStepFitWeight is the total weight of reports below which Limit returns none.
+const minStepFitWeight = 10
 
 // Observe adds one report.
 func (f *StepFit) Observe(batch int, step time.Duration) {
@@ -19,21 +20,21 @@
 		return
 	}
 	x, y := float64(batch), step.Seconds()
-	f.weight = f.weight*fitDecay + 1
-	f.x = f.x*fitDecay + x
-	f.y = f.y*fitDecay + y
-	f.xx = f.xx*fitDecay + x*x
-	f.xy = f.xy*fitDecay + x*y
+	f.weight = f.weight*stepFitDecay + 1
+	f.x = f.x*stepFitDecay + x
+	f.y = f.y*stepFitDecay + y
+	f.xx = f.xx*stepFitDecay + x*x
+	f.xy = f.xy*stepFitDecay + x*y
 }
 
-// Limit gives the batch at which the time between tokens reaches the target,
-// or 0 if the reports don't tell.
+// Limit returns the batch size at which the time between tokens reaches the target, or 0 if
+// the reports don't determine it.
 func (f *StepFit) Limit(target time.Duration) int {
-	spread := f.weight*f.xx - f.x*f.x
-	if f.weight < fitLeast || target <= 0 || spread < f.weight*f.weight {
+	determinant := f.weight*f.xx - f.x*f.x
+	if f.weight < minStepFitWeight || target <= 0 || determinant < f.weight*f.weight {
 		return 0
 	}
-	slope := (f.weight*f.xy - f.x*f.y) / spread
+	slope := (f.weight*f.xy - f.x*f.y) / determinant
 	if slope <= 0 {
 		return 0
 	}
