--- a/gateway/rests.go
+++ b/gateway/backoffs.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// rests keeps until when endpoints want nothing from this box. A refusal that asks for rest
+// backoffs keeps until when endpoints want nothing from this box. A refusal that asks for rest
 // is no failure that fades: the endpoint said when it can be asked again.
-type rests struct {
-	present atomic.Bool // whether any endpoint rests; most boxes know of none
-	mu      sync.Mutex
-	until   map[string]time.Time // by the endpoint's id
+type backoffs struct {
+	hasAny atomic.Bool // whether any endpoint rests; most boxes know of none
+	mu     sync.Mutex
+	until  map[string]time.Time // by the endpoint's id
 }
 
-func newRests() *rests { return &rests{until: make(map[string]time.Time)} }
+func newBackoffs() *backoffs { return &backoffs{until: make(map[string]time.Time)} }
 
-// ask takes that an endpoint wants rest; one that it asked for before holds on.
-func (r *rests) ask(now time.Time, endpoint string, d time.Duration) {
+// extend takes that an endpoint wants rest; one that it asked for before holds on.
+func (r *backoffs) extend(now time.Time, endpoint string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if until := now.Add(d); until.After(r.until[endpoint]) {
 		r.until[endpoint] = until
-		r.present.Store(true)
+		r.hasAny.Store(true)
 	}
 }
 
-// left gives how much longer an endpoint wants nothing from this box.
-func (r *rests) left(now time.Time, endpoint string) time.Duration {
-	if !r.present.Load() {
+// remaining gives how much longer an endpoint wants nothing from this box.
+func (r *backoffs) remaining(now time.Time, endpoint string) time.Duration {
+	if !r.hasAny.Load() {
 		return 0
 	}
 	r.mu.Lock()
@@ -37,7 +37,7 @@
 }
 
 // all gives how much longer each endpoint that rests wants nothing from this box.
-func (r *rests) all(now time.Time) map[string]time.Duration {
+func (r *backoffs) all(now time.Time) map[string]time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := make(map[string]time.Duration)
@@ -50,7 +50,7 @@
 }
 
 // suspended takes that the machine was suspended for a time that its clock didn't count.
-func (r *rests) suspended(d time.Duration) {
+func (r *backoffs) suspended(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for endpoint, until := range r.until {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (r *rests) sweep(now time.Time) {
+func (r *backoffs) sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for endpoint, until := range r.until {
@@ -66,5 +66,5 @@
 			delete(r.until, endpoint)
 		}
 	}
-	r.present.Store(len(r.until) > 0)
+	r.hasAny.Store(len(r.until) > 0)
 }
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -12,14 +12,14 @@
 )
 
 var _ = Describe("a caller's connection", func() {
-	var b *bench
+	var b *testbed
 	var s *emulator.Server
 	var c *emulator.Raw
 	BeforeEach(func() {
-		b = newBench()
+		b = newTestbed()
 		s = b.add("i-1", emulator.Plain)
 		var err error
-		c, err = emulator.DialRaw(b.front)
+		c, err = emulator.DialRaw(b.address)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(c.Close)
 	})
--- /dev/null
+++ b/gateway/counters.go
@@ -0,0 +1,46 @@
+package gateway
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+)
+
+// counters are the gateway's counters; each has its unit in its name.
+type counters struct {
+	openedConnections *metrics.Counter
+	refusedRetries    *metrics.Counter
+	continuedStreams  *metrics.Counter
+	strayAnswers      *metrics.Counter
+	limitNotices      *metrics.Counter // answers in which an endpoint named its limit
+	leavingNotices    *metrics.Counter // answers in which an endpoint said that it leaves
+	backoffs          *metrics.Counter // answers in which an endpoint asked this box for rest
+	crashes           *metrics.Counter // of endpoints, under a request; one that ended under several counts each time
+}
+
+func newCounters() *counters {
+	return &counters{
+		openedConnections: metrics.GetOrCreateCounter("dillsaddle_endpoint_connections_opened_total"),
+		refusedRetries:    metrics.GetOrCreateCounter("dillsaddle_retry_budget_refusals_total"),
+		continuedStreams:  metrics.GetOrCreateCounter("dillsaddle_streams_continued_total"),
+		strayAnswers:      metrics.GetOrCreateCounter("dillsaddle_stray_answers_total"),
+		limitNotices:      metrics.GetOrCreateCounter("dillsaddle_endpoint_limits_named_total"),
+		leavingNotices:    metrics.GetOrCreateCounter("dillsaddle_endpoint_leaving_answers_total"),
+		backoffs:          metrics.GetOrCreateCounter("dillsaddle_endpoint_rests_asked_total"),
+		crashes:           metrics.GetOrCreateCounter("dillsaddle_endpoints_ended_under_requests_total"),
+	}
+}
+
+// observeRequest counts a request's end and how long it took, by route and customer.
+func (c *counters) observeRequest(route, customer, outcome string, took time.Duration) {
+	metrics.GetOrCreateCounter(fmt.Sprintf("dillsaddle_requests_total{route=%q,customer=%q,outcome=%q}", route, customer, outcome)).Inc()
+	metrics.GetOrCreateHistogram(fmt.Sprintf("dillsaddle_request_seconds{route=%q}", route)).Update(took.Seconds())
+}
+
+// observeStream counts how a whole stream felt: the delay of its first event and its
+// longest pause.
+func (c *counters) observeStream(route string, first, longest time.Duration) {
+	metrics.GetOrCreateHistogram(fmt.Sprintf("dillsaddle_first_event_seconds{route=%q}", route)).Update(first.Seconds())
+	metrics.GetOrCreateHistogram(fmt.Sprintf("dillsaddle_longest_pause_seconds{route=%q}", route)).Update(longest.Seconds())
+}
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -14,15 +14,15 @@
 
 var _ = Describe("repeats of a request", func() {
 	const deadly = "no endpoint survives this"
-	var b *bench
-	BeforeEach(func() { b = newBench() })
+	var b *testbed
+	BeforeEach(func() { b = newTestbed() })
 
 	// serve keeps some endpoints of a service there; each one that ended has another in
 	// its place.
 	endpoints := 0
 	var serving []*emulator.Server
-	serve := func(service string, most int) {
-		for len(b.deployment.Ended())+most > endpoints {
+	keepServing := func(service string, count int) {
+		for len(b.deployment.Ended())+count > endpoints {
 			s := b.add(fmt.Sprintf("i-%d", endpoints), service)
 			s.Deadly = deadly
 			serving = append(serving, s)
@@ -45,7 +45,7 @@
 
 	It("that ends each endpoint are sent on three times, and not run from then on", func() {
 		for n := range 8 {
-			serve(emulator.Model, 3)
+			keepServing(emulator.Model, 3)
 			o := stream(fmt.Sprintf("r%d", n), deadly)
 			if n < 3 {
 				Expect(o.Status).To(Equal(http.StatusBadGateway))
@@ -60,7 +60,7 @@
 
 	It("that ends each endpoint are not sent to another one by the box either, once three ended", func() {
 		for n := range 6 {
-			serve(emulator.Plain, 3)
+			keepServing(emulator.Plain, 3)
 			b.call(http.MethodPost, emulator.RepeatPath, fmt.Sprintf("r%d", n), deadly)
 		}
 		Expect(b.deployment.Ended()).To(HaveLen(3))
@@ -69,7 +69,7 @@
 	// Callers leave a silent stream before its own time is over.
 	It("that silence each endpoint are not run either, once three fell silent", func() {
 		for n := range 3 {
-			serve(emulator.Model, 3)
+			keepServing(emulator.Model, 3)
 			Expect(stream(fmt.Sprintf("well-%d", n), "another prompt").Whole).To(BeTrue())
 		}
 		for n := range 3 {
@@ -89,10 +89,10 @@
 				})
 			}()
 			Eventually(b.deployment.Ended).Should(HaveLen(n + 1))
-			Eventually(func() int { return b.ends(fmt.Sprintf("dark-%d", n)) }).Should(Equal(1))
+			Eventually(func() int { return b.crashCount(fmt.Sprintf("dark-%d", n)) }).Should(Equal(1))
 			cancel()
 			<-done
-			serve(emulator.Model, 3)
+			keepServing(emulator.Model, 3)
 		}
 		Expect(stream("dark-4", deadly).Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(b.deployment.Ended()).To(HaveLen(3))
@@ -100,10 +100,10 @@
 
 	It("of another customer, path or body are served meanwhile", func() {
 		for n := range 4 {
-			serve(emulator.Model, 3)
+			keepServing(emulator.Model, 3)
 			stream(fmt.Sprintf("r%d", n), deadly)
 		}
-		serve(emulator.Model, 3)
+		keepServing(emulator.Model, 3)
 		Expect(stream("other-body", "another prompt").Whole).To(BeTrue())
 		Expect(b.caller.Do(context.Background(), emulator.Call{
 			ID:       "other-path",
@@ -137,7 +137,7 @@
 		s.Crowd()
 		Expect(stream("short", "prompt").Status).To(Equal(http.StatusBadGateway))
 		Expect((<-done).Whole).To(BeTrue())
-		Expect(b.ends("short")).To(BeZero())
+		Expect(b.crashCount("short")).To(BeZero())
 	})
 
 	// A planned end says nothing against what ran there, such as a long stream that goes
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -11,9 +11,9 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// evacuationLife is how long a plan is kept after its last run was found; an
+// evacuationTTL is how long a plan is kept after its last run was found; an
 // engine that was told to go is gone long before.
-const evacuationLife = 20 * time.Second
+const evacuationTTL = 20 * time.Second
 
 // evacuation carries out the plan for one engine that leaves. The boxes of a
 // group take turns: when each began all its moves at once, the copies of eleven
@@ -23,10 +23,10 @@
 	endpoint string
 	mu       sync.Mutex
 	plan     *core.Evacuation
-	own      map[string]*passage
+	ownRuns  map[string]*proxiedRequest
 	targets  map[string]string // by the run whose memory goes there
 	timer    *time.Timer
-	used     time.Time
+	lastUsed time.Time
 }
 
 // evacuation gives the plan of an engine, a new one if there is none.
@@ -40,12 +40,12 @@
 			gateway:  g,
 			endpoint: endpoint,
 			plan:     core.NewEvacuation(now, core.DefaultEvacuationRules()),
-			own:      make(map[string]*passage),
+			ownRuns:  make(map[string]*proxiedRequest),
 			targets:  make(map[string]string),
 		}
 		g.evacuations[endpoint] = v
 	}
-	v.used = now
+	v.lastUsed = now
 	return v
 }
 
@@ -55,15 +55,15 @@
 	if g.mover == nil {
 		return
 	}
-	g.evacuation(e.ID).gather()
-	for _, v := range g.plans() {
+	g.evacuation(e.ID).addOwnRuns()
+	for _, v := range g.allEvacuations() {
 		if v.endpoint != e.ID {
-			v.gather()
+			v.addOwnRuns()
 		}
 	}
 }
 
-func (g *Gateway) plans() []*evacuation {
+func (g *Gateway) allEvacuations() []*evacuation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := make([]*evacuation, 0, len(g.evacuations))
@@ -73,42 +73,42 @@
 	return all
 }
 
-// dropPlans forgets the plans of engines that are long gone.
-func (g *Gateway) dropPlans(now time.Time) {
+// dropExpiredEvacuations forgets the plans of engines that are long gone.
+func (g *Gateway) dropExpiredEvacuations(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for id, v := range g.evacuations {
-		if now.Sub(v.used) > evacuationLife && len(g.streams[id]) == 0 {
+		if now.Sub(v.lastUsed) > evacuationTTL && len(g.streams[id]) == 0 {
 			delete(g.evacuations, id)
 		}
 	}
 }
 
 // Evacuating takes what another box tells of an engine that leaves.
-func (g *Gateway) Evacuating(now time.Time, told fleet.Evacuating) {
+func (g *Gateway) Evacuating(now time.Time, update fleet.Evacuating) {
 	if g.mover == nil {
 		return
 	}
-	v := g.evacuation(told.Endpoint)
-	if len(told.Runs) > 0 {
-		found := core.RunsFound{Runs: make([]core.EvacuatedRun, 0, len(told.Runs))}
-		for _, r := range told.Runs {
+	v := g.evacuation(update.Endpoint)
+	if len(update.Runs) > 0 {
+		found := core.RunsFound{Runs: make([]core.EvacuatedRun, 0, len(update.Runs))}
+		for _, r := range update.Runs {
 			found.Runs = append(found.Runs, core.EvacuatedRun(r))
 		}
 		v.step(now, found)
 	}
-	if told.Target != "" {
-		v.sends(told.Moving, told.Target)
+	if update.Target != "" {
+		v.recordTarget(update.Moving, update.Target)
 	}
-	for _, id := range told.Over {
-		v.arrived(id)
+	for _, id := range update.Over {
+		v.forgetTarget(id)
 		v.step(now, core.RunOver{ID: id})
 	}
 }
 
-// sends tells all boxes of the target that a run's memory goes to.
-func (g *Gateway) sends(source, run, target string) {
-	g.evacuation(source).sends(run, target)
+// recordTarget tells all boxes of the target that a run's memory goes to.
+func (g *Gateway) recordTarget(source, run, target string) {
+	g.evacuation(source).recordTarget(run, target)
 	g.onEvacuating(fleet.Evacuating{
 		Endpoint: source,
 		Moving:   run,
@@ -116,13 +116,13 @@
 	})
 }
 
-// receiving gives the engines that a move of another run goes to.
-func (g *Gateway) receiving(but string) map[string]bool {
+// busyTargets gives the engines that a move of another run goes to.
+func (g *Gateway) busyTargets(except string) map[string]bool {
 	busy := make(map[string]bool)
-	for _, v := range g.plans() {
+	for _, v := range g.allEvacuations() {
 		v.mu.Lock()
 		for run, target := range v.targets {
-			if run != but {
+			if run != except {
 				busy[target] = true
 			}
 		}
@@ -131,24 +131,24 @@
 	return busy
 }
 
-func (v *evacuation) sends(run, target string) {
+func (v *evacuation) recordTarget(run, target string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.targets[run] = target
 }
 
-func (v *evacuation) arrived(run string) {
+func (v *evacuation) forgetTarget(run string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.targets, run)
 }
 
-// gather takes this box's streams at the engine into the plan and tells the
+// addOwnRuns takes this box's streams at the engine into the plan and tells the
 // others.
-func (v *evacuation) gather() {
+func (v *evacuation) addOwnRuns() {
 	g := v.gateway
 	g.mu.Lock()
-	var all []*passage
+	var all []*proxiedRequest
 	for p := range g.streams[v.endpoint] {
 		all = append(all, p)
 	}
@@ -156,9 +156,9 @@
 	var runs []core.EvacuatedRun
 	v.mu.Lock()
 	for _, p := range all {
-		if v.own[p.in.ID] == nil && p.mustMove(v.endpoint) {
-			v.own[p.in.ID] = p
-			runs = append(runs, p.evacuated())
+		if v.ownRuns[p.inbound.ID] == nil && p.mustMove(v.endpoint) {
+			v.ownRuns[p.inbound.ID] = p
+			runs = append(runs, p.evacuatedRun())
 		}
 	}
 	v.mu.Unlock()
@@ -166,11 +166,11 @@
 		return
 	}
 	g.log.Info("runs wait for their moves", zap.String("endpoint", v.endpoint), zap.Int("runs", len(runs)))
-	told := fleet.Evacuating{Endpoint: v.endpoint}
+	update := fleet.Evacuating{Endpoint: v.endpoint}
 	for _, r := range runs {
-		told.Runs = append(told.Runs, fleet.MovingRun(r))
+		update.Runs = append(update.Runs, fleet.MovingRun(r))
 	}
-	g.onEvacuating(told)
+	g.onEvacuating(update)
 	v.step(time.Now(), core.RunsFound{
 		Runs: runs,
 		Own:  true,
@@ -184,7 +184,7 @@
 	for _, command := range v.plan.Step(now, ev) {
 		switch c := command.(type) {
 		case core.MoveRun:
-			if p := v.own[c.ID]; p != nil {
+			if p := v.ownRuns[c.ID]; p != nil {
 				go v.move(p)
 			}
 		case core.WakeAt:
@@ -197,56 +197,56 @@
 }
 
 // move takes a run's turn. A run that can't be moved yet gets another one.
-func (v *evacuation) move(p *passage) {
+func (v *evacuation) move(p *proxiedRequest) {
 	again := p.move(v.endpoint)
-	v.over(p)
+	v.finishRun(p)
 	if again && p.runsAt(v.endpoint) {
-		time.AfterFunc(moveAgain, v.gather)
+		time.AfterFunc(moveRetryDelay, v.addOwnRuns)
 	}
 }
 
-// over tells all boxes that a run's turn has ended, or that it needs none.
-func (v *evacuation) over(p *passage) {
+// finishRun tells all boxes that a run's turn has ended, or that it needs none.
+func (v *evacuation) finishRun(p *proxiedRequest) {
 	v.mu.Lock()
-	known := v.own[p.in.ID] == p
-	delete(v.own, p.in.ID)
-	delete(v.targets, p.in.ID)
+	wasOwn := v.ownRuns[p.inbound.ID] == p
+	delete(v.ownRuns, p.inbound.ID)
+	delete(v.targets, p.inbound.ID)
 	v.mu.Unlock()
-	if !known {
+	if !wasOwn {
 		return
 	}
-	v.step(time.Now(), core.RunOver{ID: p.in.ID})
+	v.step(time.Now(), core.RunOver{ID: p.inbound.ID})
 	v.gateway.onEvacuating(fleet.Evacuating{
 		Endpoint: v.endpoint,
-		Over:     []string{p.in.ID},
+		Over:     []string{p.inbound.ID},
 	})
 }
 
 // mustMove tells whether a stream is lost if its engine goes: one with a sound
 // backup stays to the last, since its copy is there already.
-func (p *passage) mustMove(endpoint string) bool {
+func (p *proxiedRequest) mustMove(endpoint string) bool {
 	engine := p.service.Engine
-	return engine != nil && engine.Moves && p.runsAt(endpoint) && !p.backupServes()
+	return engine != nil && engine.Moves && p.runsAt(endpoint) && !p.isBackupServing()
 }
 
-// evacuated describes a run to the plan.
-func (p *passage) evacuated() core.EvacuatedRun {
+// evacuatedRun describes a run to the plan.
+func (p *proxiedRequest) evacuatedRun() core.EvacuatedRun {
 	return core.EvacuatedRun{
-		ID:      p.in.ID,
+		ID:      p.inbound.ID,
 		Rank:    p.rank(),
-		Worth:   float64(p.in.PromptTokens + p.in.MaxTokens),
-		Copying: p.copying(),
+		Worth:   float64(p.inbound.PromptTokens + p.inbound.MaxTokens),
+		Copying: p.expectedCopyTime(),
 	}
 }
 
-// copying gives what a copy of the run's memory takes on a free link, 0 where
+// expectedCopyTime gives what a copy of the run's memory takes on a free link, 0 where
 // nobody knows the link.
-func (p *passage) copying() time.Duration {
+func (p *proxiedRequest) expectedCopyTime() time.Duration {
 	engine := p.service.Engine
 	if engine.LinkMbps <= 0 {
 		return 0
 	}
-	seconds := float64(p.held()) * engine.BytesPerToken * bitsPerByte / (engine.LinkMbps * bitsPerMegabit)
+	seconds := float64(p.heldTokens()) * engine.BytesPerToken * bitsPerByte / (engine.LinkMbps * bitsPerMegabit)
 	return time.Duration(seconds * float64(time.Second))
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -17,148 +17,148 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is
+	// maxInlineBody is the largest body that is written before the answer is
 	// read; it fits into the socket's buffer. A longer one is written beside,
 	// since the answer may come first.
-	inlineBody = 16 << 10
-	// freshRest is how long a connection may have rested to carry a request
+	maxInlineBody = 16 << 10
+	// maxIdleNonRepeatable is how long a connection may have rested to carry a request
 	// that runs at most once.
-	freshRest = 1500 * time.Millisecond
-	// strayMost bounds the answers to other requests that are skipped.
-	strayMost = 4
+	maxIdleNonRepeatable = 1500 * time.Millisecond
+	// maxStrayAnswers bounds the answers to other requests that are skipped.
+	maxStrayAnswers = 4
 )
 
-// errStrays reports a connection with answers to other requests only.
-var errStrays = errors.New("only answers to other requests came")
+// errOnlyStrayAnswers reports a connection with answers to other requests only.
+var errOnlyStrayAnswers = errors.New("only answers to other requests came")
 
 // send sends the request to the chosen endpoint and reads the answer, whole or,
 // for a stream, up to its first event.
-func (p *passage) send(copyName string) core.Event {
+func (p *proxiedRequest) send(copyName string) core.Event {
 	now := time.Now()
-	p.ranFrom = time.Time{}
-	rested := restTime
+	p.runFirstEventAt = time.Time{}
+	maxIdle := maxIdleTime
 	if !p.route.MayRepeat() {
-		rested = freshRest
+		maxIdle = maxIdleNonRepeatable
 	}
-	ctx, cancel := context.WithDeadline(p.request.Context(), p.until())
+	ctx, cancel := context.WithDeadline(p.request.Context(), p.currentDeadline())
 	defer cancel()
-	l, err := p.gateway.pool.get(ctx, now, p.endpoint, rested, p.connectWithin(copyName))
+	l, err := p.gateway.pool.get(ctx, now, p.endpoint, maxIdle, p.chooseConnectTimeout(copyName))
 	if err != nil {
-		p.gateway.gate.drop(p.endpoint)
+		p.gateway.sendGate.release(p.endpoint)
 		p.gateway.spread.Failed(time.Now(), p.endpoint.ID, true)
 		p.gateway.onPlaced(fleet.Placement{
 			Endpoint: p.endpoint.ID,
 			Overdue:  true,
 		})
-		p.decided("endpoint unreachable", zap.String("endpoint", p.endpoint.ID), zap.Error(err))
-		if ev := p.over(); ev != nil {
+		p.logDecision("endpoint unreachable", zap.String("endpoint", p.endpoint.ID), zap.Error(err))
+		if ev := p.terminalEvent(); ev != nil {
 			return ev
 		}
 		return core.CallUnsent{}
 	}
-	if !p.gateway.gate.send(time.Now(), p.service, p.endpoint) {
+	if !p.gateway.sendGate.send(time.Now(), p.service, p.endpoint) {
 		_ = l.Close()
-		p.decided("endpoint takes no more now", zap.String("endpoint", p.endpoint.ID))
+		p.logDecision("endpoint takes no more now", zap.String("endpoint", p.endpoint.ID))
 		return core.CallUnsent{}
 	}
-	p.tellBegin(now, copyName != "")
-	p.gateway.spread.Begin(now, p.endpoint.ID, p.want(nil).Tokens, p.told)
-	p.overdue = p.awaitAnswer(l)
-	defer p.overdue.stop()
+	p.announceRun(now, copyName != "")
+	p.gateway.spread.Begin(now, p.endpoint.ID, p.demand(nil).Tokens, p.reportedTokens)
+	p.overdueTimer = p.startOverdueTimer(l)
+	defer p.overdueTimer.stop()
 	ev := p.exchange(l, copyName)
-	if _, streams := ev.(streamBegun); streams {
+	if _, streams := ev.(streamStarted); streams {
 		return p.stream(now)
 	}
-	p.overdue.stop()
-	p.gateway.spread.End(time.Now(), p.endpoint.ID, now, p.want(nil).Tokens)
-	p.tellOver(p.endpoint.ID)
+	p.overdueTimer.stop()
+	p.gateway.spread.End(time.Now(), p.endpoint.ID, now, p.demand(nil).Tokens)
+	p.announceRunEnd(p.endpoint.ID)
 	return ev
 }
 
-// connectWithin bounds a new connection: short where another endpoint can take the
+// chooseConnectTimeout bounds a new connection: short where another endpoint can take the
 // request, which a copy can't go on at.
-func (p *passage) connectWithin(copyName string) time.Duration {
+func (p *proxiedRequest) chooseConnectTimeout(copyName string) time.Duration {
 	if copyName != "" {
-		return connectTime
+		return connectTimeout
 	}
 	for _, e := range p.candidates(time.Now()) {
 		if !p.tried[e.ID] {
-			return connectElsewhere
+			return alternativeConnectTimeout
 		}
 	}
-	return connectTime
+	return connectTimeout
 }
 
-// streamBegun says that the answer is a stream whose head is there.
-type streamBegun struct{ core.EventBase }
+// streamStarted says that the answer is a stream whose head is there.
+type streamStarted struct{ core.EventBase }
 
-func (p *passage) exchange(l *link, copyName string) core.Event {
-	a := &answer{link: l}
+func (p *proxiedRequest) exchange(l *endpointConn, copyName string) core.Event {
+	a := &answer{endpointConn: l}
 	p.answer = a
-	_ = l.SetDeadline(p.until())
-	a.stop = context.AfterFunc(p.request.Context(), func() { _ = l.Close() })
-	wrote := p.write(a, copyName)
-	if wrote != nil && l.written == 0 {
+	_ = l.SetDeadline(p.currentDeadline())
+	a.stopAfterFunc = context.AfterFunc(p.request.Context(), func() { _ = l.Close() })
+	wrote := p.writeRequest(a, copyName)
+	if wrote != nil && l.writtenBytes == 0 {
 		a.close()
 		return p.failed("no byte was sent", wrote, core.CallUnsent{})
 	}
-	if err := p.readHead(a); err != nil {
+	if err := p.readResponseHead(a); err != nil {
 		a.close()
-		p.lookAtEndpoint()
+		p.awaitEndpointCheck()
 		return p.failed("no answer came", err, core.CallBroken{})
 	}
-	if a.says.NotRun {
-		return p.turnedAway(a)
+	if a.headers.NotRun {
+		return p.handleNotRun(a)
 	}
-	if a.says.Load != nil {
-		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.says.Load.Running+a.says.Load.Waiting)
+	if a.headers.Load != nil {
+		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
 	}
-	if fault := a.fault(); fault != "" {
+	if invalidReason := a.invalidReason(); invalidReason != "" {
 		a.close()
-		return p.failed(fault, nil, core.CallBroken{})
+		return p.failed(invalidReason, nil, core.CallBroken{})
 	}
-	if isEvents(a.head) {
-		return streamBegun{}
+	if isEventStream(a.head) {
+		return streamStarted{}
 	}
 	return p.readAnswer(a)
 }
 
 // failed logs what went wrong with a send and turns it into an event. That the
 // time is over or the caller left goes first, but for a send that never began.
-func (p *passage) failed(what string, err error, ev core.Event) core.Event {
-	over := p.over()
+func (p *proxiedRequest) failed(what string, err error, ev core.Event) core.Event {
+	terminalEvent := p.terminalEvent()
 	silent := engine.TimedOut(err)
-	if _, left := over.(core.CallAbandoned); !left {
+	if _, left := terminalEvent.(core.CallAbandoned); !left {
 		p.gateway.spread.Failed(time.Now(), p.endpoint.ID, silent)
 	}
-	p.decided("send failed",
+	p.logDecision("send failed",
 		zap.String("endpoint", p.endpoint.ID),
 		zap.String("what", what),
-		zap.Bool("kept_connection", !p.answer.link.fresh),
+		zap.Bool("kept_connection", !p.answer.endpointConn.isNew),
 		zap.Duration("after", time.Since(p.placedAt)),
 		zap.Error(err),
 	)
-	if over != nil {
+	if terminalEvent != nil {
 		if _, unsent := ev.(core.CallUnsent); unsent {
 			p.call.Step(time.Now(), ev)
 		}
-		return over
+		return terminalEvent
 	}
 	return ev
 }
 
-// write sends the head and the body.
-func (p *passage) write(a *answer, copyName string) error {
+// writeRequest sends the head and the body.
+func (p *proxiedRequest) writeRequest(a *answer, copyName string) error {
 	var out bytes.Buffer
 	r := p.request
 	out.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	h := passedOn(r.Header)
+	h := endToEndHeaders(r.Header)
 	o := Outbound{
-		TimeLeft:   time.Until(p.until()),
+		TimeLeft:   time.Until(p.currentDeadline()),
 		Endpoint:   p.endpoint.Name(),
 		Rank:       p.rank(),
 		ContinueAt: copyName,
-		LastEvent:  p.last,
+		LastEvent:  p.lastEventID,
 	}
 	if p.customer != nil {
 		o.Customer = p.customer.Name
@@ -174,63 +174,63 @@
 		return err
 	}
 	out.WriteString("\r\n")
-	if len(p.body) <= inlineBody {
+	if len(p.body) <= maxInlineBody {
 		out.Write(p.body)
-		_, err := a.link.Write(out.Bytes())
+		_, err := a.endpointConn.Write(out.Bytes())
 		return err
 	}
-	if _, err := a.link.Write(out.Bytes()); err != nil {
+	if _, err := a.endpointConn.Write(out.Bytes()); err != nil {
 		return err
 	}
-	a.sent = make(chan error, 1)
+	a.writeResult = make(chan error, 1)
 	go func() {
-		_, err := a.link.Conn.Write(p.body)
-		a.sent <- err
+		_, err := a.endpointConn.Conn.Write(p.body)
+		a.writeResult <- err
 	}()
 	return nil
 }
 
-// readHead reads the head of the answer to this request, past answers to
+// readResponseHead reads the head of the answer to this request, past answers to
 // others that came too late for their own.
-func (p *passage) readHead(a *answer) error {
-	for strays := 0; strays < strayMost; {
-		head, err := http.ReadResponse(a.link.reader, p.request)
+func (p *proxiedRequest) readResponseHead(a *answer) error {
+	for strayAnswers := 0; strayAnswers < maxStrayAnswers; {
+		head, err := http.ReadResponse(a.endpointConn.reader, p.request)
 		if err != nil {
 			return err
 		}
 		if head.StatusCode < http.StatusOK {
 			continue
 		}
-		says := p.gateway.protocol.Answer(head.StatusCode, head.Header)
-		p.gateway.HandleNotice(time.Now(), p.endpoint, says.Notice)
-		mine := says.ID == p.in.ID || (says.ID == "" && a.link.fresh && strays == 0)
+		headers := p.gateway.protocol.Answer(head.StatusCode, head.Header)
+		p.gateway.HandleNotice(time.Now(), p.endpoint, headers.Notice)
+		mine := headers.ID == p.inbound.ID || (headers.ID == "" && a.endpointConn.isNew && strayAnswers == 0)
 		if mine {
 			a.head = head
-			a.says = says
-			if strays > 0 {
+			a.headers = headers
+			if strayAnswers > 0 {
 				head.Close = true
 			}
 			return nil
 		}
-		strays++
-		p.gateway.counts.strays.Inc()
-		p.decided("stray answer", zap.String("endpoint", p.endpoint.ID), zap.String("answers", says.ID))
+		strayAnswers++
+		p.gateway.counters.strayAnswers.Inc()
+		p.logDecision("stray answer", zap.String("endpoint", p.endpoint.ID), zap.String("answers", headers.ID))
 		if _, err := io.Copy(io.Discard, head.Body); err != nil {
 			return err
 		}
 	}
-	return errStrays
+	return errOnlyStrayAnswers
 }
 
-// turnedAway takes an answer that says the request was not run.
-func (p *passage) turnedAway(a *answer) core.Event {
+// handleNotRun takes an answer that says the request was not run.
+func (p *proxiedRequest) handleNotRun(a *answer) core.Event {
 	status := a.head.StatusCode
-	_, err := io.Copy(io.Discard, io.LimitReader(a.head.Body, heldAnswer))
+	_, err := io.Copy(io.Discard, io.LimitReader(a.head.Body, maxBufferedAnswer))
 	a.release(p, err == nil)
-	if a.says.Load != nil {
-		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.says.Load.Running+a.says.Load.Waiting)
+	if a.headers.Load != nil {
+		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
 	}
 	p.gateway.spread.Failed(time.Now(), p.endpoint.ID, status == http.StatusMisdirectedRequest)
-	p.decided("endpoint refused", zap.String("endpoint", p.endpoint.ID), zap.Int("status", status))
+	p.logDecision("endpoint refused", zap.String("endpoint", p.endpoint.ID), zap.Int("status", status))
 	return core.CallRefused{}
 }
--- a/gateway/hostile_test.go
+++ b/gateway/faults_test.go
@@ -16,10 +16,10 @@
 )
 
 var _ = Describe("a call that may run once", func() {
-	var b *bench
+	var b *testbed
 	var s *emulator.Server
 	BeforeEach(func() {
-		b = newBench()
+		b = newTestbed()
 		s = b.add("i-1", emulator.Plain)
 	})
 	post := func(id string) emulator.Outcome {
@@ -126,7 +126,7 @@
 	// Each took the largest permitted size from the box's memory for bodies, so
 	// that a handful at once were refused.
 	It("take memory as they come, and many at once are served", func() {
-		b := newBench()
+		b := newTestbed()
 		s := b.add("i-1", emulator.Plain)
 		s.WorkTime = 200 * time.Millisecond
 		const many = 40
@@ -151,8 +151,8 @@
 	})
 })
 
-// deaf gives an address where connections hang: its queue of new ones is full.
-func deaf() string {
+// unresponsiveAddress gives an address where connections hang: its queue of new ones is full.
+func unresponsiveAddress() string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = syscall.Close(fd) })
@@ -174,12 +174,12 @@
 
 var _ = Describe("an endpoint that takes no connection", func() {
 	It("holds no request up that another one can take", func() {
-		b := newBench()
+		b := newTestbed()
 		b.add("s-1", emulator.Plain)
 		gone, err := emulator.NewServer("s-2", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(gone.Crash)
-		b.deployment.ListAt(gone, deaf(), emulator.Plain, "ready")
+		b.deployment.ListAt(gone, unresponsiveAddress(), emulator.Plain, "ready")
 		b.refresh()
 		begun := time.Now()
 		for i := range 8 {
@@ -199,7 +199,7 @@
 
 var _ = Describe("a repeatable call", func() {
 	It("is tried at a second endpoint after a failure, and not at a third", func() {
-		b := newBench()
+		b := newTestbed()
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
 			b.add(id, emulator.Plain).SetFault(emulator.Fails, -1)
 		}
@@ -213,9 +213,9 @@
 var _ = Describe("a request that can't be sent", func() {
 	DescribeTable("is answered at once, and nothing reaches an endpoint",
 		func(path, key string, body string, status int) {
-			b := newBench()
+			b := newTestbed()
 			s := b.add("i-1", emulator.Plain)
-			b.caller = emulator.NewCaller(b.front, key)
+			b.caller = emulator.NewCaller(b.address, key)
 			Expect(b.call(http.MethodPost, path, "a1", body).Status).To(Equal(status))
 			Expect(s.Runs()).To(BeEmpty())
 		},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,8 +17,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// bufferPart is the part of a box's memory that request bodies may take.
-const bufferPart = 6
+// bodyMemoryDivisor is the part of a box's memory that request bodies may take.
+const bodyMemoryDivisor = 6
 
 // Rules bound what a gateway holds and spends.
 type Rules struct {
@@ -31,34 +31,34 @@
 
 // Gateway carries requests between callers and endpoints.
 type Gateway struct {
-	rules        Rules
-	protocol     Protocol
-	mover        Mover
-	onPlaced     func(fleet.Placement)
-	onEvacuating func(fleet.Evacuating)
-	onLeaving    func(endpoint string)
-	borrow       func(ctx context.Context, service string)
-	view         func() *fleet.View
-	boxes        func() int
-	spread       *admission.Spread
-	gate         *gate
-	pool         *Pool
-	log          *zap.Logger
-	counts       *counts
-	mu           sync.Mutex
-	usual        usualTimes // to the begin of an answer, by route
-	paces        usualTimes // between events, by service
-	budgets      map[string]*core.SharedBudget
-	streams      map[string]map[*passage]bool // by the endpoint that runs them
-	evacuations  map[string]*evacuation       // by the endpoint that leaves
-	presences    *engine.Presences
-	quarantine   *fleet.Quarantine
-	look         func()
-	buffered     atomic.Int64
-	active       atomic.Int64
-	suspended    atomic.Int64              // nanoseconds, since the process began
-	stopAt       atomic.Pointer[time.Time] // when the box will have ended, in a planned stop; nil for none
-	brokeAt      atomic.Pointer[time.Time] // when a stream last broke off unannounced; nil for never
+	rules              Rules
+	protocol           Protocol
+	mover              Mover
+	onPlaced           func(fleet.Placement)
+	onEvacuating       func(fleet.Evacuating)
+	onLeaving          func(endpoint string)
+	borrowSends        func(ctx context.Context, service string)
+	view               func() *fleet.View
+	boxes              func() int
+	spread             *admission.Spread
+	sendGate           *sendGate
+	pool               *Pool
+	log                *zap.Logger
+	counters           *counters
+	mu                 sync.Mutex
+	usualAnswer        durationAverages // to the begin of an answer, by route
+	eventIntervals     durationAverages // between events, by service
+	budgets            map[string]*core.SharedBudget
+	streams            map[string]map[*proxiedRequest]bool // by the endpoint that runs them
+	evacuations        map[string]*evacuation              // by the endpoint that leaves
+	presences          *engine.Presences
+	quarantine         *fleet.Quarantine
+	checkSuspension    func()
+	bufferedBytes      atomic.Int64
+	activeRequests     atomic.Int64
+	suspended          atomic.Int64              // nanoseconds, since the process began
+	stopAt             atomic.Pointer[time.Time] // when the box will have ended, in a planned stop; nil for none
+	unannouncedBreakAt atomic.Pointer[time.Time] // when a stream last broke off unannounced; nil for never
 }
 
 // Option changes how a gateway is built.
@@ -78,15 +78,15 @@
 // all boxes together.
 func WithRateShare(share func(endpoint string, units int) int) Option {
 	return func(g *Gateway) {
-		g.gate.cold.share = share
-		g.gate.limits.share = share
+		g.sendGate.cold.share = share
+		g.sendGate.limits.share = share
 	}
 }
 
 // WithLimits gives what is known, here and at other boxes, of the limits that endpoints
 // name.
 func WithLimits(l *fleet.Limits) Option {
-	return func(g *Gateway) { g.gate.limits.named = l }
+	return func(g *Gateway) { g.sendGate.limits.announced = l }
 }
 
 // WithMover copies runs between engines; without it no run is copied.
@@ -96,8 +96,8 @@
 
 // WithBorrow asks other boxes for sends when a stream needs one and this box's
 // part of the budget is spent; what they give comes by Borrowed.
-func WithBorrow(borrow func(ctx context.Context, service string)) Option {
-	return func(g *Gateway) { g.borrow = borrow }
+func WithBorrow(borrowSends func(ctx context.Context, service string)) Option {
+	return func(g *Gateway) { g.borrowSends = borrowSends }
 }
 
 // WithOnPlaced is called with each prompt, and each copy, that is sent to an
@@ -125,35 +125,35 @@
 
 // WithSuspensionCheck gives what looks whether the machine was suspended and calls Suspended if it
 // was; it is called before each decision that goes by ages.
-func WithSuspensionCheck(look func()) Option {
-	return func(g *Gateway) { g.look = look }
+func WithSuspensionCheck(checkSuspension func()) Option {
+	return func(g *Gateway) { g.checkSuspension = checkSuspension }
 }
 
 // New builds a gateway in an availability zone.
 func New(zone string, protocol Protocol, view func() *fleet.View, rules Rules, options ...Option) *Gateway {
 	g := &Gateway{
-		rules:        rules,
-		protocol:     protocol,
-		view:         view,
-		boxes:        func() int { return 1 },
-		onPlaced:     func(fleet.Placement) {},
-		onEvacuating: func(fleet.Evacuating) {},
-		onLeaving:    func(string) {},
-		spread:       admission.NewSpread(zone, rand.Float64),
-		gate:         newGate(rules.Cold, fleet.NewLimits(zap.NewNop())),
-		log:          zap.NewNop(),
-		counts:       newCounts(),
-		usual:        newUsualTimes(),
-		paces:        newUsualTimes(),
-		budgets:      make(map[string]*core.SharedBudget),
-		streams:      make(map[string]map[*passage]bool),
-
-		evacuations: make(map[string]*evacuation),
-		presences:   engine.NewPresences(),
-		quarantine:  fleet.NewQuarantine(zap.NewNop()),
-		look:        func() {},
+		rules:          rules,
+		protocol:       protocol,
+		view:           view,
+		boxes:          func() int { return 1 },
+		onPlaced:       func(fleet.Placement) {},
+		onEvacuating:   func(fleet.Evacuating) {},
+		onLeaving:      func(string) {},
+		spread:         admission.NewSpread(zone, rand.Float64),
+		sendGate:       newSendGate(rules.Cold, fleet.NewLimits(zap.NewNop())),
+		log:            zap.NewNop(),
+		counters:       newCounters(),
+		usualAnswer:    newDurationAverages(),
+		eventIntervals: newDurationAverages(),
+		budgets:        make(map[string]*core.SharedBudget),
+		streams:        make(map[string]map[*proxiedRequest]bool),
+
+		evacuations:     make(map[string]*evacuation),
+		presences:       engine.NewPresences(),
+		quarantine:      fleet.NewQuarantine(zap.NewNop()),
+		checkSuspension: func() {},
 	}
-	g.pool = NewPool(g.counts.connections.Inc)
+	g.pool = NewPool(g.counters.openedConnections.Inc)
 	for _, o := range options {
 		o(g)
 	}
@@ -161,26 +161,26 @@
 }
 
 // Active counts the requests under way.
-func (g *Gateway) Active() int { return int(g.active.Load()) }
+func (g *Gateway) Active() int { return int(g.activeRequests.Load()) }
 
 // ServeHTTP carries one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.active.Add(1)
-	defer g.active.Add(-1)
-	g.look()
+	g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
+	g.checkSuspension()
 	// A length beside chunks is dropped by the library; who reads by the length
 	// sees another request in what follows, so that nothing may follow.
 	if g.stopAt.Load() != nil || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
-	p := &passage{
+	p := &proxiedRequest{
 		gateway: g,
 		writer:  w,
 		request: r,
 		start:   time.Now(),
 		tried:   make(map[string]bool),
 
-		suspended: g.suspendedFor(),
+		suspendedBefore: g.suspendedFor(),
 	}
 	p.serve()
 }
@@ -193,8 +193,8 @@
 		e, ok := v.Endpoint(id)
 		return ok && !e.Leaving
 	})
-	g.dropPlans(now)
-	g.gate.sweep(now)
+	g.dropExpiredEvacuations(now)
+	g.sendGate.sweep(now)
 }
 
 // SetShare tells which engines the box's group uses first.
@@ -207,7 +207,7 @@
 func (g *Gateway) HandlePlacement(now time.Time, p fleet.Placement) {
 	switch {
 	case p.Broke:
-		g.brokeOff(now)
+		g.recordUnannouncedBreak(now)
 	case p.Overdue:
 		g.spread.Failed(now, p.Endpoint, false)
 	case p.Over:
@@ -219,8 +219,8 @@
 	}
 }
 
-// budget runs an action on a service's part of the retry budget.
-func (g *Gateway) budget(service string, now time.Time, action func(*core.SharedBudget)) {
+// withBudget runs an action on a service's part of the retry budget.
+func (g *Gateway) withBudget(service string, now time.Time, action func(*core.SharedBudget)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.budgets[service]
@@ -231,20 +231,20 @@
 	action(b)
 }
 
-func (g *Gateway) mayRepeat(service string) bool {
+func (g *Gateway) takeRetry(service string) bool {
 	now := time.Now()
 	allowed := false
-	g.budget(service, now, func(b *core.SharedBudget) { allowed = b.Allow(now, g.boxes()) })
+	g.withBudget(service, now, func(b *core.SharedBudget) { allowed = b.Allow(now, g.boxes()) })
 	if !allowed {
-		g.counts.overBudget.Inc()
+		g.counters.refusedRetries.Inc()
 	}
 	return allowed
 }
 
-// reserve takes memory for a body, or tells that there is none left.
-func (g *Gateway) reserve(n int64) bool {
-	if g.buffered.Add(n) > g.rules.MemoryBytes/bufferPart {
-		g.buffered.Add(-n)
+// reserveBodyMemory takes memory for a body, or tells that there is none left.
+func (g *Gateway) reserveBodyMemory(n int64) bool {
+	if g.bufferedBytes.Add(n) > g.rules.MemoryBytes/bodyMemoryDivisor {
+		g.bufferedBytes.Add(-n)
 		return false
 	}
 	return true
--- a/gateway/header.go
+++ b/gateway/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ofConnection are the headers that concern one connection only.
-var ofConnection = []string{
+// hopByHopHeaders are the headers that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection",
 	"Content-Length", // set anew, after the body that is there
 	"Keep-Alive",
@@ -20,15 +20,15 @@
 	"Expect",
 }
 
-// passedOn copies headers without those that concern one connection only.
-func passedOn(h http.Header) http.Header {
+// endToEndHeaders copies headers without those that concern one connection only.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, value := range h["Connection"] {
 		for _, name := range strings.Split(value, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range ofConnection {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/gateway/inbound.go
+++ b/gateway/inbound.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// bodyPiece is how much of a body is read at a time; prompts and records are
+	// bodyChunkBytes is how much of a body is read at a time; prompts and records are
 	// a few kilobytes.
-	bodyPiece = 32 << 10
-	// unknownTimeout is for routes without a time-out of their own.
-	unknownTimeout = time.Minute
+	bodyChunkBytes = 32 << 10
+	// defaultTimeout is for routes without a time-out of their own.
+	defaultTimeout = time.Minute
 )
 
-// admit finds the route, the customer and the service, or answers the caller.
-func (p *passage) admit() bool {
+// resolveRoute finds the route, the customer and the service, or answers the caller.
+func (p *proxiedRequest) resolveRoute() bool {
 	t := p.view.Table
 	if t == nil {
 		p.refuse(http.StatusServiceUnavailable, "no configuration is known yet")
@@ -33,14 +33,14 @@
 		return false
 	}
 	if t.Keyed() && !p.route.Anonymous {
-		p.customer = t.Customer(p.in.Key)
+		p.customer = t.Customer(p.inbound.Key)
 		if p.customer == nil {
 			p.refuse(http.StatusUnauthorized, "the key is not known")
 			return false
 		}
 	}
-	p.homes = routing.HomesOf(p.gateway.rules.Regions, p.route, p.customer)
-	p.service = t.Service(p.route.Pick(p.in.ID))
+	p.allowedRegions = routing.HomesOf(p.gateway.rules.Regions, p.route, p.customer)
+	p.service = t.Service(p.route.Pick(p.inbound.ID))
 	if p.service == nil {
 		p.refuse(http.StatusServiceUnavailable, "the route's service is not known")
 		return false
@@ -54,19 +54,19 @@
 	return path
 }
 
-func (p *passage) timeout() time.Duration {
+func (p *proxiedRequest) timeout() time.Duration {
 	t := p.route.Timeout
 	if t <= 0 {
-		t = unknownTimeout
+		t = defaultTimeout
 	}
-	if p.in.CallerTimeout > 0 {
-		t = min(t, p.in.CallerTimeout)
+	if p.inbound.CallerTimeout > 0 {
+		t = min(t, p.inbound.CallerTimeout)
 	}
 	return t
 }
 
 // rank is what orders the request against others; a customer's goes first.
-func (p *passage) rank() int {
+func (p *proxiedRequest) rank() int {
 	if p.customer != nil && p.customer.Rank != nil {
 		return *p.customer.Rank
 	}
@@ -75,7 +75,7 @@
 
 // readBody takes the whole body, within the configuration's limit and the
 // box's memory.
-func (p *passage) readBody() bool {
+func (p *proxiedRequest) readBody() bool {
 	most := int64(p.view.Table.Limits().BodyBytes)
 	length := p.request.ContentLength
 	if length == 0 {
@@ -85,13 +85,13 @@
 		p.refuse(http.StatusRequestEntityTooLarge, "the body is larger than the configuration permits")
 		return false
 	}
-	_ = http.NewResponseController(p.writer).SetReadDeadline(p.limit)
-	err := p.takeBody(http.MaxBytesReader(p.writer, p.request.Body, max(most, 1)))
+	_ = http.NewResponseController(p.writer).SetReadDeadline(p.deadline)
+	err := p.readBodyChunks(http.MaxBytesReader(p.writer, p.request.Body, max(most, 1)))
 	_ = http.NewResponseController(p.writer).SetReadDeadline(time.Time{})
 	if err == nil {
 		return true
 	}
-	p.gateway.buffered.Add(-p.reserved)
+	p.gateway.bufferedBytes.Add(-p.reservedBytes)
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		p.refuse(http.StatusRequestEntityTooLarge, "the body is larger than the configuration permits")
@@ -101,24 +101,24 @@
 		p.refuse(http.StatusServiceUnavailable, "no memory is left for bodies")
 		return false
 	}
-	p.decided("caller's body broke off", zap.Error(err))
+	p.logDecision("caller's body broke off", zap.Error(err))
 	panic(http.ErrAbortHandler)
 }
 
 // errNoMemory reports that the box's memory for bodies is used up.
 var errNoMemory = errors.New("no memory is left for bodies")
 
-// takeBody reads the body piece by piece, and reserves memory for each before
+// readBodyChunks reads the body piece by piece, and reserves memory for each before
 // it is read: a body in chunks doesn't say how long it gets.
-func (p *passage) takeBody(from io.Reader) error {
+func (p *proxiedRequest) readBodyChunks(from io.Reader) error {
 	for {
-		if !p.gateway.reserve(bodyPiece) {
+		if !p.gateway.reserveBodyMemory(bodyChunkBytes) {
 			return errNoMemory
 		}
-		p.reserved += bodyPiece
-		piece, err := io.ReadAll(io.LimitReader(from, bodyPiece))
+		p.reservedBytes += bodyChunkBytes
+		piece, err := io.ReadAll(io.LimitReader(from, bodyChunkBytes))
 		p.body = append(p.body, piece...)
-		if err != nil || len(piece) < bodyPiece {
+		if err != nil || len(piece) < bodyChunkBytes {
 			return err
 		}
 	}
--- a/gateway/lend.go
+++ b/gateway/retry_budget.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// lendKeep is what a box with streams under way keeps for itself when another one
+	// keptSends is what a box with streams under way keeps for itself when another one
 	// asks. In a large fleet a box's own part is one to four sends; one that kept three
 	// of them would never lend any.
-	lendKeep = 1
-	// borrowTime bounds how long a stream that broke waits for a send from
+	keptSends = 1
+	// borrowTimeout bounds how long a stream that broke waits for a send from
 	// another box's part; a box answers in a few milliseconds.
-	borrowTime = 120 * time.Millisecond
+	borrowTimeout = 120 * time.Millisecond
 )
 
 // streamCounts are a service's streams under way at this box.
 type streamCounts struct {
-	all     int
+	total   int
 	leaving int // whose engine leaves or is gone
 }
 
@@ -36,7 +36,7 @@
 			if p.service.Name != service {
 				continue
 			}
-			n.all++
+			n.total++
 			if !ok || e.Leaving {
 				n.leaving++
 			}
@@ -45,58 +45,58 @@
 	return n
 }
 
-// keeps gives how many sends this box keeps for itself when another one asks: none
+// sendsToKeep gives how many sends this box keeps for itself when another one asks: none
 // without streams of its own. In a large fleet each box's part of the slack is one send,
 // and boxes without callers have the most to lend.
-func (g *Gateway) keeps(service string) int {
+func (g *Gateway) sendsToKeep(service string) int {
 	n := g.countStreams(service)
-	if n.all == 0 {
+	if n.total == 0 {
 		return 0
 	}
-	return lendKeep + n.leaving
+	return keptSends + n.leaving
 }
 
-// mayContinue tells whether a stream that broke may be sent again, and asks other
+// takeStreamRetry tells whether a stream that broke may be sent again, and asks other
 // boxes for a part of their budgets if this one's is spent. A stream is worth the
 // wait, a short call is not.
-func (p *passage) mayContinue(service string) bool {
-	p.borrowSend(service)
-	return p.gateway.mayRepeat(service)
+func (p *proxiedRequest) takeStreamRetry(service string) bool {
+	p.ensureRetryBudget(service)
+	return p.gateway.takeRetry(service)
 }
 
-// borrowSend asks other boxes for a part of their budgets if this one's is spent, and
+// ensureRetryBudget asks other boxes for a part of their budgets if this one's is spent, and
 // tells whether a send is left.
-func (p *passage) borrowSend(service string) bool {
+func (p *proxiedRequest) ensureRetryBudget(service string) bool {
 	g := p.gateway
-	if g.hasSend(service) {
+	if g.hasRetryBudget(service) {
 		return true
 	}
-	if g.borrow == nil {
+	if g.borrowSends == nil {
 		return false
 	}
 	begun := time.Now()
-	ctx, cancel := context.WithTimeout(p.request.Context(), borrowTime)
+	ctx, cancel := context.WithTimeout(p.request.Context(), borrowTimeout)
 	defer cancel()
-	g.borrow(ctx, service)
-	has := g.hasSend(service)
-	p.note("asked other boxes for a send",
+	g.borrowSends(ctx, service)
+	available := g.hasRetryBudget(service)
+	p.logAsync("asked other boxes for a send",
 		zap.Int("boxes", g.boxes()),
 		zap.Duration("asked_for", time.Since(begun)),
-		zap.Bool("allowed", has),
+		zap.Bool("allowed", available),
 	)
-	return has
+	return available
 }
 
 // Lend gives a part of this box's budget to another one.
 func (g *Gateway) Lend(now time.Time, service string, sends int) int {
-	keep := g.keeps(service)
-	given := 0
+	keep := g.sendsToKeep(service)
+	lent := 0
 	boxes := g.boxes()
-	g.budget(service, now, func(b *core.SharedBudget) { given = b.Lend(now, boxes, sends, keep) })
-	return given
+	g.withBudget(service, now, func(b *core.SharedBudget) { lent = b.Lend(now, boxes, sends, keep) })
+	return lent
 }
 
 // Borrowed takes what another box gave.
 func (g *Gateway) Borrowed(now time.Time, service string, sends int) {
-	g.budget(service, now, func(b *core.SharedBudget) { b.Borrow(now, sends) })
+	g.withBudget(service, now, func(b *core.SharedBudget) { b.Borrow(now, sends) })
 }
--- a/gateway/lend_test.go
+++ b/gateway/retry_budget_test.go
@@ -15,9 +15,9 @@
 var _ = Describe("a box that is asked for its part of the retry budget", func() {
 	// ten boxes share a slack of 50.
 	shared := gateway.WithBoxes(func() int { return 10 })
-	const part = 5
+	const share = 5
 	// lent gives how much it lends when it is asked again and again.
-	lent := func(b *bench) int {
+	totalLent := func(b *testbed) int {
 		total := 0
 		for range 20 {
 			total += b.gateway.Lend(time.Now(), emulator.Model, 1)
@@ -27,13 +27,13 @@
 	}
 
 	It("lends all of it when it has no streams", func() {
-		b := newBenchWith(true, shared)
+		b := newTestbedWith(true, shared)
 		b.add("e-1", emulator.Model)
-		Expect(lent(b)).To(Equal(part))
+		Expect(totalLent(b)).To(Equal(share))
 	})
 
 	It("keeps one send when it has a stream", func() {
-		b := newBenchWith(true, shared)
+		b := newTestbedWith(true, shared)
 		s := b.add("e-1", emulator.Model)
 		s.Events = 1000
 		s.EventGap = 20 * time.Millisecond
@@ -46,6 +46,6 @@
 			Deadline: 20 * time.Second,
 		})
 		Eventually(s.Runs).Should(HaveLen(1))
-		Expect(lent(b)).To(Equal(part - 1))
+		Expect(totalLent(b)).To(Equal(share - 1))
 	})
 })
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// eventBuffer is for reading events; one is some hundred bytes.
-	eventBuffer = 2 << 10
-	// largestEvent bounds one event.
-	largestEvent = 1 << 20
+	// eventBufferBytes is for reading events; one is some hundred bytes.
+	eventBufferBytes = 2 << 10
+	// maxEventBytes bounds one event.
+	maxEventBytes = 1 << 20
 )
 
 // event is one event of a stream, with the bytes as they came.
@@ -38,7 +38,7 @@
 		line, err := r.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if len(e.raw) > largestEvent {
+			if len(e.raw) > maxEventBytes {
 				return e, errEventTooLarge
 			}
 			continue
@@ -61,9 +61,9 @@
 
 // stream passes events on until the stream's end or its break. Sent is when the
 // request went out.
-func (p *passage) stream(sent time.Time) core.Event {
+func (p *proxiedRequest) stream(sent time.Time) core.Event {
 	a := p.answer
-	run, tokens, backup := p.endpoint.ID, p.want(nil).Tokens, p.backup.ID
+	runEndpoint, tokens, backup := p.endpoint.ID, p.demand(nil).Tokens, p.backup.ID
 	if backup != "" {
 		p.gateway.spread.Copy(time.Now(), backup, tokens)
 		defer p.gateway.spread.Copy(time.Now(), backup, -tokens)
@@ -74,45 +74,45 @@
 		})
 	}
 	defer func() {
-		p.gateway.spread.End(time.Now(), run, sent, tokens)
-		p.tellOver(run)
+		p.gateway.spread.End(time.Now(), runEndpoint, sent, tokens)
+		p.announceRunEnd(runEndpoint)
 	}()
-	p.gateway.enrol(p)
-	defer p.gateway.leave(run, p)
-	dog := p.watch(a.link)
-	defer dog.stop()
-	events := bufio.NewReaderSize(a.head.Body, eventBuffer)
+	p.gateway.registerStream(p)
+	defer p.gateway.unregisterStream(runEndpoint, p)
+	watchdog := p.startWatchdog(a.endpointConn)
+	defer watchdog.stop()
+	events := bufio.NewReaderSize(a.head.Body, eventBufferBytes)
 	for {
 		e, err := readEvent(events)
-		dog.fed()
+		watchdog.reset()
 		if errors.Is(err, io.EOF) {
 			return p.complete(a)
 		}
 		if err != nil {
 			a.close()
-			return p.broken(err)
+			return p.handleBreak(err)
 		}
-		p.overdue.stop()
-		switch p.order.take(e.id) {
-		case seen:
+		p.overdueTimer.stop()
+		switch p.eventOrder.classify(e.id) {
+		case duplicate:
 			continue
-		case missing:
+		case gap:
 			a.close()
-			p.decided("an event is missing after the copy", zap.String("last_event", p.last), zap.String("event_id", e.id))
+			p.logDecision("an event is missing after the copy", zap.String("last_event", p.lastEventID), zap.String("event_id", e.id))
 			return core.CallBroken{}
 		}
 		if err := p.passEvent(a, e); err != nil {
 			a.close()
-			p.decided("caller left its stream", zap.String("last_event", p.last), zap.Error(err))
+			p.logDecision("caller left its stream", zap.String("last_event", p.lastEventID), zap.Error(err))
 			return core.CallAbandoned{}
 		}
 	}
 }
 
-func (p *passage) passEvent(a *answer, e event) error {
-	if !p.begun {
-		p.begun = true
-		p.copyHead(a.head)
+func (p *proxiedRequest) passEvent(a *answer, e event) error {
+	if !p.headSent {
+		p.headSent = true
+		p.copyHeaders(a.head)
 		p.writer.WriteHeader(a.head.StatusCode)
 	}
 	p.call.Step(time.Now(), core.CallProgressed{})
@@ -120,83 +120,83 @@
 		return err
 	}
 	now := time.Now()
-	p.paced(now)
+	p.recordPacing(now)
 	p.gateway.spread.Heard(now, p.endpoint.ID)
-	p.last = e.id
+	p.lastEventID = e.id
 	p.events++
-	p.made.Store(int64(p.events))
+	p.sharedEvents.Store(int64(p.events))
 	return http.NewResponseController(p.writer).Flush()
 }
 
-// paced notes when an event went to the caller: the first one's delay and the
+// recordPacing notes when an event went to the caller: the first one's delay and the
 // longest pause are what the caller feels.
-func (p *passage) paced(now time.Time) {
-	if p.ranFrom.IsZero() {
-		p.ranFrom = now
+func (p *proxiedRequest) recordPacing(now time.Time) {
+	if p.runFirstEventAt.IsZero() {
+		p.runFirstEventAt = now
 	}
 	if p.events == 0 {
-		p.gateway.usual.learn(p.route.Name, now.Sub(p.placedAt))
-		p.first = now.Sub(p.start)
-		p.begunAt = now
-		p.gateway.spread.Started(p.queued, now.Sub(p.placedAt))
-	} else if gap := now.Sub(p.lastAt); gap > p.longest {
-		p.longest = gap
-		p.longestAt = p.last
+		p.gateway.usualAnswer.learn(p.route.Name, now.Sub(p.placedAt))
+		p.firstEventDelay = now.Sub(p.start)
+		p.firstEventAt = now
+		p.gateway.spread.Started(p.queuedTokens, now.Sub(p.placedAt))
+	} else if gap := now.Sub(p.lastEventAt); gap > p.longestPause {
+		p.longestPause = gap
+		p.longestPauseAfter = p.lastEventID
 	}
-	p.lastAt = now
+	p.lastEventAt = now
 }
 
 // learn takes a whole generation's pace and size into the learned means.
-func (p *passage) learn() {
+func (p *proxiedRequest) learn() {
 	if p.events > 1 {
-		p.gateway.paces.learn(p.service.Name, p.lastAt.Sub(p.begunAt)/time.Duration(p.events-1))
+		p.gateway.eventIntervals.learn(p.service.Name, p.lastEventAt.Sub(p.firstEventAt)/time.Duration(p.events-1))
 	}
-	if engine := p.service.Engine; engine != nil && p.in.PromptTokens > 0 {
-		p.gateway.spread.Learn(p.in.PromptTokens, p.events*max(engine.EventTokens, 1))
+	if engine := p.service.Engine; engine != nil && p.inbound.PromptTokens > 0 {
+		p.gateway.spread.Learn(p.inbound.PromptTokens, p.events*max(engine.EventTokens, 1))
 	}
 }
 
-func (p *passage) complete(a *answer) core.Event {
-	if !p.begun {
-		p.begun = true
-		p.copyHead(a.head)
+func (p *proxiedRequest) complete(a *answer) core.Event {
+	if !p.headSent {
+		p.headSent = true
+		p.copyHeaders(a.head)
 		p.writer.WriteHeader(a.head.StatusCode)
 	}
 	a.release(p, true)
-	p.gateway.spread.Succeeded(time.Now(), p.endpoint.ID, p.first)
+	p.gateway.spread.Succeeded(time.Now(), p.endpoint.ID, p.firstEventDelay)
 	p.learn()
-	p.survived()
-	p.gateway.counts.streamed(p.route.Name, p.first, p.longest)
-	p.ended("streamed", a.head.StatusCode,
-		zap.Duration("first_event", p.first),
-		zap.Duration("longest_pause", p.longest),
-		zap.String("pause_after", p.longestAt),
+	p.recordSuccess()
+	p.gateway.counters.observeStream(p.route.Name, p.firstEventDelay, p.longestPause)
+	p.recordEnd("streamed", a.head.StatusCode,
+		zap.Duration("first_event", p.firstEventDelay),
+		zap.Duration("longest_pause", p.longestPause),
+		zap.String("pause_after", p.longestPauseAfter),
 		zap.Int("events", p.events),
 	)
 	return core.CallCompleted{}
 }
 
-// broken looks for a copy to go on from: that of a move under way, or the
+// handleBreak looks for a copy to go on from: that of a move under way, or the
 // backup.
-func (p *passage) broken(err error) core.Event {
-	p.noteBreak(time.Now())
-	if h := p.awaitHandover(); h != nil && p.begun {
-		p.resume = h
-		return p.brokenBy(err, true)
+func (p *proxiedRequest) handleBreak(err error) core.Event {
+	p.reportBreak(time.Now())
+	if h := p.awaitHandover(); h != nil && p.headSent {
+		p.resumeFrom = h
+		return p.failWithBreak(err, true)
 	}
-	if p.begun && p.backup.ID != "" {
+	if p.headSent && p.backup.ID != "" {
 		// A pause that is 30 ms longer is felt, and the run had begun well.
-		p.lookAside()
-		p.resume = &handover{
+		p.startEndpointCheck()
+		p.resumeFrom = &handover{
 			target: p.backup,
-			copy:   p.gateway.mover.CopyName(p.in.ID, p.backup),
+			copy:   p.gateway.mover.CopyName(p.inbound.ID, p.backup),
 		}
-		return p.brokenBy(err, true)
+		return p.failWithBreak(err, true)
 	}
-	p.lookAtEndpoint()
-	return p.brokenBy(err, false)
+	p.awaitEndpointCheck()
+	return p.failWithBreak(err, false)
 }
 
-func (p *passage) brokenBy(err error, copied bool) core.Event {
+func (p *proxiedRequest) failWithBreak(err error, copied bool) core.Event {
 	return p.failed("the stream broke off", err, core.CallBroken{Copy: copied})
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -21,8 +21,8 @@
 const eventGap = 60 * time.Millisecond
 
 var _ = Describe("a stream", func() {
-	var b *bench
-	BeforeEach(func() { b = newBench() })
+	var b *testbed
+	BeforeEach(func() { b = newTestbed() })
 
 	streamAt := func(path, id string) emulator.Outcome {
 		return b.caller.Do(context.Background(), emulator.Call{
@@ -61,7 +61,7 @@
 		stream("n2")
 		Expect(first.Backups() + second.Backups()).To(BeNumerically(">", 0))
 
-		other := newBench()
+		other := newTestbed()
 		third := other.add("e-3", emulator.Model)
 		fourth := other.add("e-4", emulator.Model)
 		other.gateway.HandlePlacement(time.Now(), fleet.Placement{
@@ -96,7 +96,7 @@
 	// ready, and the fleet's budget was mostly unused.
 	DescribeTable("that needs a send when this box's budget is spent",
 		func(lent int) {
-			b = newBenchWith(false, gateway.WithBorrow(func(_ context.Context, service string) {
+			b = newTestbedWith(false, gateway.WithBorrow(func(_ context.Context, service string) {
 				if lent > 0 {
 					b.gateway.Borrowed(time.Now(), service, lent)
 				}
@@ -170,7 +170,7 @@
 
 	// leaves sends a stream to the first engine, lets it leave, expects the stream to
 	// come whole, and gives the engine that took it over.
-	leaves := func(id string, first *emulator.Server, events int, laterGap time.Duration) *emulator.Server {
+	moveOnDrain := func(id string, first *emulator.Server, events int, laterGap time.Duration) *emulator.Server {
 		before := len(first.Runs())
 		first.Events, first.EventGap = events, eventGap
 		done := make(chan emulator.Outcome, 1)
@@ -191,7 +191,7 @@
 	}
 
 	It("is moved when its engine leaves, and goes on without a gap", func() {
-		second := leaves("d1", b.add("e-1", emulator.Model), 12, time.Millisecond)
+		second := moveOnDrain("d1", b.add("e-1", emulator.Model), 12, time.Millisecond)
 		Expect(second.Runs()[0].Continued).NotTo(BeEmpty())
 	})
 
@@ -202,7 +202,7 @@
 		func(statuses ...int) {
 			first := b.add("e-1", emulator.Model)
 			first.FailMoves(statuses...)
-			leaves("g1", first, 60, time.Millisecond)
+			moveOnDrain("g1", first, 60, time.Millisecond)
 		},
 		Entry("for want of room", http.StatusServiceUnavailable, http.StatusServiceUnavailable, http.StatusServiceUnavailable),
 		Entry("for a run that still waits", http.StatusNotFound, http.StatusNotFound, http.StatusNotFound),
@@ -215,20 +215,20 @@
 	It("isn't stopped for its move as long as the box has no send to go on with", func() {
 		var boxes atomic.Int64
 		boxes.Store(math.MaxInt32)
-		b = newBenchWith(true, gateway.WithBoxes(func() int { return int(boxes.Load()) }))
+		b = newTestbedWith(true, gateway.WithBoxes(func() int { return int(boxes.Load()) }))
 		time.AfterFunc(400*time.Millisecond, func() { boxes.Store(3) })
-		second := leaves("n1", b.add("e-1", emulator.Model), 20, time.Millisecond)
+		second := moveOnDrain("n1", b.add("e-1", emulator.Model), 20, time.Millisecond)
 		Expect(second.Runs()[0].Continued).NotTo(BeEmpty())
 	})
 
 	// A stream that went on elsewhere was watched for its first event for ever: its
 	// new engine was told to owe an answer while events came.
 	It("isn't overdue once events come, also after it was moved", func() {
-		core, lines := observer.New(zap.InfoLevel)
-		b = newBenchWith(true, gateway.WithLog(zap.New(core)))
+		observed, lines := observer.New(zap.InfoLevel)
+		b = newTestbedWith(true, gateway.WithLog(zap.New(observed)))
 		first := b.add("e-1", emulator.Model)
 		Expect(stream("w1").Whole).To(BeTrue())
-		leaves("w2", first, 20, eventGap)
+		moveOnDrain("w2", first, 20, eventGap)
 		Expect(lines.FilterMessage("answer overdue").Len()).To(Equal(0))
 	})
 
@@ -238,7 +238,7 @@
 	It("goes on from the copy before when the last one has to wait", func() {
 		first := b.add("e-1", emulator.Model)
 		first.SlowLast(3 * time.Second)
-		leaves("h1", first, 12, time.Millisecond)
+		moveOnDrain("h1", first, 12, time.Millisecond)
 	})
 
 	It("that would outlast a planned stop is refused before it is sent, others are served", func() {
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -2,24 +2,24 @@
 
 import "dillsaddle.example/dillsaddle/fleet"
 
-// enrol makes a stream known under the endpoint that runs it.
-func (g *Gateway) enrol(p *passage) {
+// registerStream makes a stream known under the endpoint that runs it.
+func (g *Gateway) registerStream(p *proxiedRequest) {
 	id := p.endpoint.ID
 	g.mu.Lock()
 	all := g.streams[id]
 	if all == nil {
-		all = make(map[*passage]bool)
+		all = make(map[*proxiedRequest]bool)
 		g.streams[id] = all
 	}
 	all[p] = true
 	leaving := g.evacuations[id]
 	g.mu.Unlock()
 	if leaving != nil {
-		go leaving.gather()
+		go leaving.addOwnRuns()
 	}
 }
 
-func (g *Gateway) leave(endpoint string, p *passage) {
+func (g *Gateway) unregisterStream(endpoint string, p *proxiedRequest) {
 	g.mu.Lock()
 	delete(g.streams[endpoint], p)
 	if len(g.streams[endpoint]) == 0 {
@@ -28,7 +28,7 @@
 	leaving := g.evacuations[endpoint]
 	g.mu.Unlock()
 	if leaving != nil {
-		go leaving.over(p)
+		go leaving.finishRun(p)
 	}
 }
 
--- a/gateway/suspension.go
+++ b/gateway/suspension.go
@@ -8,7 +8,7 @@
 // them.
 func (g *Gateway) Suspended(d time.Duration) {
 	g.suspended.Add(int64(d))
-	g.gate.rests.suspended(d)
+	g.sendGate.backoffs.suspended(d)
 	g.pool.Sweep(time.Now(), func(string) bool { return false })
 	if end := g.stopAt.Load(); end != nil {
 		earlier := end.Add(-d)
@@ -24,7 +24,7 @@
 // suspendedFor gives how long the machine was suspended since the process began.
 func (g *Gateway) suspendedFor() time.Duration { return time.Duration(g.suspended.Load()) }
 
-// until gives when nobody waits for the request any more.
-func (p *passage) until() time.Time {
-	return p.limit.Add(p.suspended - p.gateway.suspendedFor())
+// currentDeadline gives when nobody waits for the request any more.
+func (p *proxiedRequest) currentDeadline() time.Time {
+	return p.deadline.Add(p.suspendedBefore - p.gateway.suspendedFor())
 }
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -16,16 +16,16 @@
 // meanwhile as fresh. A suspension is told here as the box finds it out, before a send.
 var _ = Describe("a box that was suspended", func() {
 	const suspended = 1100 * time.Millisecond
-	var b *bench
-	BeforeEach(func() { b = newBench() })
+	var b *testbed
+	BeforeEach(func() { b = newTestbed() })
 
 	// suspendAt lets the machine have been suspended for a time when the box looks for the
 	// n-th time from now on: as a request is taken, then before each of its sends.
-	suspendAt := func(n int, d time.Duration) {
-		looks := 0
-		b.look = func() {
-			looks++
-			if looks == n {
+	suspendAtCheck := func(n int, d time.Duration) {
+		checks := 0
+		b.checkSuspension = func() {
+			checks++
+			if checks == n {
 				b.gateway.Suspended(d)
 			}
 		}
@@ -39,21 +39,21 @@
 
 	It("tells endpoints how long callers still wait, the suspension counted", func() {
 		s := b.add("i-1", emulator.Plain)
-		suspendAt(2, suspended)
+		suspendAtCheck(2, suspended)
 		Expect(call("under-way").Status).To(Equal(http.StatusOK))
-		Expect(deadline(s)).To(BeNumerically("<=", callerWaits-suspended))
+		Expect(deadline(s)).To(BeNumerically("<=", callerTimeout-suspended))
 	})
 
 	It("gives who came after it all their time", func() {
 		s := b.add("i-1", emulator.Plain)
-		suspendAt(1, suspended)
+		suspendAtCheck(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
-		Expect(deadline(s)).To(BeNumerically(">", callerWaits-suspended))
+		Expect(deadline(s)).To(BeNumerically(">", callerTimeout-suspended))
 	})
 
 	It("doesn't send what nobody waits for any more", func() {
 		b.add("i-1", emulator.Plain)
-		suspendAt(2, 2*callerWaits)
+		suspendAtCheck(2, 2*callerTimeout)
 		Expect(call("late").Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(b.deployment.Runs()).To(BeEmpty())
 	})
@@ -61,7 +61,7 @@
 	It("uses none of the connections that rested before", func() {
 		s := b.add("i-1", emulator.Plain)
 		Expect(call("before").Status).To(Equal(http.StatusOK))
-		suspendAt(1, suspended)
+		suspendAtCheck(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
 		Expect(s.Accepted()).To(Equal(2))
 	})
--- a/gateway/bench_test.go
+++ b/gateway/testbed_test.go
@@ -19,30 +19,30 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// bench is a gateway before emulated servers; the belief is read once from the
+// testbed is a gateway before emulated servers; the belief is read once from the
 // emulated store.
-type bench struct {
-	deployment *emulator.Deployment
-	belief     *fleet.Belief
-	gateway    *gateway.Gateway
-	front      string
-	caller     *emulator.Caller
-	store      *platform.Store
-	look       func() // for a suspension, or nil
-	log        *observer.ObservedLogs
+type testbed struct {
+	deployment      *emulator.Deployment
+	belief          *fleet.Belief
+	gateway         *gateway.Gateway
+	address         string
+	caller          *emulator.Caller
+	store           *platform.Store
+	checkSuspension func() // for a suspension, or nil
+	log             *observer.ObservedLogs
 }
 
-// callerWaits is the deadline of the bench's calls.
-const callerWaits = 1500 * time.Millisecond
+// callerTimeout is the deadline of the bench's calls.
+const callerTimeout = 1500 * time.Millisecond
 
-func newBench() *bench { return newBenchWith(true) }
+func newTestbed() *testbed { return newTestbedWith(true) }
 
-// newBenchWith builds one; a box that isn't fresh has no slack at first.
-func newBenchWith(fresh bool, options ...gateway.Option) *bench {
+// newTestbedWith builds one; a box that isn't fresh has no slack at first.
+func newTestbedWith(fresh bool, options ...gateway.Option) *testbed {
 	d, err := emulator.NewDeployment()
 	Expect(err).NotTo(HaveOccurred())
-	kept, log := observer.New(zap.InfoLevel)
-	b := &bench{
+	observed, log := observer.New(zap.InfoLevel)
+	b := &testbed{
 		log:        log,
 		deployment: d,
 		store:      platform.NewStore(netip.MustParseAddrPort(d.StoreAddr)),
@@ -62,11 +62,11 @@
 		MemoryBytes:  64 << 20,
 		FirstProcess: fresh,
 	}, append([]gateway.Option{
-		gateway.WithLog(zap.New(kept)),
+		gateway.WithLog(zap.New(observed)),
 		gateway.WithMover(platform.NewEngines()),
 		gateway.WithSuspensionCheck(func() {
-			if b.look != nil {
-				b.look()
+			if b.checkSuspension != nil {
+				b.checkSuspension()
 			}
 		}),
 	}, options...)...)
@@ -74,8 +74,8 @@
 	Expect(err).NotTo(HaveOccurred())
 	server := &http.Server{Handler: b.gateway}
 	go func() { _ = server.Serve(l) }()
-	b.front = l.Addr().String()
-	b.caller = emulator.NewCaller(b.front, emulator.Key)
+	b.address = l.Addr().String()
+	b.caller = emulator.NewCaller(b.address, emulator.Key)
 	DeferCleanup(func() {
 		_ = server.Close()
 		d.Close()
@@ -84,31 +84,31 @@
 }
 
 // add starts a server and lets the gateway know it.
-func (b *bench) add(id, service string) *emulator.Server {
+func (b *testbed) add(id, service string) *emulator.Server {
 	s, err := b.deployment.Add(id, service)
 	Expect(err).NotTo(HaveOccurred())
 	b.refresh()
 	return s
 }
 
-// ends counts the lines on endpoints that ended under a request.
-func (b *bench) ends(request string) int {
+// crashCount counts the lines on endpoints that ended under a request.
+func (b *testbed) crashCount(request string) int {
 	return b.log.FilterMessage("endpoint crashed during a request").FilterField(zap.String("request", request)).Len()
 }
 
-func (b *bench) refresh() {
+func (b *testbed) refresh() {
 	snapshot, err := b.store.Read(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	b.belief.ApplySnapshot(time.Now(), snapshot)
 }
 
-func (b *bench) call(method, path, id, body string) emulator.Outcome {
+func (b *testbed) call(method, path, id, body string) emulator.Outcome {
 	return b.caller.Do(context.Background(), emulator.Call{
 		ID:       id,
 		Method:   method,
 		Path:     path,
 		Body:     body,
-		Deadline: callerWaits,
+		Deadline: callerTimeout,
 		Forged:   true,
 	})
 }
--- a/gateway/notice.go
+++ b/gateway/throttle.go
@@ -13,19 +13,19 @@
 // HandleNotice takes what an endpoint says of itself in an answer to this box.
 func (g *Gateway) HandleNotice(now time.Time, e routing.Endpoint, n Notice) {
 	if n.Limited {
-		g.counts.limited.Inc()
+		g.counters.limitNotices.Inc()
 	}
 	if n.Leaving {
-		g.counts.leaving.Inc()
+		g.counters.leavingNotices.Inc()
 		// The store may not know yet, or not take the endpoint's word for as long as it is away.
 		g.onLeaving(e.ID)
 	}
 	if n.Backoff > 0 {
-		g.counts.rests.Inc()
-		g.gate.rests.ask(now, e.ID, n.Backoff)
+		g.counters.backoffs.Inc()
+		g.sendGate.backoffs.extend(now, e.ID, n.Backoff)
 		g.log.Info("endpoint asks this box for rest", zap.String("endpoint", e.ID), zap.Duration("for", n.Backoff))
 	}
-	g.gate.limits.named.Answered(now, e.ID, n.Limited, n.Limit)
+	g.sendGate.limits.announced.Answered(now, e.ID, n.Limited, n.Limit)
 }
 
 // Throttle is what an endpoint has asked for.
@@ -39,17 +39,17 @@
 // Throttles gives the endpoints that have asked for fewer requests or for rest, by id.
 func (g *Gateway) Throttles(now time.Time) []Throttle {
 	var all []Throttle
-	resting := g.gate.rests.all(now)
-	for _, w := range g.gate.limits.named.All(now) {
+	remaining := g.sendGate.backoffs.all(now)
+	for _, w := range g.sendGate.limits.announced.All(now) {
 		all = append(all, Throttle{
 			Endpoint:  w.Endpoint,
 			PerSecond: w.PerSecond,
 			Limited:   true,
-			Rest:      resting[w.Endpoint],
+			Rest:      remaining[w.Endpoint],
 		})
-		delete(resting, w.Endpoint)
+		delete(remaining, w.Endpoint)
 	}
-	for endpoint, left := range resting {
+	for endpoint, left := range remaining {
 		all = append(all, Throttle{
 			Endpoint: endpoint,
 			Rest:     left,
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// stallPauses is after how many of the route's pauses between events a
+	// stallFactor is after how many of the route's pauses between events a
 	// stream counts as stalled; stallLeast is the least such time, above what a
 	// busy engine needs between two events.
-	stallPauses = 2
-	stallLeast  = 300 * time.Millisecond
-	// aliveTime is how long an engine may take to say that it is alive; it
+	stallFactor  = 2
+	minStallTime = 300 * time.Millisecond
+	// pingTimeout is how long an engine may take to say that it is alive; it
 	// answers in milliseconds.
-	aliveTime = 250 * time.Millisecond
+	pingTimeout = 250 * time.Millisecond
 )
 
 // watchdog finds out engines that died without a word: when a stream stalls,
@@ -25,30 +25,30 @@
 // dead and its connection is closed, so that the stream can go on from its copy.
 // One that answers keeps the stream: the run was preempted or waits.
 type watchdog struct {
-	passage *passage
-	engine  routing.Endpoint
-	link    *link
-	after   time.Duration
-	timer   *time.Timer
+	proxiedRequest *proxiedRequest
+	engine         routing.Endpoint
+	endpointConn   *endpointConn
+	after          time.Duration
+	timer          *time.Timer
 }
 
-// watch starts a watchdog for a stream with a copy to go on from; without one,
+// startWatchdog starts a watchdog for a stream with a copy to go on from; without one,
 // there is nothing to gain.
-func (p *passage) watch(l *link) *watchdog {
+func (p *proxiedRequest) startWatchdog(l *endpointConn) *watchdog {
 	d := &watchdog{
-		passage: p,
-		engine:  p.endpoint,
-		link:    l,
-		after:   max(stallPauses*p.route.PauseTarget, stallLeast),
+		proxiedRequest: p,
+		engine:         p.endpoint,
+		endpointConn:   l,
+		after:          max(stallFactor*p.route.PauseTarget, minStallTime),
 	}
 	if p.backup.ID != "" && p.route.PauseTarget > 0 {
-		d.timer = time.AfterFunc(d.after, d.stalled)
+		d.timer = time.AfterFunc(d.after, d.onStall)
 	}
 	return d
 }
 
-// fed says that an event came.
-func (d *watchdog) fed() {
+// reset says that an event came.
+func (d *watchdog) reset() {
 	if d.timer != nil {
 		d.timer.Reset(d.after)
 	}
@@ -60,13 +60,13 @@
 	}
 }
 
-func (d *watchdog) stalled() {
-	p := d.passage
-	if !p.gateway.gate.check(time.Now(), d.engine) {
+func (d *watchdog) onStall() {
+	p := d.proxiedRequest
+	if !p.gateway.sendGate.allowLoadQuery(time.Now(), d.engine) {
 		d.timer.Reset(d.after)
 		return
 	}
-	ctx, cancel := context.WithTimeout(p.request.Context(), aliveTime)
+	ctx, cancel := context.WithTimeout(p.request.Context(), pingTimeout)
 	defer cancel()
 	begun := time.Now()
 	err := p.gateway.mover.Ping(ctx, d.engine)
@@ -74,12 +74,12 @@
 		d.timer.Reset(d.after)
 		return
 	}
-	p.note("engine taken for dead",
+	p.logAsync("engine taken for dead",
 		zap.String("endpoint", d.engine.ID),
 		zap.Duration("silent_for", d.after),
 		zap.Duration("asked_for", time.Since(begun)),
 		zap.Error(err),
 	)
 	p.gateway.spread.Failed(time.Now(), d.engine.ID, true)
-	_ = d.link.Close()
+	_ = d.endpointConn.Close()
 }
