--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -18,7 +18,7 @@
 // computeDigest gives the digest of what the request asks for: repeats of it have it too,
 // at any box, although each has an id of its own.
 func (p *proxiedRequest) computeDigest() core.Digest {
-	return core.DigestOf(
+	return core.NewDigest(
 		[]byte(p.customerName()),
 		[]byte(p.request.Method),
 		[]byte(p.request.Host),
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -91,7 +91,7 @@
 	}
 	v := g.evacuation(update.Endpoint)
 	if len(update.Runs) > 0 {
-		found := core.RunsFound{Runs: make([]core.EvacuatedRun, 0, len(update.Runs))}
+		found := core.RunsAdded{Runs: make([]core.EvacuatedRun, 0, len(update.Runs))}
 		for _, r := range update.Runs {
 			found.Runs = append(found.Runs, core.EvacuatedRun(r))
 		}
@@ -102,7 +102,7 @@
 	}
 	for _, id := range update.Over {
 		v.forgetTarget(id)
-		v.step(now, core.RunOver{ID: id})
+		v.step(now, core.RunFinished{ID: id})
 	}
 }
 
@@ -171,7 +171,7 @@
 		update.Runs = append(update.Runs, fleet.MovingRun(r))
 	}
 	g.onEvacuating(update)
-	v.step(time.Now(), core.RunsFound{
+	v.step(time.Now(), core.RunsAdded{
 		Runs: runs,
 		Own:  true,
 	})
@@ -191,7 +191,7 @@
 			if v.timer != nil {
 				v.timer.Stop()
 			}
-			v.timer = time.AfterFunc(time.Until(c.At), func() { v.step(time.Now(), core.TurnPassed{}) })
+			v.timer = time.AfterFunc(time.Until(c.At), func() { v.step(time.Now(), core.WakeTimeReached{}) })
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	if !wasOwn {
 		return
 	}
-	v.step(time.Now(), core.RunOver{ID: p.inbound.ID})
+	v.step(time.Now(), core.RunFinished{ID: p.inbound.ID})
 	v.gateway.onEvacuating(fleet.Evacuating{
 		Endpoint: v.endpoint,
 		Over:     []string{p.inbound.ID},
@@ -232,10 +232,10 @@
 // evacuatedRun describes a run to the plan.
 func (p *proxiedRequest) evacuatedRun() core.EvacuatedRun {
 	return core.EvacuatedRun{
-		ID:      p.inbound.ID,
-		Rank:    p.rank(),
-		Worth:   float64(p.inbound.PromptTokens + p.inbound.MaxTokens),
-		Copying: p.expectedCopyTime(),
+		ID:       p.inbound.ID,
+		Rank:     p.rank(),
+		Value:    float64(p.inbound.PromptTokens + p.inbound.MaxTokens),
+		CopyTime: p.expectedCopyTime(),
 	}
 }
 
--- a/gateway/proxied_request.go
+++ b/gateway/proxied_request.go
@@ -84,7 +84,7 @@
 		return
 	}
 	name := p.service.Name
-	p.gateway.withBudget(name, p.start, func(b *core.SharedBudget) { b.Request(p.start) })
+	p.gateway.withBudget(name, p.start, func(b *core.SharedBudget) { b.CountRequest(p.start) })
 	p.call = core.NewCall(core.CallRules{
 		Repeatable:   p.route.MayRepeat(),
 		Resumable:    p.route.Resumable,
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -87,16 +87,16 @@
 	return available
 }
 
-// Lend gives a part of this box's budget to another one.
-func (g *Gateway) Lend(now time.Time, service string, sends int) int {
+// TransferOut gives a part of this box's budget to another one.
+func (g *Gateway) TransferOut(now time.Time, service string, sends int) int {
 	keep := g.sendsToKeep(service)
 	lent := 0
 	boxes := g.boxes()
-	g.withBudget(service, now, func(b *core.SharedBudget) { lent = b.Lend(now, boxes, sends, keep) })
+	g.withBudget(service, now, func(b *core.SharedBudget) { lent = b.TransferOut(now, boxes, sends, keep) })
 	return lent
 }
 
-// Borrowed takes what another box gave.
-func (g *Gateway) Borrowed(now time.Time, service string, sends int) {
-	g.withBudget(service, now, func(b *core.SharedBudget) { b.Borrow(now, sends) })
+// ReceiveTransfer takes what another box gave.
+func (g *Gateway) ReceiveTransfer(now time.Time, service string, sends int) {
+	g.withBudget(service, now, func(b *core.SharedBudget) { b.TransferIn(now, sends) })
 }
