--- a/gateway/backup.go
+++ b/gateway/backup.go
@@ -29,7 +29,7 @@
 func (p *proxiedRequest) chooseBackup(now time.Time) {
 	p.setBackup(routing.Endpoint{})
 	engine := p.service.Engine
-	if p.gateway.mover == nil || engine == nil || !engine.Backups || p.route.Kind != routing.Streaming {
+	if p.gateway.mover == nil || engine == nil || !engine.SupportsBackups || p.route.Kind != routing.Streaming {
 		return
 	}
 	if !p.gateway.backupsEnabled(now) {
@@ -43,7 +43,7 @@
 	}
 	w := p.demand(nil)
 	w.Zone = p.endpoint.Zone
-	w.Most = maxBackupFill
+	w.MaxMemoryUse = maxBackupFill
 	if e, ok := p.gateway.spread.Pick(now, nearby, w); ok {
 		p.setBackup(e)
 	}
--- a/gateway/cold_limiter.go
+++ b/gateway/cold_limiter.go
@@ -40,7 +40,7 @@
 	if !e.ColdAt(now) {
 		return nil
 	}
-	sends, limited := c.allowance.Sends(s)
+	sends, limited := c.allowance.SendLimit(s)
 	if !limited {
 		return nil
 	}
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -226,7 +226,7 @@
 // backup stays to the last, since its copy is there already.
 func (p *proxiedRequest) mustMove(endpoint string) bool {
 	engine := p.service.Engine
-	return engine != nil && engine.Moves && p.runsAt(endpoint) && !p.isBackupServing()
+	return engine != nil && engine.SupportsMoves && p.runsAt(endpoint) && !p.isBackupServing()
 }
 
 // evacuatedRun describes a run to the plan.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -62,7 +62,7 @@
 		return core.CallUnsent{}
 	}
 	p.announceRun(now, copyName != "")
-	p.gateway.spread.Begin(now, p.endpoint.ID, p.demand(nil).Tokens, p.reportedTokens)
+	p.gateway.spread.BeginSend(now, p.endpoint.ID, p.demand(nil).Tokens, p.reportedTokens)
 	p.overdueTimer = p.startOverdueTimer(l)
 	defer p.overdueTimer.stop()
 	ev := p.exchange(l, copyName)
@@ -70,7 +70,7 @@
 		return p.stream(now)
 	}
 	p.overdueTimer.stop()
-	p.gateway.spread.End(time.Now(), p.endpoint.ID, now, p.demand(nil).Tokens)
+	p.gateway.spread.EndSend(time.Now(), p.endpoint.ID, now, p.demand(nil).Tokens)
 	p.announceRunEnd(p.endpoint.ID)
 	return ev
 }
@@ -111,7 +111,7 @@
 		return p.handleNotRun(a)
 	}
 	if a.headers.Load != nil {
-		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
+		p.gateway.spread.ObserveLoad(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
 	}
 	if invalidReason := a.invalidReason(); invalidReason != "" {
 		a.close()
@@ -228,7 +228,7 @@
 	_, err := io.Copy(io.Discard, io.LimitReader(a.head.Body, maxBufferedAnswer))
 	a.release(p, err == nil)
 	if a.headers.Load != nil {
-		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
+		p.gateway.spread.ObserveLoad(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
 	}
 	p.gateway.spread.Failed(time.Now(), p.endpoint.ID, status == http.StatusMisdirectedRequest)
 	p.logDecision("endpoint refused", zap.String("endpoint", p.endpoint.ID), zap.Int("status", status))
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -124,7 +124,7 @@
 	})
 	w := p.demand(nil)
 	w.Zone = source.Zone
-	w.Most = maxMoveFill
+	w.MaxMemoryUse = maxMoveFill
 	for _, fits := range []func(routing.Endpoint) bool{
 		func(e routing.Endpoint) bool { return e.Zone == source.Zone && !busy[e.ID] },
 		func(e routing.Endpoint) bool { return !busy[e.ID] },
@@ -134,7 +134,7 @@
 			return e, true
 		}
 	}
-	w.Most = 0
+	w.MaxMemoryUse = 0
 	return g.spread.Pick(time.Now(), all, w)
 }
 
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -17,7 +17,7 @@
 	if copied {
 		p.reportedTokens = p.heldTokens()
 	} else {
-		p.queuedTokens = p.gateway.spread.Placed(now, p.endpoint.ID, p.reportedTokens)
+		p.queuedTokens = p.gateway.spread.AddPrompt(now, p.endpoint.ID, p.reportedTokens)
 	}
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: p.endpoint.ID,
@@ -31,11 +31,11 @@
 	if p.reportedTokens == 0 {
 		return
 	}
-	p.gateway.spread.Over(time.Now(), endpoint, p.reportedTokens, p.heldTokens())
+	p.gateway.spread.RunEnded(time.Now(), endpoint, p.reportedTokens, p.heldTokens())
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: endpoint,
 		Tokens:   p.reportedTokens,
-		Over:     true,
+		RunEnded: true,
 		Held:     p.heldTokens(),
 	})
 }
--- a/gateway/proxied_request.go
+++ b/gateway/proxied_request.go
@@ -29,7 +29,7 @@
 	route          *routing.Route
 	service        *routing.Service
 	customer       *routing.Customer
-	allowedRegions routing.Homes
+	allowedRegions routing.AllowedRegions
 	body           []byte
 	contentDigest  core.Digest // of what the request asks for
 	reservedBytes  int64
--- a/gateway/send_gate.go
+++ b/gateway/send_gate.go
@@ -127,7 +127,7 @@
 
 func (p *proxiedRequest) allowedEndpoints(fits func(routing.Endpoint) bool) []routing.Endpoint {
 	all := p.gateway.view().Serving(p.service.Name)
-	matches := func(e routing.Endpoint) bool { return p.allowedRegions.Allow(e.Zone) && fits(e) }
+	matches := func(e routing.Endpoint) bool { return p.allowedRegions.AllowsZone(e.Zone) && fits(e) }
 	if !slices.ContainsFunc(all, func(e routing.Endpoint) bool { return !matches(e) }) {
 		return all
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -74,7 +74,7 @@
 		})
 	}
 	defer func() {
-		p.gateway.spread.End(time.Now(), runEndpoint, sent, tokens)
+		p.gateway.spread.EndSend(time.Now(), runEndpoint, sent, tokens)
 		p.announceRunEnd(runEndpoint)
 	}()
 	p.gateway.registerStream(p)
@@ -121,7 +121,7 @@
 	}
 	now := time.Now()
 	p.recordPacing(now)
-	p.gateway.spread.Heard(now, p.endpoint.ID)
+	p.gateway.spread.RecordActivity(now, p.endpoint.ID)
 	p.lastEventID = e.id
 	p.events++
 	p.sharedEvents.Store(int64(p.events))
@@ -138,7 +138,7 @@
 		p.gateway.usualAnswer.learn(p.route.Name, now.Sub(p.placedAt))
 		p.firstEventDelay = now.Sub(p.start)
 		p.firstEventAt = now
-		p.gateway.spread.Started(p.queuedTokens, now.Sub(p.placedAt))
+		p.gateway.spread.ObservePrefill(p.queuedTokens, now.Sub(p.placedAt))
 	} else if gap := now.Sub(p.lastEventAt); gap > p.longestPause {
 		p.longestPause = gap
 		p.longestPauseAfter = p.lastEventID
@@ -152,7 +152,7 @@
 		p.gateway.eventIntervals.learn(p.service.Name, p.lastEventAt.Sub(p.firstEventAt)/time.Duration(p.events-1))
 	}
 	if engine := p.service.Engine; engine != nil && p.inbound.PromptTokens > 0 {
-		p.gateway.spread.Learn(p.inbound.PromptTokens, p.events*max(engine.EventTokens, 1))
+		p.gateway.spread.ObserveLengths(p.inbound.PromptTokens, p.events*max(engine.EventTokens, 1))
 	}
 }
 
