--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -64,10 +64,10 @@
 	a.release(p, true)
 	failed := a.head.StatusCode >= http.StatusInternalServerError
 	if failed {
-		p.gateway.spread.Failed(time.Now(), p.endpoint.ID, false)
+		p.gateway.balancer.Failed(time.Now(), p.endpoint.ID, false)
 	} else {
 		p.recordSuccess()
-		p.gateway.spread.Succeeded(time.Now(), p.endpoint.ID, time.Since(p.placedAt))
+		p.gateway.balancer.Succeeded(time.Now(), p.endpoint.ID, time.Since(p.placedAt))
 		p.gateway.usualAnswer.learn(p.route.Name, time.Since(p.placedAt))
 	}
 	return core.CallAnswered{Failed: failed}
--- a/gateway/backup.go
+++ b/gateway/backup.go
@@ -43,7 +43,7 @@
 	w := p.demand(nil)
 	w.Zone = p.endpoint.Zone
 	w.MaxMemoryUse = maxBackupFill
-	if e, ok := p.gateway.spread.Pick(now, nearby, w); ok {
+	if e, ok := p.gateway.balancer.Pick(now, nearby, w); ok {
 		p.setBackup(e)
 	}
 }
--- a/gateway/choose_endpoint.go
+++ b/gateway/choose_endpoint.go
@@ -67,12 +67,12 @@
 // endpoints without a send left, it picks among endpoints without send limits only.
 func (p *proxiedRequest) pickEndpoint(now time.Time) (routing.Endpoint, bool) {
 	for range maxReserveAttempts {
-		e, ok := p.gateway.spread.Pick(now, p.candidates(now), p.demand(p.tried))
+		e, ok := p.gateway.balancer.Pick(now, p.candidates(now), p.demand(p.tried))
 		if !ok || p.gateway.sendGate.reserve(now, p.service, e) {
 			return e, ok
 		}
 	}
-	return p.gateway.spread.Pick(now, p.unlimitedEndpoints(now), p.demand(p.tried))
+	return p.gateway.balancer.Pick(now, p.unlimitedEndpoints(now), p.demand(p.tried))
 }
 
 // estimateFields returns log fields with the estimates that the choice of an engine used.
@@ -80,7 +80,7 @@
 	if p.service.Engine == nil {
 		return nil
 	}
-	seen := p.gateway.spread.Estimate(now, e, p.demand(nil))
+	seen := p.gateway.balancer.Estimate(now, e, p.demand(nil))
 	return []zap.Field{
 		zap.Float64("full", math.Round(seen.MemoryUse*100)/100),
 		zap.Duration("ahead", seen.PrefillDelay.Round(time.Millisecond)),
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -29,7 +29,7 @@
 		return o
 	}
 
-	It("with pipelined requests gets the answers in order, each its own", func() {
+	It("with pipelined requests gets each request's own answer, in order", func() {
 		Expect(c.Say(emulator.RequestText("p1", "one") + emulator.RequestText("p2", "two") + emulator.RequestText("p3", "three"))).To(Succeed())
 		for i, want := range []string{"one", "two", "three"} {
 			o := answer()
@@ -40,9 +40,9 @@
 		Expect(s.Runs()).To(HaveLen(3))
 	})
 
-	// A caller that closes its connection looks the same at first, and its runs
-	// must stop within half a second.
-	It("that is half closed after the request counts as closed", func() {
+	// A half-closed connection can't be told from a closed one at first, and the runs of
+	// a caller that left must stop quickly.
+	It("that is half-closed after the request is treated as closed", func() {
 		s.WorkTime = 5 * time.Second
 		Expect(c.Say(emulator.RequestText("h1", "body"))).To(Succeed())
 		Eventually(s.Runs).Should(HaveLen(1))
@@ -53,7 +53,7 @@
 		Eventually(b.gateway.Active).Should(BeZero())
 	})
 
-	It("that asks to be closed is closed after its answer and not before", func() {
+	It("with 'Connection: close' is closed after its answer and not before", func() {
 		Expect(c.Say(emulator.RequestText("k1", "body", "Connection: close"))).To(Succeed())
 		Expect(answer().Status).To(Equal(http.StatusOK))
 		rest, err := c.Rest()
@@ -61,7 +61,7 @@
 		Expect(rest).To(BeEmpty())
 	})
 
-	It("with a body shorter than its length never has it run", func() {
+	It("that ends before the declared length of the body does not get the request run", func() {
 		text := emulator.RequestText("s1", "whole body")
 		Expect(c.Say(text[:len(text)-4])).To(Succeed())
 		Expect(c.HalfClose()).To(Succeed())
@@ -70,7 +70,7 @@
 		Consistently(s.Runs).WithTimeout(200 * time.Millisecond).Should(BeEmpty())
 	})
 
-	DescribeTable("never has a request run that hides in the body of another",
+	DescribeTable("does not get a request run that is smuggled in another one's body",
 		func(extra string) {
 			Expect(c.Say(emulator.RequestText("outer", "0\r\n\r\n"+emulator.RequestText("inner", "x"), extra))).To(Succeed())
 			_, err := c.Rest()
@@ -79,7 +79,7 @@
 				Expect(run.ID).To(Equal("outer"))
 			}
 		},
-		Entry("with two lengths", "Content-Length: 3"),
-		Entry("with a length beside chunks", "Transfer-Encoding: chunked"),
+		Entry("with two Content-Length headers", "Content-Length: 3"),
+		Entry("with Content-Length and Transfer-Encoding", "Transfer-Encoding: chunked"),
 	)
 })
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -74,7 +74,7 @@
 	if !p.mayHaveCrashed(r) {
 		return
 	}
-	heardSince := func(at time.Time) bool { return p.gateway.spread.ActiveSince(at, r.endpoint.ID) }
+	heardSince := func(at time.Time) bool { return p.gateway.balancer.ActiveSince(at, r.endpoint.ID) }
 	if presence, crashed := p.gateway.presences.Ended(r.endpoint.ID, r.endpoint.Address, heardSince); crashed {
 		p.recordCrash(r, presence)
 	}
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -17,8 +17,7 @@
 	var b *testbed
 	BeforeEach(func() { b = newTestbed() })
 
-	// serve keeps some endpoints of a service there; each one that ended has another in
-	// its place.
+	// keepServing starts servers until count are running, replacing those that crashed.
 	endpoints := 0
 	var serving []*emulator.Server
 	keepServing := func(service string, count int) {
@@ -43,7 +42,7 @@
 		})
 	}
 
-	It("that ends each endpoint are sent on three times, and not run from then on", func() {
+	It("that crash every endpoint are sent three times and then quarantined", func() {
 		for n := range 8 {
 			keepServing(emulator.Model, 3)
 			o := stream(fmt.Sprintf("r%d", n), deadly)
@@ -58,7 +57,7 @@
 		Expect(b.deployment.Runs()).To(HaveLen(3))
 	})
 
-	It("that ends each endpoint are not sent to another one by the box either, once three ended", func() {
+	It("that crash every endpoint are not retried by the box either once three crashed", func() {
 		for n := range 6 {
 			keepServing(emulator.Plain, 3)
 			b.call(http.MethodPost, emulator.RepeatPath, fmt.Sprintf("r%d", n), deadly)
@@ -66,8 +65,8 @@
 		Expect(b.deployment.Ended()).To(HaveLen(3))
 	})
 
-	// Callers leave a silent stream before its own time is over.
-	It("that silence each endpoint are not run either, once three fell silent", func() {
+	// The caller of a silent stream leaves before the request's deadline.
+	It("that make every endpoint fall silent are quarantined once three did", func() {
 		for n := range 3 {
 			keepServing(emulator.Model, 3)
 			Expect(stream(fmt.Sprintf("well-%d", n), "another prompt").Whole).To(BeTrue())
@@ -98,7 +97,7 @@
 		Expect(b.deployment.Ended()).To(HaveLen(3))
 	})
 
-	It("of another customer, path or body are served meanwhile", func() {
+	It("are quarantined without those of another path or body", func() {
 		for n := range 4 {
 			keepServing(emulator.Model, 3)
 			stream(fmt.Sprintf("r%d", n), deadly)
@@ -114,7 +113,7 @@
 		}).Whole).To(BeTrue())
 	})
 
-	DescribeTable("whose endpoint stays are sent on each time after",
+	DescribeTable("that fail without a crash are sent every time, after",
 		func(fault emulator.Fault) {
 			s := b.add("i-1", emulator.Plain)
 			for n := range 5 {
@@ -123,12 +122,12 @@
 			}
 			Expect(s.Runs()).To(HaveLen(5))
 		},
-		Entry("a reset", emulator.Reset),
-		Entry("an answer that breaks off", emulator.Cut),
-		Entry("bytes that are no answer", emulator.Garble),
+		Entry("a connection reset", emulator.Reset),
+		Entry("a truncated answer", emulator.Cut),
+		Entry("a malformed answer", emulator.Garble),
 	)
 
-	It("that a crowded endpoint closes the connection of say nothing against them", func() {
+	It("whose connection an overloaded endpoint closes are not counted as crashes", func() {
 		s := b.add("i-1", emulator.Model)
 		s.Events, s.EventGap = 60, 20*time.Millisecond
 		done := make(chan emulator.Outcome, 1)
@@ -140,9 +139,9 @@
 		Expect(b.crashCount("short")).To(BeZero())
 	})
 
-	// A planned end says nothing against what ran there, such as a long stream that goes
-	// on at one engine after the other while all are replaced.
-	It("that an endpoint cuts as it leaves are sent on each time", func() {
+	// Guards against quarantining long streams that continue from one engine to the next
+	// while all engines are replaced.
+	It("whose endpoint leaves as planned are sent every time", func() {
 		for n := range 5 {
 			s := b.add(fmt.Sprintf("i-%d", n), emulator.Model)
 			s.Events, s.EventGap = 200, 20*time.Millisecond
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -45,7 +45,7 @@
 	l, err := p.gateway.pool.get(ctx, now, p.endpoint, maxIdle, p.chooseConnectTimeout(copyName))
 	if err != nil {
 		p.gateway.sendGate.release(p.endpoint)
-		p.gateway.spread.Failed(time.Now(), p.endpoint.ID, true)
+		p.gateway.balancer.Failed(time.Now(), p.endpoint.ID, true)
 		p.gateway.onPlaced(fleet.Placement{
 			Endpoint: p.endpoint.ID,
 			Overdue:  true,
@@ -62,7 +62,7 @@
 		return core.CallUnsent{}
 	}
 	p.announceRun(now, copyName != "")
-	p.gateway.spread.BeginSend(now, p.endpoint.ID, p.demand(nil).Tokens, p.reportedTokens)
+	p.gateway.balancer.BeginSend(now, p.endpoint.ID, p.demand(nil).Tokens, p.reportedTokens)
 	p.overdueTimer = p.startOverdueTimer(l)
 	defer p.overdueTimer.stop()
 	ev := p.exchange(l, copyName)
@@ -70,7 +70,7 @@
 		return p.stream(now)
 	}
 	p.overdueTimer.stop()
-	p.gateway.spread.EndSend(time.Now(), p.endpoint.ID, now, p.demand(nil).Tokens)
+	p.gateway.balancer.EndSend(time.Now(), p.endpoint.ID, now, p.demand(nil).Tokens)
 	p.announceRunEnd(p.endpoint.ID)
 	return ev
 }
@@ -111,7 +111,7 @@
 		return p.handleNotRun(a)
 	}
 	if a.headers.Load != nil {
-		p.gateway.spread.ObserveLoad(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
+		p.gateway.balancer.ObserveLoad(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
 	}
 	if invalidReason := a.invalidReason(); invalidReason != "" {
 		a.close()
@@ -130,7 +130,7 @@
 	terminalEvent := p.terminalEvent()
 	silent := engine.TimedOut(err)
 	if _, left := terminalEvent.(core.CallAbandoned); !left {
-		p.gateway.spread.Failed(time.Now(), p.endpoint.ID, silent)
+		p.gateway.balancer.Failed(time.Now(), p.endpoint.ID, silent)
 	}
 	p.logDecision("send failed",
 		zap.String("endpoint", p.endpoint.ID),
@@ -229,9 +229,9 @@
 	_, err := io.Copy(io.Discard, io.LimitReader(a.head.Body, maxBufferedAnswer))
 	a.release(p, err == nil)
 	if a.headers.Load != nil {
-		p.gateway.spread.ObserveLoad(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
+		p.gateway.balancer.ObserveLoad(time.Now(), p.endpoint.ID, a.headers.Load.Running+a.headers.Load.Waiting)
 	}
-	p.gateway.spread.Failed(time.Now(), p.endpoint.ID, status == http.StatusMisdirectedRequest)
+	p.gateway.balancer.Failed(time.Now(), p.endpoint.ID, status == http.StatusMisdirectedRequest)
 	p.logDecision("endpoint refused", zap.String("endpoint", p.endpoint.ID), zap.Int("status", status))
 	return core.CallRefused{}
 }
--- a/gateway/faults_test.go
+++ b/gateway/faults_test.go
@@ -15,7 +15,7 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-var _ = Describe("a call that may run once", func() {
+var _ = Describe("a call that isn't repeatable", func() {
 	var b *testbed
 	var s *emulator.Server
 	BeforeEach(func() {
@@ -26,7 +26,7 @@
 		return b.call(http.MethodPost, emulator.CallPath+"x?y=1", id, "body")
 	}
 
-	It("comes back whole, signed, with the body passed on and the key kept back", func() {
+	It("gets the signed answer; its body is passed on and its key is not", func() {
 		o := post("a1")
 		Expect(o.Status).To(Equal(http.StatusOK))
 		Expect(o.Fault).To(BeEmpty())
@@ -37,22 +37,22 @@
 		Expect(run.Priority).To(Equal("1"))
 	})
 
-	DescribeTable("gets a final answer that promises nothing after",
+	DescribeTable("is answered with 502 and not retried after",
 		func(fault emulator.Fault) {
 			s.SetFault(fault, 1)
 			o := post("c1")
 			Expect(o.Status).To(Equal(http.StatusBadGateway))
 			Expect(s.Runs()).To(HaveLen(1))
 		},
-		Entry("an answer that breaks off", emulator.Cut),
-		Entry("a reset", emulator.Reset),
-		Entry("bytes that are no answer", emulator.Garble),
+		Entry("a truncated answer", emulator.Cut),
+		Entry("a connection reset", emulator.Reset),
+		Entry("a malformed answer", emulator.Garble),
 		Entry("a success without a signature", emulator.Unsigned),
-		Entry("a body with an encoding", emulator.Encoded),
-		Entry("a refusal that doesn't say not run", emulator.Lies),
+		Entry("a body with a content encoding", emulator.Encoded),
+		Entry("a refusal without the not-run mark", emulator.Lies),
 	)
 
-	It("is told not run with a time to come back when the only endpoint refuses it", func() {
+	It("is answered with 503 and Retry-After when the only endpoint refuses it", func() {
 		s.SetFault(emulator.Shed, -1)
 		o := post("d1")
 		Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
@@ -60,7 +60,7 @@
 		Expect(s.Runs()).To(BeEmpty())
 	})
 
-	It("goes to another endpoint when one refuses it or can't be reached", func() {
+	It("is sent to another endpoint when one refuses it or is unreachable", func() {
 		s.SetFault(emulator.Elsewhere, -1)
 		b.add("i-2", emulator.Plain)
 		for i := range 6 {
@@ -72,13 +72,13 @@
 		}
 	})
 
-	It("is ended at its deadline when the endpoint is silent, as unknown", func() {
+	It("is answered with 504 at its deadline when the endpoint is silent", func() {
 		s.SetFault(emulator.Mute, 1)
 		o := post("g1")
 		Expect(o.Status).To(Equal(http.StatusGatewayTimeout))
 	})
 
-	It("gets its own answer past an answer too many, and the connection isn't used again", func() {
+	It("gets its own answer when an extra one precedes it, and the connection is not reused", func() {
 		Expect(post("h1").Status).To(Equal(http.StatusOK))
 		s.SetFault(emulator.Extra, 1)
 		o := post("h2")
@@ -88,7 +88,7 @@
 		Expect(o.Fault).To(BeEmpty())
 	})
 
-	It("is delivered when more bytes follow its answer, and they reach nobody", func() {
+	It("is answered when bytes follow its answer, and these reach no caller", func() {
 		s.SetFault(emulator.Trailing, 1)
 		Expect(post("i1").Fault).To(BeEmpty())
 		for i := range 4 {
@@ -98,14 +98,14 @@
 		}
 	})
 
-	It("is delivered when its answer has no length", func() {
+	It("is answered when the answer has no length", func() {
 		s.SetFault(emulator.Unframed, 1)
 		o := post("k1")
 		Expect(o.Status).To(Equal(http.StatusOK))
 		Expect(o.Fault).To(BeEmpty())
 	})
 
-	It("is delivered when the answer comes before a long body was read, and the connection isn't used again", func() {
+	It("is answered when the answer comes before a long body was read, and the connection is not reused", func() {
 		s.SetFault(emulator.Early, 1)
 		long := strings.Repeat("x", 900<<10)
 		o := b.call(http.MethodPost, emulator.CallPath, "l1", long)
@@ -114,7 +114,7 @@
 		Expect(post("l2").Fault).To(BeEmpty())
 	})
 
-	It("keeps one connection for one after the other", func() {
+	It("reuses the connection of the one before", func() {
 		for i := range 5 {
 			Expect(post(fmt.Sprintf("m%d", i)).Status).To(Equal(http.StatusOK))
 		}
@@ -122,10 +122,10 @@
 	})
 })
 
-var _ = Describe("bodies in chunks", func() {
-	// Each took the largest permitted size from the box's memory for bodies, so
-	// that a handful at once were refused.
-	It("take memory as they come, and many at once are served", func() {
+var _ = Describe("chunked bodies", func() {
+	// Guards against reserving the largest permitted size for each: a few at once would
+	// exhaust the memory for bodies.
+	It("reserve memory as they are read, so that many at once are served", func() {
 		b := newTestbed()
 		s := b.add("i-1", emulator.Plain)
 		s.WorkTime = 200 * time.Millisecond
@@ -151,7 +151,8 @@
 	})
 })
 
-// unresponsiveAddress gives an address where connections hang: its queue of new ones is full.
+// unresponsiveAddress returns an address whose accept queue is full, so that connecting to it
+// hangs.
 func unresponsiveAddress() string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	Expect(err).NotTo(HaveOccurred())
@@ -168,12 +169,12 @@
 		}
 		DeferCleanup(func() { _ = c.Close() })
 	}
-	Fail("the queue of new connections doesn't fill")
+	Fail("the accept queue does not fill up")
 	return ""
 }
 
-var _ = Describe("an endpoint that takes no connection", func() {
-	It("holds no request up that another one can take", func() {
+var _ = Describe("an endpoint that accepts no connections", func() {
+	It("does not delay requests that another endpoint can take", func() {
 		b := newTestbed()
 		b.add("s-1", emulator.Plain)
 		gone, err := emulator.NewServer("s-2", "127.0.0.1:0")
@@ -192,13 +193,13 @@
 			})
 			Expect(o.Status).To(Equal(http.StatusOK))
 		}
-		// Each try there took a second and used the whole deadline.
+		// Without the short connect timeout, each try there would use the whole deadline.
 		Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
 	})
 })
 
 var _ = Describe("a repeatable call", func() {
-	It("is tried at a second endpoint after a failure, and not at a third", func() {
+	It("is sent to a second endpoint after a failure, and not to a third", func() {
 		b := newTestbed()
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
 			b.add(id, emulator.Plain).SetFault(emulator.Fails, -1)
@@ -210,8 +211,8 @@
 	})
 })
 
-var _ = Describe("a request that can't be sent", func() {
-	DescribeTable("is answered at once, and nothing reaches an endpoint",
+var _ = Describe("a request that can't be forwarded", func() {
+	DescribeTable("is refused at once, and nothing reaches an endpoint",
 		func(path, key string, body string, status int) {
 			b := newTestbed()
 			s := b.add("i-1", emulator.Plain)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,7 +40,7 @@
 	borrowSends        func(ctx context.Context, service string)
 	view               func() *fleet.View
 	boxes              func() int
-	spread             *admission.Balancer
+	balancer           *admission.Balancer
 	sendGate           *sendGate
 	pool               *Pool
 	log                *zap.Logger
@@ -93,8 +93,8 @@
 	return func(g *Gateway) { g.mover = m }
 }
 
-// WithBorrow sets the function that asks other boxes for part of their retry budgets when a
-// stream needs a send and this box's part is spent. Borrowed receives what they grant.
+// WithBorrow sets the function that requests sends from other boxes' retry budgets when a
+// stream needs one and this box's part is spent. ReceiveTransfer adds what they grant.
 func WithBorrow(borrowSends func(ctx context.Context, service string)) Option {
 	return func(g *Gateway) { g.borrowSends = borrowSends }
 }
@@ -138,7 +138,7 @@
 		onPlaced:       func(fleet.Placement) {},
 		onEvacuating:   func(fleet.Evacuating) {},
 		onLeaving:      func(string) {},
-		spread:         admission.NewBalancer(zone, rand.Float64),
+		balancer:       admission.NewBalancer(zone, rand.Float64),
 		sendGate:       newSendGate(rules.Cold, fleet.NewLimits(zap.NewNop())),
 		log:            zap.NewNop(),
 		counters:       newCounters(),
@@ -197,10 +197,10 @@
 }
 
 // SetShare sets the engines that the box's group prefers.
-func (g *Gateway) SetShare(share map[string]bool) { g.spread.SetShare(share) }
+func (g *Gateway) SetShare(share map[string]bool) { g.balancer.SetShare(share) }
 
 // HandleReport handles an engine's load report, made at the given time.
-func (g *Gateway) HandleReport(at time.Time, r routing.Report) { g.spread.Memory(at, r) }
+func (g *Gateway) HandleReport(at time.Time, r routing.Report) { g.balancer.Memory(at, r) }
 
 // HandlePlacement handles a placement update from another box.
 func (g *Gateway) HandlePlacement(now time.Time, p fleet.Placement) {
@@ -208,13 +208,13 @@
 	case p.Broke:
 		g.recordUnannouncedBreak(now)
 	case p.Overdue:
-		g.spread.Failed(now, p.Endpoint, false)
+		g.balancer.Failed(now, p.Endpoint, false)
 	case p.RunEnded:
-		g.spread.RunEnded(now, p.Endpoint, p.Tokens, p.Held)
+		g.balancer.RunEnded(now, p.Endpoint, p.Tokens, p.Held)
 	case p.Copy:
-		g.spread.AddRemoteCopy(now, p.Endpoint, p.Tokens)
+		g.balancer.AddRemoteCopy(now, p.Endpoint, p.Tokens)
 	default:
-		g.spread.AddRemotePrompt(now, p.Endpoint, p.Tokens)
+		g.balancer.AddRemotePrompt(now, p.Endpoint, p.Tokens)
 	}
 }
 
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -12,36 +12,34 @@
 )
 
 const (
-	// moveTimeout bounds one copy: several queue on an engine's link, each takes
-	// some tenths of a second, and an engine that leaves has about two.
+	// moveTimeout bounds one copy, including its wait for other copies on the engine's link.
 	moveTimeout = 2500 * time.Millisecond
-	// maxCopyPhase is how long a run goes on beside its copies; an engine that is
-	// taken away at short notice is gone after a second and a half.
+	// maxCopyPhase is how long a run is copied while it continues; an engine with the
+	// shortest notice is gone after 1.5 s.
 	maxCopyPhase = 900 * time.Millisecond
-	// copyTimeMargin is how much longer than on a free link a copy may take that
-	// waited for no other: two calls on the way, and a short move before it.
+	// copyTimeMargin is how much longer than expected on an idle link a copy may take to
+	// count as one that did not wait for others.
 	copyTimeMargin = 80 * time.Millisecond
-	// lastCopyTimeout is how long a stopped run waits for its last copy: its caller sees
-	// a longer wait as a stutter.
+	// lastCopyTimeout is how long a stopped run waits for its last copy; the caller notices
+	// a longer wait.
 	lastCopyTimeout = 40 * time.Millisecond
-	// maxMoveFill is the fullest that an engine's memory may get by a move as long as
-	// there is another one: a target without room turns the move away.
+	// maxMoveFill is the highest fill of an engine's memory after a move to it, unless all
+	// engines are fuller; engines without room refuse moves.
 	maxMoveFill = 0.95
-	// moveRetryDelay is the pause before a move is asked for again: for a run that
-	// still waits at its engine, or when no engine had room. Runs end at most
-	// engines some times a second.
+	// moveRetryDelay is the delay before a move is tried again whose run was still waiting
+	// at its engine, or for which no engine had room.
 	moveRetryDelay = 80 * time.Millisecond
 )
 
-// move copies the run while it goes on, stops it, copies the rest, and leaves
-// the copy's name for the stream's reader. What fails is tried again with another
-// target; true says that it is worth another turn, later.
+// move copies the run while it continues, stops it, copies the rest, and sets the copy's
+// name in the handover that the stream's reader waits for. A failed move is tried again with
+// another target. It returns whether another turn later may succeed.
 func (p *proxiedRequest) move(source string) bool {
 	if !p.beginMove() {
 		return false
 	}
 	defer p.endMove()
-	// A run that was stopped goes on by a send; without one its stream would be cut.
+	// A stopped run needs a send to continue; without one its stream would be cut.
 	if !p.ensureRetryBudget(p.service.Name) {
 		return true
 	}
@@ -81,15 +79,15 @@
 	return false
 }
 
-// currentEndpoint gives the endpoint that the run is at.
+// currentEndpoint returns the endpoint that runs the request; it is safe for concurrent use.
 func (p *proxiedRequest) currentEndpoint() routing.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoint
 }
 
-// beginMove tells whether nobody moves the run yet: an engine that leaves is told
-// of more than once.
+// beginMove marks the run as moving and reports false if it already is: several events may
+// start a move of the same run.
 func (p *proxiedRequest) beginMove() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,16 +104,16 @@
 	p.isMoving = false
 }
 
-// runsAt tells whether the run is still at an engine.
+// runsAt reports whether the run is at the given endpoint and not stopped.
 func (p *proxiedRequest) runsAt(endpoint string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.isFinished && p.handover == nil && p.endpoint.ID == endpoint
 }
 
-// chooseMoveTarget chooses where a run goes: within its zone, since a copy to another
-// one takes twice as long, and to an engine that no other copy is sent to, since it
-// would wait there until its own engine is gone.
+// chooseMoveTarget chooses the engine that a run is moved to. It prefers the run's zone,
+// since copies between zones are slower, and engines that receive no other copy, which the
+// run would have to wait for.
 func (p *proxiedRequest) chooseMoveTarget(source routing.Endpoint, withoutRoom map[string]bool) (routing.Endpoint, bool) {
 	g := p.gateway
 	busy := g.busyTargets(p.inbound.ID)
@@ -130,12 +128,12 @@
 		func(e routing.Endpoint) bool { return !busy[e.ID] },
 		func(e routing.Endpoint) bool { return e.Zone == source.Zone },
 	} {
-		if e, ok := g.spread.Pick(time.Now(), filterEndpoints(all, fits), w); ok {
+		if e, ok := g.balancer.Pick(time.Now(), filterEndpoints(all, fits), w); ok {
 			return e, true
 		}
 	}
 	w.MaxMemoryUse = 0
-	return g.spread.Pick(time.Now(), all, w)
+	return g.balancer.Pick(time.Now(), all, w)
 }
 
 func filterEndpoints(all []routing.Endpoint, fits func(routing.Endpoint) bool) []routing.Endpoint {
@@ -148,10 +146,10 @@
 	return some
 }
 
-// errSourceThrottled reports that the engine which runs a request takes no call of this box now.
-var errSourceThrottled = errors.New("the engine takes no more calls now; ask for the move later")
+// errSourceThrottled reports that the run's engine takes no call from this box now.
+var errSourceThrottled = errors.New("send limit of the run's engine reached; try the move later")
 
-// requestMove sends one call for the run's move, if the engine that runs it takes one.
+// requestMove requests a copy of the run, if its engine takes a call now.
 func (p *proxiedRequest) requestMove(ctx context.Context, m Move) (MoveResult, error) {
 	if !p.gateway.sendGate.allowMove(time.Now(), m.Source) {
 		return MoveResult{}, errSourceThrottled
@@ -159,8 +157,8 @@
 	return p.gateway.mover.Move(ctx, m)
 }
 
-// copyWhileRunning copies while the run goes on, until a copy waited for no other: then
-// the last one, for which the run stops, is short too.
+// copyWhileRunning copies the run, repeatedly until a copy did not have to wait for others:
+// then the last copy, for which the run stops, is short too.
 func (p *proxiedRequest) copyWhileRunning(ctx context.Context, m Move) (MoveResult, error) {
 	until := time.Now().Add(maxCopyPhase)
 	expected := p.expectedCopyTime()
@@ -179,15 +177,15 @@
 			return moved, nil
 		}
 		last = moved
-		expected = 0 // only what is new is copied
+		expected = 0 // the next copy is only of what was added since
 	}
 }
 
-// moveTo moves the run to one target; an error says that it goes on where it is.
+// moveTo moves the run to one target. After an error the run continues where it is.
 func (p *proxiedRequest) moveTo(ctx context.Context, source, target routing.Endpoint) error {
 	tokens := p.demand(nil).Tokens
-	p.gateway.spread.Copy(time.Now(), target.ID, tokens)
-	defer p.gateway.spread.Copy(time.Now(), target.ID, -tokens)
+	p.gateway.balancer.Copy(time.Now(), target.ID, tokens)
+	defer p.gateway.balancer.Copy(time.Now(), target.ID, -tokens)
 	m := Move{
 		Request: p.inbound.ID,
 		Source:  source,
@@ -214,7 +212,7 @@
 		h.target, h.copy = p.fallbackCopy(source, target, moved, earlier)
 	}
 	if errors.Is(err, errSourceThrottled) {
-		h.copy = earlier.Copy // the run goes on until its engine ends
+		h.copy = earlier.Copy // the run continues at its engine until that ends
 	}
 	p.logAsync("moved",
 		zap.String("endpoint", source.ID),
@@ -227,8 +225,8 @@
 	return nil
 }
 
-// fallbackCopy gives where a run goes on that stopped and whose memory stayed: where it was,
-// or from the copy before if its zone is drained, since that would be a new request there.
+// fallbackCopy returns where a stopped run whose last copy failed continues: at its source,
+// or from its earlier copy if the source's zone is drained and takes no new requests.
 func (p *proxiedRequest) fallbackCopy(source, target routing.Endpoint, moved, earlier MoveResult) (routing.Endpoint, string) {
 	if p.gateway.view().Drained(source.Zone) {
 		return target, earlier.Copy
@@ -236,9 +234,9 @@
 	return source, moved.Copy
 }
 
-// stopAndCopy stops the run and copies what it made since the copy before. Where
-// that waits for another copy, the stream goes on from the copy before, and the
-// target reads the last events anew.
+// stopAndCopy stops the run and copies what was added since the earlier copy. If that takes
+// longer than lastCopyTimeout, it returns the earlier copy, and the target computes the last
+// events again.
 func (p *proxiedRequest) stopAndCopy(ctx context.Context, m Move, earlier MoveResult) (MoveResult, error) {
 	type result struct {
 		moved MoveResult
--- a/gateway/mover.go
+++ b/gateway/mover.go
@@ -7,49 +7,48 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Move asks an engine to copy a run's memory to another one.
+// Move is a request to an engine to copy a run's memory to another one.
 type Move struct {
-	Request string // the id of the request that runs
+	Request string // the request's ID
 	Source  routing.Endpoint
 	Target  routing.Endpoint
-	Last    bool // the run stops before the copy
+	Last    bool // stop the run before the copy
 }
 
-// MoveResult is the answer to a move.
+// MoveResult is an engine's answer to a move.
 type MoveResult struct {
-	Copy   string // the copy's name, as it is sent to go on from it
-	Events int    // that the run had made
+	Copy   string // the copy's name, by which the run is continued
+	Events int    // the run's events so far
 }
 
-// EngineRefusal says why an engine turned a move away.
+// EngineRefusal is the reason for which an engine refused a move.
 type EngineRefusal string
 
-// The refusals of moves.
+// The reasons for refused moves.
 const (
-	RunUnknown     EngineRefusal = "no such run" // it has not begun, or it ended
+	RunUnknown     EngineRefusal = "no such run" // the run has not begun or has ended
 	MoveInProgress EngineRefusal = "another move is under way"
 	NoRoom         EngineRefusal = "no room, or no way there"
 )
 
-// EngineError reports that an engine turned a call away.
+// EngineError reports that an engine refused a call.
 type EngineError struct {
 	Status int
-	Reason EngineRefusal // empty for others
+	Reason EngineRefusal // empty for calls other than moves
 }
 
-// Error names the status and the remedy.
+// Error returns a message with the engine's status.
 func (e *EngineError) Error() string {
 	return fmt.Sprintf("the engine answered %d; choose another one or try again later", e.Status)
 }
 
 // Mover copies the memory of runs between engines.
 type Mover interface {
-	// Move copies a run's memory; a run that stopped can go on at the target,
-	// or at the source if the copy failed and a name is given all the same.
+	// Move copies a run's memory. A run stopped by it can continue at the target or, if
+	// Move returns an error with a copy's name, at the source.
 	Move(ctx context.Context, m Move) (MoveResult, error)
-	// Ping asks whether an engine answers at all.
+	// Ping checks whether an engine answers.
 	Ping(ctx context.Context, e routing.Endpoint) error
-	// CopyName gives the name of a run's copy at the endpoint that its memory
-	// was sent to as it grew.
+	// CopyName returns the name of the backup copy of a run at the endpoint that receives it.
 	CopyName(id string, backup routing.Endpoint) string
 }
--- a/gateway/overdue_timer.go
+++ b/gateway/overdue_timer.go
@@ -11,18 +11,17 @@
 )
 
 const (
-	// overdueFactor is after how many times the route's usual time an answer, or a
-	// stream's first event, is overdue; on a calm day one in a hundred took 2.3 to
-	// 4.0 times the median, by route.
+	// overdueFactor is the multiple of the route's usual time after which an answer, or a
+	// stream's first event, is overdue.
 	overdueFactor = 4.0
-	// minOverduePart is the least such time, as a part of the route's target: what
-	// comes elsewhere within the rest of it is still in time.
+	// minOverduePart is the least such time, as a part of the route's target; an answer
+	// from another endpoint can still meet the target after it.
 	minOverduePart = 0.5
-	// averageWeight is the weight of the newest time in a usual one.
+	// averageWeight is the weight of the newest value in a moving average.
 	averageWeight = 0.1
 )
 
-// durationAverages are learned times, each by a name.
+// durationAverages holds exponential moving averages of durations, by name.
 type durationAverages struct {
 	mu  sync.Mutex
 	all map[string]time.Duration
@@ -43,27 +42,27 @@
 	u.all[name] = usual + time.Duration(averageWeight*float64(took-usual))
 }
 
-// mean gives the usual time of a name, or 0 before any was learned.
+// mean returns the average for a name, or 0 if there is none yet.
 func (u *durationAverages) mean(name string) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.all[name]
 }
 
-// overdueTimer waits for a send's answer to begin. An endpoint that fails part of its
-// requests by silence looks well otherwise: its other streams go on, its reports
-// come. A request that may run again leaves it for another one; for any, the
-// endpoint gets less new work, here and in the group.
+// overdueTimer waits for the answer to a send to begin. It detects endpoints that leave some
+// requests unanswered while their other streams and their reports look normal. An overdue
+// request that is repeatable is sent to another endpoint; in any case the endpoint gets
+// less new work, here and in the group.
 type overdueTimer struct {
 	proxiedRequest    *proxiedRequest
 	run               run
 	endpointConn      *endpointConn
-	mayRetryElsewhere bool // the request may go elsewhere
+	mayRetryElsewhere bool // the request may be sent to another endpoint
 	timer             *time.Timer
 }
 
-// startOverdueTimer starts the wait for a send; a route whose usual time isn't known yet
-// has none.
+// startOverdueTimer starts the timer for a send. It never fires if the route's usual time is
+// unknown or too little time is left for another send.
 func (p *proxiedRequest) startOverdueTimer(l *endpointConn) *overdueTimer {
 	o := &overdueTimer{
 		proxiedRequest:    p,
@@ -95,20 +94,20 @@
 		zap.Duration("after", after),
 		zap.Bool("leaves", mayRetryElsewhere),
 	)
-	g.spread.Failed(now, o.run.endpoint.ID, false)
+	g.balancer.Failed(now, o.run.endpoint.ID, false)
 	g.onPlaced(fleet.Placement{
 		Endpoint: o.run.endpoint.ID,
 		Overdue:  true,
 	})
-	// One that fell silent ends under the request without a break, and its callers leave
-	// before the request's own time is over.
+	// A crash that leaves the connection open shows in no other way, and the caller may
+	// leave before the request's deadline.
 	go p.checkEndpoint(o.run)
 	if mayRetryElsewhere {
 		_ = o.endpointConn.Close()
 	}
 }
 
-// hasRetryBudget tells whether the retry budget has room for one more send.
+// hasRetryBudget reports whether the service's retry budget allows one more send.
 func (g *Gateway) hasRetryBudget(service string) bool {
 	now := time.Now()
 	has := 0
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -6,8 +6,8 @@
 	"dillsaddle.example/dillsaddle/fleet"
 )
 
-// announceRun tells the group of the run that begins at an engine: of its prompt, or of the
-// memory that is there already as a copy.
+// announceRun notifies the group of the run that begins at an engine: of its prompt to be
+// read or, if copied, of its memory that is there already.
 func (p *proxiedRequest) announceRun(now time.Time, copied bool) {
 	p.reportedTokens = 0
 	if p.service.Engine == nil {
@@ -17,7 +17,7 @@
 	if copied {
 		p.reportedTokens = p.heldTokens()
 	} else {
-		p.queuedTokens = p.gateway.spread.AddPrompt(now, p.endpoint.ID, p.reportedTokens)
+		p.queuedTokens = p.gateway.balancer.AddPrompt(now, p.endpoint.ID, p.reportedTokens)
 	}
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: p.endpoint.ID,
@@ -26,12 +26,12 @@
 	})
 }
 
-// announceRunEnd tells the group that the run at an engine has ended, and takes its memory back.
+// announceRunEnd notifies the group that the run at an engine ended and frees its memory.
 func (p *proxiedRequest) announceRunEnd(endpoint string) {
 	if p.reportedTokens == 0 {
 		return
 	}
-	p.gateway.spread.RunEnded(time.Now(), endpoint, p.reportedTokens, p.heldTokens())
+	p.gateway.balancer.RunEnded(time.Now(), endpoint, p.reportedTokens, p.heldTokens())
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: endpoint,
 		Tokens:   p.reportedTokens,
@@ -40,7 +40,7 @@
 	})
 }
 
-// heldTokens gives the tokens of memory that the run holds.
+// heldTokens returns the tokens of memory that the run holds now.
 func (p *proxiedRequest) heldTokens() int {
 	return p.inbound.PromptTokens + int(p.sharedEvents.Load())*max(p.service.Engine.EventTokens, 1)
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -12,30 +12,29 @@
 )
 
 const (
-	// connectTimeout bounds a new connection; endpoints accept within
-	// milliseconds, and an opening packet that was dropped comes again after a
-	// second. connectElsewhere does so while another endpoint can take the request:
-	// one that went without a word would hold each request placed there for a second.
-	connectTimeout            = 1300 * time.Millisecond
+	// connectTimeout bounds a new connection; it leaves time for one retransmission of
+	// the SYN, after 1 s.
+	connectTimeout = 1300 * time.Millisecond
+	// alternativeConnectTimeout is the same if another endpoint can take the request.
 	alternativeConnectTimeout = 250 * time.Millisecond
-	// maxIdleTime is how long a connection rests at most; endpoints that say
-	// nothing of their own limit close after some seconds.
+	// maxIdleTime is how long a connection may be idle; endpoints that send no Keep-Alive
+	// timeout close idle connections after a few seconds.
 	maxIdleTime = 4 * time.Second
-	// closeMargin is kept to the time at which an endpoint closes a connection.
+	// closeMargin is how long before the endpoint's Keep-Alive timeout a connection expires.
 	closeMargin = 700 * time.Millisecond
-	// maxIdlePerEndpoint bounds the resting connections to one endpoint.
+	// maxIdlePerEndpoint bounds the idle connections to one endpoint.
 	maxIdlePerEndpoint = 16
 )
 
-// Pool keeps the connections to endpoints by incarnation; one that had any
-// trouble never comes back into it.
+// Pool holds idle connections to endpoints, by incarnation. A connection on which anything
+// failed is closed and never returned to it.
 type Pool struct {
 	mu     sync.Mutex
-	conns  map[string][]*endpointConn // resting, the last used last
+	conns  map[string][]*endpointConn // idle ones, by endpoint ID, the last used last
 	onOpen func()
 }
 
-// NewPool builds an empty pool; opened is called for each new connection.
+// NewPool returns an empty pool; onOpen is called for each new connection.
 func NewPool(onOpen func()) *Pool {
 	return &Pool{
 		conns:  make(map[string][]*endpointConn),
@@ -43,9 +42,9 @@
 	}
 }
 
-// get gives a resting connection to an endpoint or opens one. A request that
-// may run only once gets a connection that rested for a short time only, since
-// the endpoint may be closing the others. Within bounds a new connection.
+// get returns a connection to an endpoint that was idle for at most the given time, or opens
+// one within timeout. Requests that must run only once should allow a short idle time: the
+// endpoint may be closing a connection that was idle for longer.
 func (p *Pool) get(ctx context.Context, now time.Time, e routing.Endpoint, idle, timeout time.Duration) (*endpointConn, error) {
 	for {
 		l := p.popIdle(e.ID)
@@ -82,8 +81,8 @@
 	return l
 }
 
-// put takes a connection back after a whole exchange. Life is how long the
-// endpoint keeps it open, or 0 when it didn't say.
+// put returns a connection to the pool after a complete exchange. lifetime is the endpoint's
+// Keep-Alive timeout, or 0 without one.
 func (p *Pool) put(now time.Time, id string, l *endpointConn, lifetime time.Duration) {
 	if lifetime <= 0 || lifetime > maxIdleTime {
 		lifetime = maxIdleTime
@@ -101,8 +100,7 @@
 	p.conns[id] = append(p.conns[id], l)
 }
 
-// Sweep closes connections that rested too long, and all those to endpoints
-// that are not kept.
+// Sweep closes expired connections and those to endpoints for which keep returns false.
 func (p *Pool) Sweep(now time.Time, keep func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +120,7 @@
 	}
 }
 
-// IdleConnections counts the connections in the pool.
+// IdleConnections returns the number of connections in the pool.
 func (p *Pool) IdleConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/protocol.go
+++ b/gateway/protocol.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// Protocol translates between the headers on the wire and what they mean.
+// Protocol translates between HTTP headers and their meaning.
 type Protocol interface {
 	// Inbound decodes a caller's headers.
 	Inbound(h http.Header) Inbound
-	// Outbound changes a copy of the caller's headers into those for an endpoint.
+	// Outbound changes a copy of the caller's headers into the headers for an endpoint.
 	Outbound(h http.Header, o Outbound)
-	// Answer decodes an endpoint's answer.
+	// Answer decodes the status and headers of an endpoint's answer.
 	Answer(status int, h http.Header) Answer
 }
 
-// Inbound is what a caller's headers say.
+// Inbound holds the contents of a caller's headers.
 type Inbound struct {
-	ID            string        // of this attempt of the caller
-	CallerTimeout time.Duration // how long the caller waits; 0 when it didn't say
+	ID            string        // ID of this attempt of the caller
+	CallerTimeout time.Duration // how long the caller waits; 0 if unknown
 	Key           string
 	PromptTokens  int
-	MaxTokens     int // the most to be generated
-	LengthHint    int // the caller's guess of the tokens to be generated; 0 without
+	MaxTokens     int // upper bound of the generated tokens
+	LengthHint    int // the caller's estimate of the generated tokens; 0 if unknown
 }
 
-// Outbound is what the system tells an endpoint.
+// Outbound holds what a box's headers say to an endpoint.
 type Outbound struct {
-	TimeLeft   time.Duration // until nobody waits any more
-	Endpoint   string        // the incarnation that is meant
+	TimeLeft   time.Duration // until the request's deadline
+	Endpoint   string        // the incarnation that must answer
 	Customer   string        // empty on anonymous routes
 	Rank       int
-	BackupTo   netip.AddrPort // where a run's memory is sent as it grows, or none
-	ContinueAt string         // the copy to go on from, or empty
-	LastEvent  string         // the last event that the caller has, of a stream that goes on; or empty
+	BackupTo   netip.AddrPort // the engine that gets a backup copy of the run, or the zero value
+	ContinueAt string         // the copy that the run continues from, or empty
+	LastEvent  string         // ID of the last event that the caller of a continued stream has, or empty
 }
 
-// Answer is what an endpoint's answer says of itself.
+// Answer holds what an endpoint's headers say about its answer.
 type Answer struct {
-	ID     string // of the request that it answers
-	NotRun bool   // the endpoint didn't run the request
+	ID     string // ID of the request that it answers
+	NotRun bool   // the endpoint did not run the request
 	Load   *Load
-	Signed bool
+	Signed bool // it has the platform's signature header
 	Notice
 }
 
-// Notice is what an endpoint says of itself in any answer, to a request, a move or a
-// question for its load.
+// Notice is what an endpoint announces about itself in any answer, whether to a request, a
+// move or a load query.
 type Notice struct {
-	Limited bool          // it takes so many requests only
-	Limit   float64       // requests a second, from all boxes together
-	Leaving bool          // it is on its way out
-	Backoff time.Duration // it wants nothing from this box for so long; 0 when it didn't say
+	Limited bool          // it has a rate limit
+	Limit   float64       // the limit in requests per second, from all boxes together
+	Leaving bool          // it is leaving
+	Backoff time.Duration // for how long this box must not send to it; 0 if it may
 }
 
-// Load is what an endpoint tells of itself with an answer.
+// Load is the number of requests at an endpoint when it answered.
 type Load struct {
 	Running int
 	Waiting int
--- a/gateway/proxied_request.go
+++ b/gateway/proxied_request.go
@@ -13,17 +13,17 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// maxSends bounds the sends of one request, refused ones included: more
-// would only add load where all endpoints are full.
+// maxSends bounds the sends of one request, refused ones included: more would only add load
+// while all endpoints are full.
 const maxSends = 3
 
-// proxiedRequest is one request on its way through the gateway.
+// proxiedRequest is the state of one request on its way through the gateway.
 type proxiedRequest struct {
 	gateway        *Gateway
 	writer         http.ResponseWriter
 	request        *http.Request
 	start          time.Time
-	deadline       time.Time // nobody waits beyond it, less suspensions since the start; see until
+	deadline       time.Time // not corrected for suspensions since start; see currentDeadline
 	inbound        Inbound
 	view           *fleet.View
 	route          *routing.Route
@@ -31,33 +31,33 @@
 	customer       *routing.Customer
 	allowedRegions routing.AllowedRegions
 	body           []byte
-	contentDigest  core.Digest // of what the request asks for
-	reservedBytes  int64
+	contentDigest  core.Digest // identifies the request and its repeats; see computeDigest
+	reservedBytes  int64       // memory reserved for body
 	call           *core.Call
-	endpoint       routing.Endpoint // of the current send
-	backup         routing.Endpoint // where the run's memory goes as it grows
-	tried          map[string]bool
+	endpoint       routing.Endpoint // the endpoint of the current send
+	backup         routing.Endpoint // the engine that gets a backup copy of the run; zero if none does
+	tried          map[string]bool  // IDs of endpoints that it was placed at
 	answer         *answer
-	lastEventID    string // the id of the last event that the caller has
+	lastEventID    string // ID of the last event passed to the caller
 	eventOrder     eventOrder
-	events         int          // passed on
-	sharedEvents   atomic.Int64 // events passed on, for the plans of moves
+	events         int          // number of events passed to the caller
+	sharedEvents   atomic.Int64 // the same, for use by other goroutines
 
-	queuedTokens      float64       // tokens of prompts to be read before the first event
-	reportedTokens    int           // the size by which the boxes know the current run; 0 for calls
-	firstEventDelay   time.Duration // until the first event
+	queuedTokens      float64       // prompt tokens queued at the engine before the first event, own ones included
+	reportedTokens    int           // the current run's tokens as announced to other boxes; 0 for calls
+	firstEventDelay   time.Duration // from start to the first event
 	longestPause      time.Duration // between two events
-	longestPauseAfter string        // the id of the event before it
-	lastEventAt       time.Time     // of the last event
-	firstEventAt      time.Time     // of the first event
-	runFirstEventAt   time.Time     // of the first event of the current run; zero before
-	suspendedBefore   time.Duration // of the machine, before the start
-	headSent          bool          // whether the head of the answer went to the caller
+	longestPauseAfter string        // ID of the event before that pause
+	lastEventAt       time.Time
+	firstEventAt      time.Time
+	runFirstEventAt   time.Time     // first event of the current run; zero before it
+	suspendedBefore   time.Duration // the gateway's total suspension at start
+	headSent          bool          // the answer's head was written to the caller
 	placedAt          time.Time
-	resumeFrom        *handover     // where the stream goes on
-	overdueTimer      *overdueTimer // of the current send
+	resumeFrom        *handover     // where the stream continues after a break
+	overdueTimer      *overdueTimer // for the current send
 
-	mu         sync.Mutex // guards what movers see: endpoint, backup and what follows
+	mu         sync.Mutex // guards endpoint and backup against moves, and the fields below
 	handover   *handover
 	isMoving   bool
 	isFinished bool
@@ -95,7 +95,7 @@
 	p.runCall()
 }
 
-// takeRetry takes one more send from the budget.
+// takeRetry spends one send of the retry budget, and reports whether there was one.
 func (p *proxiedRequest) takeRetry(service string) bool {
 	if p.headSent && p.route.Kind == routing.Streaming {
 		return p.takeStreamRetry(service)
@@ -103,14 +103,14 @@
 	return p.gateway.takeRetry(service)
 }
 
-// finish tells movers that the stream has ended.
+// finish marks the request as finished, for moves that are under way.
 func (p *proxiedRequest) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.isFinished = true
 }
 
-// runCall steps the call until it has ended.
+// runCall carries out the call's commands until it has ended.
 func (p *proxiedRequest) runCall() {
 	var command core.Command = core.PlaceCall{}
 	for command != nil {
@@ -126,8 +126,7 @@
 	}
 }
 
-// execute carries out one command and gives the event that follows, or nil at
-// the end.
+// execute carries out one command and returns the resulting event, or nil at the end.
 func (p *proxiedRequest) execute(command core.Command) core.Event {
 	switch c := command.(type) {
 	case core.PlaceCall:
@@ -152,7 +151,8 @@
 	return nil
 }
 
-// terminalEvent tells whether the passage must end now, and by which event.
+// terminalEvent returns the event that ends the request now: that the caller has left or the
+// deadline has passed. It returns nil if neither is so.
 func (p *proxiedRequest) terminalEvent() core.Event {
 	if p.request.Context().Err() != nil {
 		return core.CallAbandoned{}
--- a/gateway/rate_limiter.go
+++ b/gateway/rate_limiter.go
@@ -10,18 +10,17 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// maxLoadQueryShare is the part of this box's sends to a limited endpoint that questions for its
-// load may take; requests need the rest.
+// maxLoadQueryShare is the part of this box's sends to a rate-limited endpoint that load
+// queries may use.
 const maxLoadQueryShare = 0.25
 
-// rateLimiter keeps this box's requests of all kinds to endpoints that named a limit
-// within its share of it. A box that kept the whole limit by itself would let the fleet
-// send it once for each box, and requests that aren't first sends reach the endpoint too.
+// rateLimiter keeps this box's sends of all kinds to endpoints that announced a rate limit
+// within its share of that limit, which is for all boxes together.
 type rateLimiter struct {
 	mu        sync.Mutex
 	announced *fleet.Limits
 	share     func(endpoint string, units int) int
-	endpoints map[string]*limitedEndpoint // by the endpoint's id
+	endpoints map[string]*limitedEndpoint // by endpoint ID
 }
 
 type limitedEndpoint struct {
@@ -30,7 +29,7 @@
 	share          int
 	shareInterval  time.Duration
 	shareUpdatedAt time.Time
-	loadQueriedAt  time.Time // when it was asked for its load last
+	loadQueriedAt  time.Time
 }
 
 func newRateLimiter(limits *fleet.Limits) *rateLimiter {
@@ -41,7 +40,7 @@
 	}
 }
 
-// state gives the pace of an endpoint that named a limit, or nil for any other.
+// state returns the state of a rate-limited endpoint, or nil for any other.
 func (l *rateLimiter) state(now time.Time, endpoint string) *limitedEndpoint {
 	perSecond, limited := l.announced.Of(now, endpoint)
 	if !limited {
@@ -63,14 +62,14 @@
 	return known
 }
 
-// isLimited tells whether an endpoint named a limit.
+// isLimited reports whether an endpoint announced a rate limit.
 func (l *rateLimiter) isLimited(now time.Time, endpoint string) bool {
 	_, isLimited := l.announced.Of(now, endpoint)
 	return isLimited
 }
 
-// isExhausted tells whether an endpoint is known to have no place left for this box now. It
-// works no share out.
+// isExhausted reports whether this box has no send left for an endpoint now, by its last
+// computed share; it does not compute a new one.
 func (l *rateLimiter) isExhausted(now time.Time, endpoint string) bool {
 	if !l.isLimited(now, endpoint) {
 		return false
@@ -81,7 +80,7 @@
 	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.limiter.Free(now)
 }
 
-// reserve keeps a place for a request that is planned; false says that there is none.
+// reserve reserves a send for a planned request and reports whether one was left.
 func (l *rateLimiter) reserve(now time.Time, endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +88,7 @@
 	return known == nil || known.limiter.Hold(now)
 }
 
-// release gives a place back whose request isn't sent.
+// release returns a reserved send that is not used.
 func (l *rateLimiter) release(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +97,7 @@
 	}
 }
 
-// send counts a request that goes out now; false says that it may not.
+// send spends a send, reserved before if held is set, and reports whether it may be made.
 func (l *rateLimiter) send(now time.Time, endpoint string, held bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +105,7 @@
 	return known == nil || known.limiter.Send(now, held)
 }
 
-// allowLoadQuery counts a question for an endpoint's load; false says that it may not be asked now.
+// allowLoadQuery spends a send on a load query and reports whether it may be made.
 func (l *rateLimiter) allowLoadQuery(now time.Time, endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,8 +124,8 @@
 	return true
 }
 
-// nextSendIn gives when this box has a place again at an endpoint; false says that it has no
-// share.
+// nextSendIn returns the time until this box has a send left for an endpoint; false means
+// that it has no share of the limit.
 func (l *rateLimiter) nextSendIn(now time.Time, endpoint string) (time.Duration, bool) {
 	if !l.isLimited(now, endpoint) {
 		return 0, true
@@ -140,7 +139,7 @@
 	return known.limiter.Next(now)
 }
 
-// sweep forgets endpoints that name no limit any more and that nothing was sent to lately.
+// sweep removes endpoints that are no longer limited and that nothing was sent to lately.
 func (l *rateLimiter) sweep(now time.Time) {
 	l.announced.Sweep(now)
 	l.mu.Lock()
@@ -152,7 +151,7 @@
 	}
 }
 
-// AllowLoadQuery tells whether an endpoint may be asked for its load now, and counts that.
+// AllowLoadQuery reports whether an endpoint's load may be queried now, and counts the query.
 func (g *Gateway) AllowLoadQuery(now time.Time, e routing.Endpoint) bool {
 	return g.sendGate.allowLoadQuery(now, e)
 }
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -16,11 +16,10 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-var _ = Describe("a box that knows no configuration", func() {
-	// After all boxes of a fleet were killed while the store was silent, callers were told
-	// to come back after 0.3 s, were refused again, and gave up: 3 in 100 of that day's
-	// requests.
-	It("tells callers to come back in some seconds, and not all at once", func() {
+var _ = Describe("a box without a configuration", func() {
+	// Guards against a Retry-After so short that callers return during the same outage of
+	// the store and give up.
+	It("refuses requests with a Retry-After of about two seconds, with jitter", func() {
 		g := gateway.New("zone-a", platform.Protocol{}, fleet.NewBelief().View, gateway.Rules{MemoryBytes: 64 << 20})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -10,19 +10,17 @@
 )
 
 const (
-	// keptSends is what a box with streams under way keeps for itself when another one
-	// asks. In a large fleet a box's own part is one to four sends; one that kept three
-	// of them would never lend any.
+	// keptSends is how many sends a box with running streams keeps when another box
+	// requests some. In a large fleet a box's part of the budget is one to four sends.
 	keptSends = 1
-	// borrowTimeout bounds how long a stream that broke waits for a send from
-	// another box's part; a box answers in a few milliseconds.
+	// borrowTimeout bounds how long a broken stream waits for a send from other boxes.
 	borrowTimeout = 120 * time.Millisecond
 )
 
-// streamCounts are a service's streams under way at this box.
+// streamCounts holds the numbers of a service's streams running at this box.
 type streamCounts struct {
 	total   int
-	leaving int // whose engine leaves or is gone
+	leaving int // those whose engine leaves or is gone
 }
 
 func (g *Gateway) countStreams(service string) streamCounts {
@@ -45,9 +43,9 @@
 	return n
 }
 
-// sendsToKeep gives how many sends this box keeps for itself when another one asks: none
-// without streams of its own. In a large fleet each box's part of the slack is one send,
-// and boxes without callers have the most to lend.
+// sendsToKeep returns how many sends this box keeps when another one requests some: none
+// without streams of its own, otherwise keptSends and one for each stream whose engine
+// leaves.
 func (g *Gateway) sendsToKeep(service string) int {
 	n := g.countStreams(service)
 	if n.total == 0 {
@@ -56,16 +54,15 @@
 	return keptSends + n.leaving
 }
 
-// takeStreamRetry tells whether a stream that broke may be sent again, and asks other
-// boxes for a part of their budgets if this one's is spent. A stream is worth the
-// wait, a short call is not.
+// takeStreamRetry spends a send on continuing a broken stream and reports whether there was
+// one. Unlike for calls, it requests sends from other boxes if this box's part is spent.
 func (p *proxiedRequest) takeStreamRetry(service string) bool {
 	p.ensureRetryBudget(service)
 	return p.gateway.takeRetry(service)
 }
 
-// ensureRetryBudget asks other boxes for a part of their budgets if this one's is spent, and
-// tells whether a send is left.
+// ensureRetryBudget requests sends from other boxes if this box's part of the retry budget is
+// spent, and reports whether a send is available.
 func (p *proxiedRequest) ensureRetryBudget(service string) bool {
 	g := p.gateway
 	if g.hasRetryBudget(service) {
@@ -79,7 +76,7 @@
 	defer cancel()
 	g.borrowSends(ctx, service)
 	available := g.hasRetryBudget(service)
-	p.logAsync("asked other boxes for a send",
+	p.logAsync("retry budget spent; requested sends from other boxes",
 		zap.Int("boxes", g.boxes()),
 		zap.Duration("asked_for", time.Since(begun)),
 		zap.Bool("allowed", available),
@@ -87,7 +84,7 @@
 	return available
 }
 
-// TransferOut gives a part of this box's budget to another one.
+// TransferOut transfers part of this box's retry budget to another box.
 func (g *Gateway) TransferOut(now time.Time, service string, sends int) int {
 	keep := g.sendsToKeep(service)
 	lent := 0
@@ -96,7 +93,7 @@
 	return lent
 }
 
-// ReceiveTransfer takes what another box gave.
+// ReceiveTransfer adds sends that another box transferred to this box's retry budget.
 func (g *Gateway) ReceiveTransfer(now time.Time, service string, sends int) {
 	g.withBudget(service, now, func(b *core.SharedBudget) { b.TransferIn(now, sends) })
 }
--- a/gateway/retry_budget_test.go
+++ b/gateway/retry_budget_test.go
@@ -12,11 +12,11 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-var _ = Describe("a box that is asked for its part of the retry budget", func() {
-	// ten boxes share a slack of 50.
+var _ = Describe("a box that another one asks for part of the retry budget", func() {
+	// Ten boxes share a slack of 50.
 	shared := gateway.WithBoxes(func() int { return 10 })
 	const share = 5
-	// lent gives how much it lends when it is asked again and again.
+	// totalLent returns how many sends the box transfers when asked repeatedly.
 	totalLent := func(b *testbed) int {
 		total := 0
 		for range 20 {
@@ -26,7 +26,7 @@
 		return total
 	}
 
-	It("lends all of it when it has no streams", func() {
+	It("transfers its whole part when it has no streams", func() {
 		b := newTestbedWith(true, shared)
 		b.add("e-1", emulator.Model)
 		Expect(totalLent(b)).To(Equal(share))
--- a/gateway/send_gate.go
+++ b/gateway/send_gate.go
@@ -8,13 +8,12 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// maxReserveAttempts bounds the endpoints that one request asks for a place: a thousand may be cold
-// or limited at once, and to work out this box's share of each takes time.
+// maxReserveAttempts bounds the limited endpoints that are tried for one send: there may be
+// a thousand, and computing this box's share of each takes time.
 const maxReserveAttempts = 8
 
-// sendGate stands before everything that this box sends to an endpoint: first and second
-// sends, moves, sends that go on from a copy, questions for its load. What endpoints take
-// is kept there, and nowhere else.
+// sendGate enforces the endpoints' limits on everything that this box sends to them: first
+// sends, retries, continuations, moves and load queries.
 type sendGate struct {
 	backoffs *backoffs
 	cold     *coldLimiter
@@ -29,27 +28,27 @@
 	}
 }
 
-// isExhausted tells whether an endpoint is known to take nothing from this box now.
+// isExhausted reports whether an endpoint is known to take no send from this box now.
 func (g *sendGate) isExhausted(now time.Time, e routing.Endpoint) bool {
 	return g.isBackingOff(now, e) || g.cold.isExhausted(now, e) || g.limits.isExhausted(now, e.ID)
 }
 
-// isBackingOff tells whether an endpoint wants nothing from this box now.
+// isBackingOff reports whether the endpoint asked this box to send nothing until later.
 func (g *sendGate) isBackingOff(now time.Time, e routing.Endpoint) bool {
 	return g.backoffs.remaining(now, e.ID) > 0
 }
 
-// isThrottled tells whether an endpoint has asked for fewer requests, or for none.
+// isThrottled reports whether an endpoint announced a rate limit or asked this box to back off.
 func (g *sendGate) isThrottled(now time.Time, e routing.Endpoint) bool {
 	return g.isBackingOff(now, e) || g.limits.isLimited(now, e.ID)
 }
 
-// isLimited tells whether an endpoint takes only some requests for now, or none.
+// isLimited reports whether an endpoint is throttled or cold.
 func (g *sendGate) isLimited(now time.Time, e routing.Endpoint) bool {
 	return e.ColdAt(now) || g.isThrottled(now, e)
 }
 
-// reserve keeps a place for a request that is planned; false says that there is none.
+// reserve reserves a send for a planned request and reports whether one was left.
 func (g *sendGate) reserve(now time.Time, s *routing.Service, e routing.Endpoint) bool {
 	if g.isBackingOff(now, e) || !g.cold.reserve(now, s, e) {
 		return false
@@ -61,14 +60,14 @@
 	return true
 }
 
-// release gives a place back whose request isn't sent.
+// release returns a reserved send that is not used.
 func (g *sendGate) release(e routing.Endpoint) {
 	g.cold.release(e)
 	g.limits.release(e.ID)
 }
 
-// send counts a request that goes out now, for which a place was kept; false says that it
-// may not.
+// send spends a reserved send on a request that goes out now and reports whether it may.
+// Otherwise the reservation is released.
 func (g *sendGate) send(now time.Time, s *routing.Service, e routing.Endpoint) bool {
 	if g.isBackingOff(now, e) {
 		g.release(e)
@@ -81,19 +80,19 @@
 	return g.cold.send(now, s, e)
 }
 
-// allowMove counts a call for a run's move at the engine that runs it; false says that the
-// engine takes none now. A cold engine may be asked: that is no request to run.
+// allowMove spends a send on a move's call to the engine that runs it, and reports whether
+// it may be made. The limit of cold engines does not apply, since a move starts no run there.
 func (g *sendGate) allowMove(now time.Time, e routing.Endpoint) bool {
 	return !g.isBackingOff(now, e) && g.limits.send(now, e.ID, false)
 }
 
-// allowLoadQuery counts a question for an endpoint's load; false says that it may not be asked now.
+// allowLoadQuery spends a send on a load query and reports whether it may be made.
 func (g *sendGate) allowLoadQuery(now time.Time, e routing.Endpoint) bool {
 	return !g.isBackingOff(now, e) && g.limits.allowLoadQuery(now, e.ID)
 }
 
-// nextSendIn gives when the first of some endpoints takes a request from this box again, or 0
-// where this box can't tell.
+// nextSendIn returns the time until the first of some endpoints takes a request from this
+// box, or 0 if one does now or none is known to.
 func (g *sendGate) nextSendIn(now time.Time, all []routing.Endpoint) time.Duration {
 	var first time.Duration
 	for _, e := range all {
@@ -115,12 +114,12 @@
 	g.limits.sweep(now)
 }
 
-// candidates gives the endpoints of the request's homes that may take it now.
+// candidates returns the endpoints in the request's allowed regions that may take it now.
 func (p *proxiedRequest) candidates(now time.Time) []routing.Endpoint {
 	return p.allowedEndpoints(func(e routing.Endpoint) bool { return !p.gateway.sendGate.isExhausted(now, e) })
 }
 
-// unlimitedEndpoints gives the endpoints of the request's homes that take any number of requests.
+// unlimitedEndpoints returns the endpoints in the request's allowed regions without send limits.
 func (p *proxiedRequest) unlimitedEndpoints(now time.Time) []routing.Endpoint {
 	return p.allowedEndpoints(func(e routing.Endpoint) bool { return !p.gateway.sendGate.isLimited(now, e) })
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -6,13 +6,12 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Stop begins a planned stop: callers are asked to close their connections with the
-// answers that follow, and streams that would be cut at the end aren't begun.
+// Stop begins a planned stop that lasts until end. Answers from now on ask callers to close
+// their connections, and streams that would be cut at the end are refused.
 func (g *Gateway) Stop(end time.Time) { g.stopAt.Store(&end) }
 
-// outlastsStop tells whether a stream would still run when the box ends. Nothing of
-// it was sent, and its caller reaches another box at once: new streams come for two
-// seconds after a planned stop began, and those longer than the grace would be cut.
+// outlastsStop reports whether a stream would still be running at the end of a planned stop.
+// Such a stream is refused before anything is sent, so that its caller can try another box.
 func (p *proxiedRequest) outlastsStop() bool {
 	stopAt := p.gateway.stopAt.Load()
 	engine := p.service.Engine
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// eventBufferBytes is for reading events; one is some hundred bytes.
+	// eventBufferBytes is the size of the buffer for reading events.
 	eventBufferBytes = 2 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes is the size of the largest event.
 	maxEventBytes = 1 << 20
 )
 
-// event is one event of a stream, with the bytes as they came.
+// event is one server-sent event, with its bytes as they were received.
 type event struct {
 	id  string
 	raw []byte
 }
 
-// errEventTooLarge reports an event over the bound.
-var errEventTooLarge = errors.New("an event is over a megabyte")
+// errEventTooLarge reports an event of more than maxEventBytes.
+var errEventTooLarge = errors.New("event is larger than 1 MiB")
 
-// readEvent reads one whole event. At a clean end between events it gives
-// io.EOF; an end within one gives io.ErrUnexpectedEOF.
+// readEvent reads one event. It returns io.EOF at the end of the stream, and
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func readEvent(r *bufio.Reader) (event, error) {
 	var e event
 	for {
@@ -59,14 +59,14 @@
 	}
 }
 
-// stream passes events on until the stream's end or its break. Sent is when the
-// request went out.
+// stream passes events to the caller until the stream ends or breaks off. sent is the time
+// at which the request was sent.
 func (p *proxiedRequest) stream(sent time.Time) core.Event {
 	a := p.answer
 	runEndpoint, tokens, backup := p.endpoint.ID, p.demand(nil).Tokens, p.backup.ID
 	if backup != "" {
-		p.gateway.spread.Copy(time.Now(), backup, tokens)
-		defer p.gateway.spread.Copy(time.Now(), backup, -tokens)
+		p.gateway.balancer.Copy(time.Now(), backup, tokens)
+		defer p.gateway.balancer.Copy(time.Now(), backup, -tokens)
 		p.gateway.onPlaced(fleet.Placement{
 			Endpoint: backup,
 			Tokens:   tokens,
@@ -74,7 +74,7 @@
 		})
 	}
 	defer func() {
-		p.gateway.spread.EndSend(time.Now(), runEndpoint, sent, tokens)
+		p.gateway.balancer.EndSend(time.Now(), runEndpoint, sent, tokens)
 		p.announceRunEnd(runEndpoint)
 	}()
 	p.gateway.registerStream(p)
@@ -98,12 +98,12 @@
 			continue
 		case gap:
 			a.close()
-			p.logDecision("an event is missing after the copy", zap.String("last_event", p.lastEventID), zap.String("event_id", e.id))
+			p.logDecision("events missing after the continuation; answer dropped", zap.String("last_event", p.lastEventID), zap.String("event_id", e.id))
 			return core.CallBroken{}
 		}
 		if err := p.passEvent(a, e); err != nil {
 			a.close()
-			p.logDecision("caller left its stream", zap.String("last_event", p.lastEventID), zap.Error(err))
+			p.logDecision("caller disconnected during its stream", zap.String("last_event", p.lastEventID), zap.Error(err))
 			return core.CallAbandoned{}
 		}
 	}
@@ -121,15 +121,15 @@
 	}
 	now := time.Now()
 	p.recordPacing(now)
-	p.gateway.spread.RecordActivity(now, p.endpoint.ID)
+	p.gateway.balancer.RecordActivity(now, p.endpoint.ID)
 	p.lastEventID = e.id
 	p.events++
 	p.sharedEvents.Store(int64(p.events))
 	return http.NewResponseController(p.writer).Flush()
 }
 
-// recordPacing notes when an event went to the caller: the first one's delay and the
-// longest pause are what the caller feels.
+// recordPacing records the time of an event: the first event's delay and the longest pause
+// are the stream's latency for its caller.
 func (p *proxiedRequest) recordPacing(now time.Time) {
 	if p.runFirstEventAt.IsZero() {
 		p.runFirstEventAt = now
@@ -138,7 +138,7 @@
 		p.gateway.usualAnswer.learn(p.route.Name, now.Sub(p.placedAt))
 		p.firstEventDelay = now.Sub(p.start)
 		p.firstEventAt = now
-		p.gateway.spread.ObservePrefill(p.queuedTokens, now.Sub(p.placedAt))
+		p.gateway.balancer.ObservePrefill(p.queuedTokens, now.Sub(p.placedAt))
 	} else if gap := now.Sub(p.lastEventAt); gap > p.longestPause {
 		p.longestPause = gap
 		p.longestPauseAfter = p.lastEventID
@@ -146,13 +146,13 @@
 	p.lastEventAt = now
 }
 
-// learn takes a whole generation's pace and size into the learned means.
+// learn updates the averages of event intervals and output lengths after a complete stream.
 func (p *proxiedRequest) learn() {
 	if p.events > 1 {
 		p.gateway.eventIntervals.learn(p.service.Name, p.lastEventAt.Sub(p.firstEventAt)/time.Duration(p.events-1))
 	}
 	if engine := p.service.Engine; engine != nil && p.inbound.PromptTokens > 0 {
-		p.gateway.spread.ObserveLengths(p.inbound.PromptTokens, p.events*max(engine.EventTokens, 1))
+		p.gateway.balancer.ObserveLengths(p.inbound.PromptTokens, p.events*max(engine.EventTokens, 1))
 	}
 }
 
@@ -163,7 +163,7 @@
 		p.writer.WriteHeader(a.head.StatusCode)
 	}
 	a.release(p, true)
-	p.gateway.spread.Succeeded(time.Now(), p.endpoint.ID, p.firstEventDelay)
+	p.gateway.balancer.Succeeded(time.Now(), p.endpoint.ID, p.firstEventDelay)
 	p.learn()
 	p.recordSuccess()
 	p.gateway.counters.observeStream(p.route.Name, p.firstEventDelay, p.longestPause)
@@ -176,8 +176,8 @@
 	return core.CallCompleted{}
 }
 
-// handleBreak looks for a copy to go on from: that of a move under way, or the
-// backup.
+// handleBreak handles a stream that broke off. It looks for a copy to continue from: that of
+// a move under way, or the backup.
 func (p *proxiedRequest) handleBreak(err error) core.Event {
 	p.reportBreak(time.Now())
 	if h := p.awaitHandover(); h != nil && p.headSent {
@@ -185,7 +185,7 @@
 		return p.failWithBreak(err, true)
 	}
 	if p.headSent && p.backup.ID != "" {
-		// A pause that is 30 ms longer is felt, and the run had begun well.
+		// The check runs in the background: waiting for it would add a noticeable pause.
 		p.startEndpointCheck()
 		p.resumeFrom = &handover{
 			target: p.backup,
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -17,7 +17,7 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// eventGap is long enough for a move to fall between events.
+// eventGap is long enough for a move to happen between two events.
 const eventGap = 60 * time.Millisecond
 
 var _ = Describe("a stream", func() {
@@ -40,7 +40,7 @@
 	}
 	stream := func(id string) emulator.Outcome { return streamAt(emulator.StreamPath, id) }
 
-	It("comes whole and in order, without what only the system may set", func() {
+	It("is passed on whole and in order, without headers that a caller must not set", func() {
 		s := b.add("e-1", emulator.Model)
 		o := stream("a1")
 		Expect(o.Fault).To(BeEmpty())
@@ -49,9 +49,8 @@
 		Expect(s.Runs()[0].Continued).To(BeEmpty())
 	})
 
-	// Copies take the memory that runs need; only where engines break streams off
-	// without notice are they worth it.
-	It("gets a backup once a stream broke off unannounced, at this box or another", func() {
+	// Copies take memory that runs need, so they are made only while engines crash.
+	It("gets a backup copy after a stream broke off without notice, at this box or another", func() {
 		first := b.add("e-1", emulator.Model)
 		second := b.add("e-2", emulator.Model)
 		first.SetFault(emulator.Cut, 1)
@@ -73,7 +72,7 @@
 		Expect(third.Backups() + fourth.Backups()).To(Equal(1))
 	})
 
-	It("goes on from its backup when its engine breaks off within an event", func() {
+	It("continues from its backup copy when its engine breaks off within an event", func() {
 		b.gateway.HandlePlacement(time.Now(), fleet.Placement{
 			Endpoint: "e-9",
 			Broke:    true,
@@ -83,8 +82,8 @@
 		first.SetFault(emulator.Cut, 1)
 		second.SetFault(emulator.Cut, 1)
 		o := stream("b1")
-		// The engine that goes on may break off once more; then the stream ends
-		// or goes on again, but never looks complete when it isn't.
+		// The engine that continues it may break off as well; then the stream must not
+		// look complete unless it is.
 		Expect(o.Fault).To(BeEmpty())
 		if o.Whole {
 			Expect(o.Events).To(Equal(first.Events))
@@ -92,9 +91,9 @@
 		Expect(o.Events).To(BeNumerically(">=", 3))
 	})
 
-	// On the grown deployments, 16 of 65 streams cut on a scale day had their copy
-	// ready, and the fleet's budget was mostly unused.
-	DescribeTable("that needs a send when this box's budget is spent",
+	// Guards against cutting streams whose copy is ready because this box's part of the
+	// retry budget is spent while other boxes have sends left.
+	DescribeTable("that needs a send when this box's retry budget is spent",
 		func(lent int) {
 			b = newTestbedWith(false, gateway.WithBorrow(func(_ context.Context, service string) {
 				if lent > 0 {
@@ -113,7 +112,7 @@
 			b.deployment.List(first, emulator.Model, "draining")
 			b.refresh()
 			if lent == 0 {
-				// It stays at its engine as long as that serves.
+				// It stays at its engine until that crashes.
 				time.Sleep(4 * eventGap)
 				first.Crash()
 			}
@@ -123,11 +122,11 @@
 			Expect(o.Events).To(BeNumerically(">=", 3))
 			Expect(second.Runs()).To(HaveLen(min(lent, 1)))
 		},
-		Entry("goes on with one that another box gave", 1),
-		Entry("ends with its engine when no box gives one", 0),
+		Entry("continues with a send transferred from another box", 1),
+		Entry("ends with its engine when no box transfers one", 0),
 	)
 
-	It("isn't complete when its engine breaks off and nothing holds a copy", func() {
+	It("is not complete when its engine breaks off and there is no copy", func() {
 		s := b.add("e-1", emulator.Model)
 		s.SetFault(emulator.Cut, 1)
 		o := stream("c1")
@@ -136,7 +135,7 @@
 		Expect(o.Events).To(Equal(2))
 	})
 
-	It("that may be resumed goes on in another run when nothing holds a copy", func() {
+	It("that is resumable resumes in a new run when there is no copy", func() {
 		first := b.add("e-1", emulator.Model)
 		first.EventGap = eventGap
 		first.SetFault(emulator.Cut, 1)
@@ -152,9 +151,9 @@
 		Expect(second.Runs()[0].Continued).To(BeEmpty())
 	})
 
-	// Of three engines that were silent for half of their requests, fourteen requests
-	// of one day were held until their callers left or their deadline came.
-	It("that may be resumed leaves an engine that owes its first event", func() {
+	// Guards against holding a request at a silent engine until its caller leaves or its
+	// deadline passes.
+	It("that is resumable is sent to another engine when its first event is overdue", func() {
 		first := b.add("e-1", emulator.Model)
 		b.add("e-2", emulator.Model)
 		for _, id := range []string{"o1", "o2", "o3"} {
@@ -168,8 +167,8 @@
 		Expect(time.Since(begun)).To(BeNumerically("<", 10*time.Second))
 	})
 
-	// leaves sends a stream to the first engine, lets it leave, expects the stream to
-	// come whole, and gives the engine that took it over.
+	// moveOnDrain starts a stream at the first engine, drains that engine, checks that the
+	// stream is complete, and returns the engine that took it over.
 	moveOnDrain := func(id string, first *emulator.Server, events int, laterGap time.Duration) *emulator.Server {
 		before := len(first.Runs())
 		first.Events, first.EventGap = events, eventGap
@@ -190,29 +189,26 @@
 		return second
 	}
 
-	It("is moved when its engine leaves, and goes on without a gap", func() {
+	It("is moved without a gap when its engine leaves", func() {
 		second := moveOnDrain("d1", b.add("e-1", emulator.Model), 12, time.Millisecond)
 		Expect(second.Runs()[0].Continued).NotTo(BeEmpty())
 	})
 
-	// On the grown deployments' scale days, moves gave up after two targets
-	// without room, or two askings for a run that still waited, while the engine
-	// had more than a second left.
-	DescribeTable("is moved though moves fail at first, as long as its engine is there",
+	// Guards against giving up after a few refused moves while the engine has time left.
+	DescribeTable("is moved even if the first moves fail, while its engine is there,",
 		func(statuses ...int) {
 			first := b.add("e-1", emulator.Model)
 			first.FailMoves(statuses...)
 			moveOnDrain("g1", first, 60, time.Millisecond)
 		},
-		Entry("for want of room", http.StatusServiceUnavailable, http.StatusServiceUnavailable, http.StatusServiceUnavailable),
-		Entry("for a run that still waits", http.StatusNotFound, http.StatusNotFound, http.StatusNotFound),
-		Entry("for another move under way", http.StatusConflict, http.StatusConflict),
+		Entry("because targets have no room", http.StatusServiceUnavailable, http.StatusServiceUnavailable, http.StatusServiceUnavailable),
+		Entry("because the run still waits", http.StatusNotFound, http.StatusNotFound, http.StatusNotFound),
+		Entry("because another move is in progress", http.StatusConflict, http.StatusConflict),
 	)
 
-	// A box that had started 0.8 s before, and had met no other yet, stopped a run for its
-	// move and then had no send left to go on with: planned work cut a stream. The evidence:
-	// moved, and cut 0.1 ms later for want of a send, shared by as many boxes as can be.
-	It("isn't stopped for its move as long as the box has no send to go on with", func() {
+	// Guards against cutting a stream by stopping its run for a move when the box has no
+	// send left to continue it, as just after a start, when it has not met other boxes yet.
+	It("is not stopped for its move while the box has no send to continue it", func() {
 		var boxes atomic.Int64
 		boxes.Store(math.MaxInt32)
 		b = newTestbedWith(true, gateway.WithBoxes(func() int { return int(boxes.Load()) }))
@@ -221,9 +217,8 @@
 		Expect(second.Runs()[0].Continued).NotTo(BeEmpty())
 	})
 
-	// A stream that went on elsewhere was watched for its first event for ever: its
-	// new engine was told to owe an answer while events came.
-	It("isn't overdue once events come, also after it was moved", func() {
+	// Guards against leaving the overdue timer running after a continuation.
+	It("is not overdue once events arrive, also after a move", func() {
 		observed, lines := observer.New(zap.InfoLevel)
 		b = newTestbedWith(true, gateway.WithLog(zap.New(observed)))
 		first := b.add("e-1", emulator.Model)
@@ -232,16 +227,15 @@
 		Expect(lines.FilterMessage("answer overdue").Len()).To(Equal(0))
 	})
 
-	// Last copies that queued behind another one's memory stopped streams for 170 to
-	// 340 ms, which callers see as a stutter. This one takes longer than a stream
-	// waits for its copy at all.
-	It("goes on from the copy before when the last one has to wait", func() {
+	// Guards against a noticeable pause while the last copy queues behind another run's.
+	// This one takes longer than handoverTimeout.
+	It("continues from the earlier copy when the last one has to wait", func() {
 		first := b.add("e-1", emulator.Model)
 		first.SlowLast(3 * time.Second)
 		moveOnDrain("h1", first, 12, time.Millisecond)
 	})
 
-	It("that would outlast a planned stop is refused before it is sent, others are served", func() {
+	It("that would outlast a planned stop is refused before it is sent; others are served", func() {
 		s := b.add("e-1", emulator.Model)
 		s.Events, s.EventGap = 12, eventGap
 		Expect(stream("p1").Whole).To(BeTrue())
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -2,7 +2,7 @@
 
 import "dillsaddle.example/dillsaddle/fleet"
 
-// registerStream makes a stream known under the endpoint that runs it.
+// registerStream adds a stream to the streams of the endpoint that runs it.
 func (g *Gateway) registerStream(p *proxiedRequest) {
 	id := p.endpoint.ID
 	g.mu.Lock()
@@ -32,15 +32,15 @@
 	}
 }
 
-// HandleChange takes a change of belief about endpoints.
+// HandleChange handles a change of the view of endpoints.
 func (g *Gateway) HandleChange(c fleet.Change) {
 	switch c.Kind {
 	case fleet.EndpointLeaving:
 		go g.evacuate(c.Endpoint)
 	case fleet.EndpointGone:
 		go g.evacuate(c.Endpoint)
-		g.spread.Forget(c.Endpoint.ID)
+		g.balancer.Forget(c.Endpoint.ID)
 	case fleet.EndpointRestarted:
-		g.spread.Forget(c.Endpoint.ID)
+		g.balancer.Forget(c.Endpoint.ID)
 	}
 }
--- a/gateway/suspension.go
+++ b/gateway/suspension.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Suspended takes that the machine was suspended for a time, which its steady clock didn't
-// count: what was under way has so much less time, and connections that rested may have
-// been closed by their endpoints, so that a request which may run once would be lost on
-// them.
+// Suspended corrects the gateway's state after the machine was suspended for a time that the
+// monotonic clock did not count. Deadlines come that much sooner, and idle connections are
+// closed: their endpoints may have closed them, and a request that must run only once would
+// be lost there.
 func (g *Gateway) Suspended(d time.Duration) {
 	g.suspended.Add(int64(d))
 	g.sendGate.backoffs.suspended(d)
@@ -21,10 +21,10 @@
 	}
 }
 
-// suspendedFor gives how long the machine was suspended since the process began.
+// suspendedFor returns how long the machine was suspended since the process began.
 func (g *Gateway) suspendedFor() time.Duration { return time.Duration(g.suspended.Load()) }
 
-// currentDeadline gives when nobody waits for the request any more.
+// currentDeadline returns the request's deadline, corrected for suspensions since its start.
 func (p *proxiedRequest) currentDeadline() time.Time {
 	return p.deadline.Add(p.suspendedBefore - p.gateway.suspendedFor())
 }
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -11,16 +11,16 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// While a box's machine is suspended its steady clock stands still: a request that was
-// taken before looks as young afterwards, and a connection that its endpoint has closed
-// meanwhile as fresh. A suspension is told here as the box finds it out, before a send.
+// While a box's machine is suspended its monotonic clock stands still, so that requests look
+// younger and idle connections fresher than they are. In these tests the box detects a
+// suspension when it checks for one before a decision.
 var _ = Describe("a box that was suspended", func() {
 	const suspended = 1100 * time.Millisecond
 	var b *testbed
 	BeforeEach(func() { b = newTestbed() })
 
-	// suspendAt lets the machine have been suspended for a time when the box looks for the
-	// n-th time from now on: as a request is taken, then before each of its sends.
+	// suspendAtCheck reports a suspension at the n-th check from now on: the first is when a
+	// request arrives, the others are before its sends.
 	suspendAtCheck := func(n int, d time.Duration) {
 		checks := 0
 		b.checkSuspension = func() {
@@ -37,28 +37,28 @@
 		return time.Duration(left) * time.Millisecond
 	}
 
-	It("tells endpoints how long callers still wait, the suspension counted", func() {
+	It("sends endpoints deadlines from which the suspension is deducted", func() {
 		s := b.add("i-1", emulator.Plain)
 		suspendAtCheck(2, suspended)
 		Expect(call("under-way").Status).To(Equal(http.StatusOK))
 		Expect(deadline(s)).To(BeNumerically("<=", callerTimeout-suspended))
 	})
 
-	It("gives who came after it all their time", func() {
+	It("leaves the deadlines of later requests unchanged", func() {
 		s := b.add("i-1", emulator.Plain)
 		suspendAtCheck(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
 		Expect(deadline(s)).To(BeNumerically(">", callerTimeout-suspended))
 	})
 
-	It("doesn't send what nobody waits for any more", func() {
+	It("does not send a request whose deadline passed during the suspension", func() {
 		b.add("i-1", emulator.Plain)
 		suspendAtCheck(2, 2*callerTimeout)
 		Expect(call("late").Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(b.deployment.Runs()).To(BeEmpty())
 	})
 
-	It("uses none of the connections that rested before", func() {
+	It("does not reuse connections that were idle during the suspension", func() {
 		s := b.add("i-1", emulator.Plain)
 		Expect(call("before").Status).To(Equal(http.StatusOK))
 		suspendAtCheck(1, suspended)
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -19,8 +19,8 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// testbed is a gateway before emulated servers; the belief is read once from the
-// emulated store.
+// testbed is a gateway in front of emulated servers; it reads its view from the emulated
+// store once, and again on refresh.
 type testbed struct {
 	deployment      *emulator.Deployment
 	belief          *fleet.Belief
@@ -28,16 +28,17 @@
 	address         string
 	caller          *emulator.Caller
 	store           *platform.Store
-	checkSuspension func() // for a suspension, or nil
+	checkSuspension func() // called at each check for a suspension, or nil
 	log             *observer.ObservedLogs
 }
 
-// callerTimeout is the deadline of the bench's calls.
+// callerTimeout is the deadline of the testbed's calls.
 const callerTimeout = 1500 * time.Millisecond
 
 func newTestbed() *testbed { return newTestbedWith(true) }
 
-// newTestbedWith builds one; a box that isn't fresh has no slack at first.
+// newTestbedWith returns a testbed whose retry budget has no slack at first unless the box is
+// fresh.
 func newTestbedWith(fresh bool, options ...gateway.Option) *testbed {
 	d, err := emulator.NewDeployment()
 	Expect(err).NotTo(HaveOccurred())
@@ -83,7 +84,7 @@
 	return b
 }
 
-// add starts a server and lets the gateway know it.
+// add starts a server and refreshes the gateway's view.
 func (b *testbed) add(id, service string) *emulator.Server {
 	s, err := b.deployment.Add(id, service)
 	Expect(err).NotTo(HaveOccurred())
@@ -91,7 +92,7 @@
 	return s
 }
 
-// crashCount counts the lines on endpoints that ended under a request.
+// crashCount returns the number of crashes logged for a request.
 func (b *testbed) crashCount(request string) int {
 	return b.log.FilterMessage("endpoint crashed during a request").FilterField(zap.String("request", request)).Len()
 }
--- a/gateway/throttle.go
+++ b/gateway/throttle.go
@@ -10,33 +10,33 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// HandleNotice takes what an endpoint says of itself in an answer to this box.
+// HandleNotice handles an endpoint's notice in an answer to this box.
 func (g *Gateway) HandleNotice(now time.Time, e routing.Endpoint, n Notice) {
 	if n.Limited {
 		g.counters.limitNotices.Inc()
 	}
 	if n.Leaving {
 		g.counters.leavingNotices.Inc()
-		// The store may not know yet, or not take the endpoint's word for as long as it is away.
+		// The store may not list it as leaving yet, or may be unavailable.
 		g.onLeaving(e.ID)
 	}
 	if n.Backoff > 0 {
 		g.counters.backoffs.Inc()
 		g.sendGate.backoffs.extend(now, e.ID, n.Backoff)
-		g.log.Info("endpoint asks this box for rest", zap.String("endpoint", e.ID), zap.Duration("for", n.Backoff))
+		g.log.Info("endpoint asked this box to back off", zap.String("endpoint", e.ID), zap.Duration("for", n.Backoff))
 	}
 	g.sendGate.limits.announced.Answered(now, e.ID, n.Limited, n.Limit)
 }
 
-// Throttle is what an endpoint has asked for.
+// Throttle holds the limits on sends that an endpoint asked for.
 type Throttle struct {
 	Endpoint  string
-	PerSecond float64       // requests that it takes from all boxes together, if it named a limit
-	Limited   bool          // whether it did
-	Rest      time.Duration // how much longer it wants nothing from this box; 0 if it doesn't rest
+	PerSecond float64       // the announced rate limit in requests per second, for all boxes together
+	Limited   bool          // a rate limit was announced
+	Rest      time.Duration // for how much longer this box must not send to it; 0 if it may
 }
 
-// Throttles gives the endpoints that have asked for fewer requests or for rest, by id.
+// Throttles returns the limits that endpoints asked for, sorted by endpoint ID.
 func (g *Gateway) Throttles(now time.Time) []Throttle {
 	var all []Throttle
 	remaining := g.sendGate.backoffs.all(now)
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// stallFactor is after how many of the route's pauses between events a
-	// stream counts as stalled; stallLeast is the least such time, above what a
-	// busy engine needs between two events.
+	// stallFactor is the multiple of the route's target for pauses between events after
+	// which a stream counts as stalled. minStallTime is the least such time; it exceeds
+	// the pauses of a busy engine.
 	stallFactor  = 2
 	minStallTime = 300 * time.Millisecond
-	// pingTimeout is how long an engine may take to say that it is alive; it
-	// answers in milliseconds.
+	// pingTimeout is how long an engine may take to answer a ping.
 	pingTimeout = 250 * time.Millisecond
 )
 
-// watchdog finds out engines that died without a word: when a stream stalls,
-// its engine is asked for its load. One that doesn't answer either is taken for
-// dead and its connection is closed, so that the stream can go on from its copy.
-// One that answers keeps the stream: the run was preempted or waits.
+// watchdog detects engines that died without closing their connections. When a stream
+// stalls, its engine is pinged; if it doesn't answer, the connection is closed so that the
+// stream can continue from its copy. If it answers, the stream is kept: the run was
+// preempted or waits.
 type watchdog struct {
 	proxiedRequest *proxiedRequest
 	engine         routing.Endpoint
@@ -32,8 +31,8 @@
 	timer          *time.Timer
 }
 
-// startWatchdog starts a watchdog for a stream with a copy to go on from; without one,
-// there is nothing to gain.
+// startWatchdog starts a watchdog for a stream with a backup copy; without one the watchdog
+// never fires, since the stream could not continue.
 func (p *proxiedRequest) startWatchdog(l *endpointConn) *watchdog {
 	d := &watchdog{
 		proxiedRequest: p,
@@ -47,7 +46,7 @@
 	return d
 }
 
-// reset says that an event came.
+// reset restarts the timer after an event.
 func (d *watchdog) reset() {
 	if d.timer != nil {
 		d.timer.Reset(d.after)
@@ -74,12 +73,12 @@
 		d.timer.Reset(d.after)
 		return
 	}
-	p.logAsync("engine taken for dead",
+	p.logAsync("engine did not answer a ping; its stream's connection is closed",
 		zap.String("endpoint", d.engine.ID),
 		zap.Duration("silent_for", d.after),
 		zap.Duration("asked_for", time.Since(begun)),
 		zap.Error(err),
 	)
-	p.gateway.spread.Failed(time.Now(), d.engine.ID, true)
+	p.gateway.balancer.Failed(time.Now(), d.engine.ID, true)
 	_ = d.endpointConn.Close()
 }
