--- a/gateway/cold_limiter.go
+++ b/gateway/cold_limiter.go
@@ -23,7 +23,7 @@
 }
 
 type coldEndpoint struct {
-	budget         *core.Ration
+	budget         *core.SendBudget
 	share          int
 	shareUpdatedAt time.Time
 }
@@ -47,7 +47,7 @@
 	}
 	known := c.endpoints[e.ID]
 	if known == nil {
-		known = &coldEndpoint{budget: core.NewRation(core.DefaultRationRules())}
+		known = &coldEndpoint{budget: core.NewSendBudget(core.DefaultSendBudgetRules())}
 		c.endpoints[e.ID] = known
 	}
 	if known.shareUpdatedAt.IsZero() || now.Sub(known.shareUpdatedAt) > shareTTL {
@@ -66,7 +66,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.endpoints[e.ID]
-	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.budget.Free(now, known.share)
+	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.budget.CanReserve(now, known.share)
 }
 
 // reserve reserves a send for a planned request and reports whether one was left.
@@ -74,7 +74,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.limited(now, s, e)
-	return known == nil || known.budget.Hold(now, known.share)
+	return known == nil || known.budget.Reserve(now, known.share)
 }
 
 // release returns a reserved send that is not used.
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known := c.endpoints[e.ID]; known != nil {
-		known.budget.Drop()
+		known.budget.CancelReservation()
 	}
 }
 
@@ -91,7 +91,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.limited(now, s, e)
-	return known == nil || known.budget.Send(now, known.share, true)
+	return known == nil || known.budget.Acquire(now, known.share, true)
 }
 
 // sweep removes endpoints that nothing was sent to lately.
@@ -99,7 +99,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, known := range c.endpoints {
-		if known.budget.Idle(now) && now.Sub(known.shareUpdatedAt) > shareTTL {
+		if known.budget.IsIdle(now) && now.Sub(known.shareUpdatedAt) > shareTTL {
 			delete(c.endpoints, id)
 		}
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -75,7 +75,7 @@
 		return
 	}
 	heardSince := func(at time.Time) bool { return p.gateway.balancer.ActiveSince(at, r.endpoint.ID) }
-	if presence, crashed := p.gateway.presences.Ended(r.endpoint.ID, r.endpoint.Address, heardSince); crashed {
+	if presence, crashed := p.gateway.presences.Crashed(r.endpoint.ID, r.endpoint.Address, heardSince); crashed {
 		p.recordCrash(r, presence)
 	}
 }
@@ -100,25 +100,25 @@
 		zap.Duration("after", time.Since(r.sentAt)),
 		zap.Int("events", r.events),
 	)
-	p.gateway.quarantine.Ended(time.Now(), p.contentDigest, r.endpoint.ID)
+	p.gateway.quarantine.Crashed(time.Now(), p.contentDigest, r.endpoint.ID)
 }
 
 // isQuarantined reports whether the request must not be sent to any endpoint, because
 // endpoints crashed during it. Callers that repeat such a request would crash one endpoint
 // after the other, and cut the streams of others there.
 func (p *proxiedRequest) isQuarantined() bool {
-	_, held := p.gateway.quarantine.Held(time.Now(), p.contentDigest)
+	_, held := p.gateway.quarantine.QuarantinedUntil(time.Now(), p.contentDigest)
 	return held
 }
 
 // recordSuccess records that an endpoint ran the request and did not crash.
 func (p *proxiedRequest) recordSuccess() {
-	p.gateway.quarantine.Survived(time.Now(), p.contentDigest)
+	p.gateway.quarantine.RecordSuccess(time.Now(), p.contentDigest)
 }
 
 // quarantineRemaining returns the time until the request may be sent again, at least 1 s.
 func (p *proxiedRequest) quarantineRemaining() time.Duration {
 	now := time.Now()
-	until, _ := p.gateway.quarantine.Held(now, p.contentDigest)
+	until, _ := p.gateway.quarantine.QuarantinedUntil(now, p.contentDigest)
 	return max(until.Sub(now), time.Second).Round(time.Second)
 }
--- a/gateway/rate_limiter.go
+++ b/gateway/rate_limiter.go
@@ -24,7 +24,7 @@
 }
 
 type limitedEndpoint struct {
-	limiter        *core.Pace
+	limiter        *core.RateLimiter
 	perSecond      float64
 	share          int
 	shareInterval  time.Duration
@@ -42,17 +42,17 @@
 
 // state returns the state of a rate-limited endpoint, or nil for any other.
 func (l *rateLimiter) state(now time.Time, endpoint string) *limitedEndpoint {
-	perSecond, limited := l.announced.Of(now, endpoint)
+	perSecond, limited := l.announced.Lookup(now, endpoint)
 	if !limited {
 		return nil
 	}
 	known := l.endpoints[endpoint]
 	if known == nil {
-		known = &limitedEndpoint{limiter: core.NewPace(core.DefaultPaceRules(), rand.Float64)}
+		known = &limitedEndpoint{limiter: core.NewRateLimiter(core.DefaultRateLimiterRules(), rand.Float64)}
 		l.endpoints[endpoint] = known
 	}
 	if known.perSecond != perSecond || now.Sub(known.shareUpdatedAt) > shareTTL {
-		units, shareInterval := core.DefaultPaceRules().Units(perSecond)
+		units, shareInterval := core.DefaultRateLimiterRules().SplitRate(perSecond)
 		known.perSecond = perSecond
 		known.shareInterval = shareInterval
 		known.share = l.share(endpoint, units)
@@ -64,7 +64,7 @@
 
 // isLimited reports whether an endpoint announced a rate limit.
 func (l *rateLimiter) isLimited(now time.Time, endpoint string) bool {
-	_, isLimited := l.announced.Of(now, endpoint)
+	_, isLimited := l.announced.Lookup(now, endpoint)
 	return isLimited
 }
 
@@ -77,7 +77,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.endpoints[endpoint]
-	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.limiter.Free(now)
+	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.limiter.CanReserve(now)
 }
 
 // reserve reserves a send for a planned request and reports whether one was left.
@@ -85,7 +85,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.state(now, endpoint)
-	return known == nil || known.limiter.Hold(now)
+	return known == nil || known.limiter.Reserve(now)
 }
 
 // release returns a reserved send that is not used.
@@ -93,7 +93,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.endpoints[endpoint]; known != nil {
-		known.limiter.Drop()
+		known.limiter.CancelReservation()
 	}
 }
 
@@ -102,7 +102,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.state(now, endpoint)
-	return known == nil || known.limiter.Send(now, held)
+	return known == nil || known.limiter.Acquire(now, held)
 }
 
 // allowLoadQuery spends a send on a load query and reports whether it may be made.
@@ -117,7 +117,7 @@
 		return false
 	}
 	every := time.Duration(float64(known.shareInterval) / (float64(known.share) * maxLoadQueryShare))
-	if now.Sub(known.loadQueriedAt) < every || !known.limiter.Send(now, false) {
+	if now.Sub(known.loadQueriedAt) < every || !known.limiter.Acquire(now, false) {
 		return false
 	}
 	known.loadQueriedAt = now
@@ -145,7 +145,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, known := range l.endpoints {
-		if !l.isLimited(now, id) && known.limiter.Idle(now) {
+		if !l.isLimited(now, id) && known.limiter.IsIdle(now) {
 			delete(l.endpoints, id)
 		}
 	}
--- a/gateway/suspension.go
+++ b/gateway/suspension.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Suspended corrects the gateway's state after the machine was suspended for a time that the
+// HandleSuspension corrects the gateway's state after the machine was suspended for a time that the
 // monotonic clock did not count. Deadlines come that much sooner, and idle connections are
 // closed: their endpoints may have closed them, and a request that must run only once would
 // be lost there.
-func (g *Gateway) Suspended(d time.Duration) {
+func (g *Gateway) HandleSuspension(d time.Duration) {
 	g.suspended.Add(int64(d))
 	g.sendGate.backoffs.suspended(d)
 	g.pool.Sweep(time.Now(), func(string) bool { return false })
@@ -17,7 +17,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.budgets {
-		b.Suspended()
+		b.HandleSuspension()
 	}
 }
 
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -26,7 +26,7 @@
 		b.checkSuspension = func() {
 			checks++
 			if checks == n {
-				b.gateway.Suspended(d)
+				b.gateway.HandleSuspension(d)
 			}
 		}
 	}
--- a/gateway/throttle.go
+++ b/gateway/throttle.go
@@ -25,7 +25,7 @@
 		g.sendGate.backoffs.extend(now, e.ID, n.Backoff)
 		g.log.Info("endpoint asked this box to back off", zap.String("endpoint", e.ID), zap.Duration("for", n.Backoff))
 	}
-	g.sendGate.limits.announced.Answered(now, e.ID, n.Limited, n.Limit)
+	g.sendGate.limits.announced.RecordAnswer(now, e.ID, n.Limited, n.Limit)
 }
 
 // Throttle holds the limits on sends that an endpoint asked for.
