--- a/gateway/backup.go
+++ b/gateway/backup.go
@@ -71,7 +71,7 @@
 	g := p.gateway
 	view := g.view()
 	e, known := view.Endpoint(p.endpoint.ID)
-	if p.service.Engine == nil || !known || e.Leaving || now.Sub(view.Confirmed) > maxListAge || p.terminalEvent() != nil {
+	if p.service.Engine == nil || !known || e.Leaving || now.Sub(view.ConfirmedAt) > maxListAge || p.terminalEvent() != nil {
 		return
 	}
 	if !g.backupsEnabled(now) {
@@ -79,7 +79,7 @@
 	}
 	g.recordUnannouncedBreak(now)
 	g.onPlaced(fleet.Placement{
-		Endpoint: e.ID,
-		Broke:    true,
+		Endpoint:     e.ID,
+		StreamBroken: true,
 	})
 }
--- a/gateway/continuation.go
+++ b/gateway/continuation.go
@@ -65,7 +65,7 @@
 	if id == "" {
 		return false
 	}
-	return p.gateway.view().Takes(id)
+	return p.gateway.view().IsAvailable(id)
 }
 
 // resumeInNewRun resumes a stream with a new run at another endpoint.
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -99,9 +99,9 @@
 		v.step(now, found)
 	}
 	if update.Target != "" {
-		v.recordTarget(update.Moving, update.Target)
+		v.recordTarget(update.MovingRunID, update.Target)
 	}
-	for _, id := range update.Over {
+	for _, id := range update.FinishedRuns {
 		v.forgetTarget(id)
 		v.step(now, core.RunFinished{ID: id})
 	}
@@ -111,9 +111,9 @@
 func (g *Gateway) recordTarget(source, run, target string) {
 	g.evacuation(source).recordTarget(run, target)
 	g.onEvacuating(fleet.Evacuating{
-		Endpoint: source,
-		Moving:   run,
-		Target:   target,
+		Endpoint:    source,
+		MovingRunID: run,
+		Target:      target,
 	})
 }
 
@@ -168,7 +168,7 @@
 	g.log.Info("runs queued for their moves off a leaving engine", zap.String("endpoint", v.endpoint), zap.Int("runs", len(runs)))
 	update := fleet.Evacuating{Endpoint: v.endpoint}
 	for _, r := range runs {
-		update.Runs = append(update.Runs, fleet.MovingRun(r))
+		update.Runs = append(update.Runs, fleet.PendingMove(r))
 	}
 	g.onEvacuating(update)
 	v.step(time.Now(), core.RunsAdded{
@@ -217,8 +217,8 @@
 	}
 	v.step(time.Now(), core.RunFinished{ID: p.inbound.ID})
 	v.gateway.onEvacuating(fleet.Evacuating{
-		Endpoint: v.endpoint,
-		Over:     []string{p.inbound.ID},
+		Endpoint:     v.endpoint,
+		FinishedRuns: []string{p.inbound.ID},
 	})
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -47,8 +47,8 @@
 		p.gateway.sendGate.release(p.endpoint)
 		p.gateway.balancer.Failed(time.Now(), p.endpoint.ID, true)
 		p.gateway.onPlaced(fleet.Placement{
-			Endpoint: p.endpoint.ID,
-			Overdue:  true,
+			Endpoint:      p.endpoint.ID,
+			AnswerOverdue: true,
 		})
 		p.logDecision("endpoint unreachable", zap.String("endpoint", p.endpoint.ID), zap.Error(err))
 		if ev := p.terminalEvent(); ev != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -205,12 +205,12 @@
 // HandlePlacement handles a placement update from another box.
 func (g *Gateway) HandlePlacement(now time.Time, p fleet.Placement) {
 	switch {
-	case p.Broke:
+	case p.StreamBroken:
 		g.recordUnannouncedBreak(now)
-	case p.Overdue:
+	case p.AnswerOverdue:
 		g.balancer.Failed(now, p.Endpoint, false)
 	case p.RunEnded:
-		g.balancer.RunEnded(now, p.Endpoint, p.Tokens, p.Held)
+		g.balancer.RunEnded(now, p.Endpoint, p.Tokens, p.HeldTokens)
 	case p.Copy:
 		g.balancer.AddRemoteCopy(now, p.Endpoint, p.Tokens)
 	default:
--- a/gateway/overdue_timer.go
+++ b/gateway/overdue_timer.go
@@ -96,8 +96,8 @@
 	)
 	g.balancer.Failed(now, o.run.endpoint.ID, false)
 	g.onPlaced(fleet.Placement{
-		Endpoint: o.run.endpoint.ID,
-		Overdue:  true,
+		Endpoint:      o.run.endpoint.ID,
+		AnswerOverdue: true,
 	})
 	// A crash that leaves the connection open shows in no other way, and the caller may
 	// leave before the request's deadline.
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -33,10 +33,10 @@
 	}
 	p.gateway.balancer.RunEnded(time.Now(), endpoint, p.reportedTokens, p.heldTokens())
 	p.gateway.onPlaced(fleet.Placement{
-		Endpoint: endpoint,
-		Tokens:   p.reportedTokens,
-		RunEnded: true,
-		Held:     p.heldTokens(),
+		Endpoint:   endpoint,
+		Tokens:     p.reportedTokens,
+		RunEnded:   true,
+		HeldTokens: p.heldTokens(),
 	})
 }
 
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -20,7 +20,7 @@
 	// Guards against a Retry-After so short that callers return during the same outage of
 	// the store and give up.
 	It("refuses requests with a Retry-After of about two seconds, with jitter", func() {
-		g := gateway.New("zone-a", platform.Protocol{}, fleet.NewBelief().View, gateway.Rules{MemoryBytes: 64 << 20})
+		g := gateway.New("zone-a", platform.Protocol{}, fleet.NewState().View, gateway.Rules{MemoryBytes: 64 << 20})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &http.Server{Handler: g}
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -23,7 +23,7 @@
 // store once, and again on refresh.
 type testbed struct {
 	deployment      *emulator.Deployment
-	belief          *fleet.Belief
+	belief          *fleet.State
 	gateway         *gateway.Gateway
 	address         string
 	caller          *emulator.Caller
@@ -48,7 +48,7 @@
 		deployment: d,
 		store:      platform.NewStore(netip.MustParseAddrPort(d.StoreAddr)),
 	}
-	b.belief = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) {
+	b.belief = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 		if b.gateway != nil {
 			b.gateway.HandleChange(c)
 		}
