--- a/gateway/backoffs.go
+++ b/gateway/backoffs.go
@@ -16,31 +16,31 @@
 func newBackoffs() *backoffs { return &backoffs{until: make(map[string]time.Time)} }
 
 // extend records a backoff of d; it never shortens one that is in force.
-func (r *backoffs) extend(now time.Time, endpoint string, d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if until := now.Add(d); until.After(r.until[endpoint]) {
-		r.until[endpoint] = until
-		r.hasAny.Store(true)
+func (b *backoffs) extend(now time.Time, endpoint string, d time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if until := now.Add(d); until.After(b.until[endpoint]) {
+		b.until[endpoint] = until
+		b.hasAny.Store(true)
 	}
 }
 
 // remaining returns how much longer an endpoint is backed off from, or 0.
-func (r *backoffs) remaining(now time.Time, endpoint string) time.Duration {
-	if !r.hasAny.Load() {
+func (b *backoffs) remaining(now time.Time, endpoint string) time.Duration {
+	if !b.hasAny.Load() {
 		return 0
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return max(r.until[endpoint].Sub(now), 0)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return max(b.until[endpoint].Sub(now), 0)
 }
 
 // all returns the remaining backoffs by endpoint ID.
-func (r *backoffs) all(now time.Time) map[string]time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (b *backoffs) all(now time.Time) map[string]time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	all := make(map[string]time.Duration)
-	for endpoint, until := range r.until {
+	for endpoint, until := range b.until {
 		if until.After(now) {
 			all[endpoint] = until.Sub(now)
 		}
@@ -50,21 +50,21 @@
 
 // suspended shortens all backoffs by the time for which the machine was suspended, which
 // the monotonic clock did not count.
-func (r *backoffs) suspended(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for endpoint, until := range r.until {
-		r.until[endpoint] = until.Add(-d)
+func (b *backoffs) suspended(d time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for endpoint, until := range b.until {
+		b.until[endpoint] = until.Add(-d)
 	}
 }
 
-func (r *backoffs) sweep(now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for endpoint, until := range r.until {
+func (b *backoffs) sweep(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for endpoint, until := range b.until {
 		if !until.After(now) {
-			delete(r.until, endpoint)
+			delete(b.until, endpoint)
 		}
 	}
-	r.hasAny.Store(len(r.until) > 0)
+	b.hasAny.Store(len(b.until) > 0)
 }
--- a/gateway/backup.go
+++ b/gateway/backup.go
@@ -40,10 +40,10 @@
 			nearby = append(nearby, e)
 		}
 	}
-	w := p.demand(nil)
-	w.Zone = p.endpoint.Zone
-	w.MaxMemoryUse = maxBackupFill
-	if e, ok := p.gateway.balancer.Pick(now, nearby, w); ok {
+	req := p.requirements(nil)
+	req.Zone = p.endpoint.Zone
+	req.MaxMemoryUse = maxBackupFill
+	if e, ok := p.gateway.balancer.Pick(now, nearby, req); ok {
 		p.setBackup(e)
 	}
 }
--- a/gateway/choose_endpoint.go
+++ b/gateway/choose_endpoint.go
@@ -67,12 +67,12 @@
 // endpoints without a send left, it picks among endpoints without send limits only.
 func (p *proxiedRequest) pickEndpoint(now time.Time) (routing.Endpoint, bool) {
 	for range maxReserveAttempts {
-		e, ok := p.gateway.balancer.Pick(now, p.candidates(now), p.demand(p.tried))
+		e, ok := p.gateway.balancer.Pick(now, p.candidates(now), p.requirements(p.tried))
 		if !ok || p.gateway.sendGate.reserve(now, p.service, e) {
 			return e, ok
 		}
 	}
-	return p.gateway.balancer.Pick(now, p.unlimitedEndpoints(now), p.demand(p.tried))
+	return p.gateway.balancer.Pick(now, p.unlimitedEndpoints(now), p.requirements(p.tried))
 }
 
 // estimateFields returns log fields with the estimates that the choice of an engine used.
@@ -80,30 +80,31 @@
 	if p.service.Engine == nil {
 		return nil
 	}
-	seen := p.gateway.balancer.Estimate(now, e, p.demand(nil))
+	estimate := p.gateway.balancer.Estimate(now, e, p.requirements(nil))
 	return []zap.Field{
-		zap.Float64("full", math.Round(seen.MemoryUse*100)/100),
-		zap.Duration("ahead", seen.PrefillDelay.Round(time.Millisecond)),
-		zap.Duration("report_age", seen.ReportAge.Round(time.Millisecond)),
-		zap.Duration("heard_age", seen.RemotePlacementAge.Round(time.Millisecond)),
-		zap.Duration("until_first", seen.UntilFirstEvent.Round(time.Millisecond)),
+		zap.Float64("full", math.Round(estimate.MemoryUse*100)/100),
+		zap.Duration("ahead", estimate.PrefillDelay.Round(time.Millisecond)),
+		zap.Duration("report_age", estimate.ReportAge.Round(time.Millisecond)),
+		zap.Duration("heard_age", estimate.RemotePlacementAge.Round(time.Millisecond)),
+		zap.Duration("until_first", estimate.UntilFirstEvent.Round(time.Millisecond)),
 	}
 }
 
-func (p *proxiedRequest) demand(exclude map[string]bool) admission.Requirements {
-	w := admission.Requirements{Exclude: exclude}
+// requirements returns what the request requires of an endpoint, other than those excluded.
+func (p *proxiedRequest) requirements(exclude map[string]bool) admission.Requirements {
+	req := admission.Requirements{Exclude: exclude}
 	if engine := p.service.Engine; engine != nil {
-		w.Tokens = p.expectedTokens()
-		w.Prompt = p.inbound.PromptTokens
-		w.Memory = engine.MemoryTokens
-		w.Shared = p.gateway.boxes() > 1
-		w.MovableTokens = movableTokens(engine)
+		req.Tokens = p.expectedTokens()
+		req.Prompt = p.inbound.PromptTokens
+		req.Memory = engine.MemoryTokens
+		req.Shared = p.gateway.boxes() > 1
+		req.MovableTokens = movableTokens(engine)
 	}
-	return w
+	return req
 }
 
-// shortNotice is the time for copies off a leaving engine that a notice of 1.5 s, the
-// shortest one, allows.
+// shortNotice is the time for copies off a leaving engine within the shortest notice, which
+// is 1.5 s.
 const shortNotice = 1300 * time.Millisecond
 
 // movableTokens returns how many tokens of runs can be copied off an engine within a short
@@ -180,11 +181,11 @@
 		return defaultRetryAfter
 	}
 	now := time.Now()
-	in := p.gateway.sendGate.nextSendIn(now, p.allowedEndpoints(func(routing.Endpoint) bool { return true }))
-	if in <= defaultRetryAfter {
+	wait := p.gateway.sendGate.nextSendIn(now, p.allowedEndpoints(func(routing.Endpoint) bool { return true }))
+	if wait <= defaultRetryAfter {
 		return defaultRetryAfter
 	}
-	return jitter(in)
+	return jitter(wait)
 }
 
 func (p *proxiedRequest) writeError(status int, why string, retryAfter time.Duration) {
@@ -199,7 +200,7 @@
 	}
 }
 
-// recordEnd logs and counts the end of a request that was sent, unless giveUp does.
+// recordEnd logs and counts the end of a request that is not answered by refuse or giveUp.
 func (p *proxiedRequest) recordEnd(outcome string, status int, fields ...zap.Field) {
 	p.logDecision(outcome, append(fields,
 		zap.Int("status", status),
--- a/gateway/cold_limiter.go
+++ b/gateway/cold_limiter.go
@@ -22,9 +22,10 @@
 	endpoints map[string]*coldEndpoint // by endpoint ID
 }
 
+// coldEndpoint is this box's budget of sends to one cold endpoint.
 type coldEndpoint struct {
 	budget         *core.SendBudget
-	share          int
+	share          int // the sends that are this box's, out of those of all boxes
 	shareUpdatedAt time.Time
 }
 
@@ -45,16 +46,16 @@
 	if !limited {
 		return nil
 	}
-	known := c.endpoints[e.ID]
-	if known == nil {
-		known = &coldEndpoint{budget: core.NewSendBudget(core.DefaultSendBudgetRules())}
-		c.endpoints[e.ID] = known
+	entry := c.endpoints[e.ID]
+	if entry == nil {
+		entry = &coldEndpoint{budget: core.NewSendBudget(core.DefaultSendBudgetRules())}
+		c.endpoints[e.ID] = entry
 	}
-	if known.shareUpdatedAt.IsZero() || now.Sub(known.shareUpdatedAt) > shareTTL {
-		known.share = c.share(e.ID, sends)
-		known.shareUpdatedAt = now
+	if entry.shareUpdatedAt.IsZero() || now.Sub(entry.shareUpdatedAt) > shareTTL {
+		entry.share = c.share(e.ID, sends)
+		entry.shareUpdatedAt = now
 	}
-	return known
+	return entry
 }
 
 // isExhausted reports whether this box has no send left for an endpoint now, by its last
@@ -65,24 +66,24 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.endpoints[e.ID]
-	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.budget.CanReserve(now, known.share)
+	entry := c.endpoints[e.ID]
+	return entry != nil && now.Sub(entry.shareUpdatedAt) <= shareTTL && !entry.budget.CanReserve(now, entry.share)
 }
 
 // reserve reserves a send for a planned request and reports whether one was left.
 func (c *coldLimiter) reserve(now time.Time, s *routing.Service, e routing.Endpoint) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.limited(now, s, e)
-	return known == nil || known.budget.Reserve(now, known.share)
+	entry := c.limited(now, s, e)
+	return entry == nil || entry.budget.Reserve(now, entry.share)
 }
 
 // release returns a reserved send that is not used.
 func (c *coldLimiter) release(e routing.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.endpoints[e.ID]; known != nil {
-		known.budget.CancelReservation()
+	if entry := c.endpoints[e.ID]; entry != nil {
+		entry.budget.CancelReservation()
 	}
 }
 
@@ -90,16 +91,16 @@
 func (c *coldLimiter) send(now time.Time, s *routing.Service, e routing.Endpoint) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.limited(now, s, e)
-	return known == nil || known.budget.Acquire(now, known.share, true)
+	entry := c.limited(now, s, e)
+	return entry == nil || entry.budget.Acquire(now, entry.share, true)
 }
 
 // sweep removes endpoints that nothing was sent to lately.
 func (c *coldLimiter) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, known := range c.endpoints {
-		if known.budget.IsIdle(now) && now.Sub(known.shareUpdatedAt) > shareTTL {
+	for id, entry := range c.endpoints {
+		if entry.budget.IsIdle(now) && now.Sub(entry.shareUpdatedAt) > shareTTL {
 			delete(c.endpoints, id)
 		}
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// startEndpointCheck starts the same check in the background; done is closed at its end.
+// startEndpointCheck checks in the background whether the endpoint crashed, and closes done
+// when the result is recorded.
 func (p *proxiedRequest) startEndpointCheck() (done <-chan struct{}) {
 	checked := make(chan struct{})
 	if p.request.Context().Err() != nil {
@@ -74,8 +75,8 @@
 	if !p.mayHaveCrashed(r) {
 		return
 	}
-	heardSince := func(at time.Time) bool { return p.gateway.balancer.ActiveSince(at, r.endpoint.ID) }
-	if presence, crashed := p.gateway.presences.Crashed(r.endpoint.ID, r.endpoint.Address, heardSince); crashed {
+	activeSince := func(at time.Time) bool { return p.gateway.balancer.ActiveSince(at, r.endpoint.ID) }
+	if presence, crashed := p.gateway.presences.Crashed(r.endpoint.ID, r.endpoint.Address, activeSince); crashed {
 		p.recordCrash(r, presence)
 	}
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -62,21 +62,21 @@
 		return core.CallUnsent{}
 	}
 	p.announceRun(now, copyName != "")
-	p.gateway.balancer.BeginSend(now, p.endpoint.ID, p.demand(nil).Tokens, p.reportedTokens)
+	p.gateway.balancer.BeginSend(now, p.endpoint.ID, p.requirements(nil).Tokens, p.reportedTokens)
 	p.overdueTimer = p.startOverdueTimer(l)
 	defer p.overdueTimer.stop()
 	ev := p.exchange(l, copyName)
-	if _, streams := ev.(streamStarted); streams {
+	if _, isStream := ev.(streamStarted); isStream {
 		return p.stream(now)
 	}
 	p.overdueTimer.stop()
-	p.gateway.balancer.EndSend(time.Now(), p.endpoint.ID, now, p.demand(nil).Tokens)
+	p.gateway.balancer.EndSend(time.Now(), p.endpoint.ID, now, p.requirements(nil).Tokens)
 	p.announceRunEnd(p.endpoint.ID)
 	return ev
 }
 
-// chooseConnectTimeout returns the timeout of a new connection: short if another endpoint
-// can take the request instead, which is never so for a continuation from a copy.
+// chooseConnectTimeout returns the timeout of a new connection, which is short if another
+// endpoint can take the request instead. A continuation needs the endpoint with the copy.
 func (p *proxiedRequest) chooseConnectTimeout(copyName string) time.Duration {
 	if copyName != "" {
 		return connectTimeout
@@ -92,15 +92,16 @@
 // streamStarted is the event that the answer's head was read and begins a stream.
 type streamStarted struct{ core.EventBase }
 
+// exchange writes the request to a connection and reads the answer, of a stream its head.
 func (p *proxiedRequest) exchange(l *endpointConn, copyName string) core.Event {
 	a := &answer{endpointConn: l}
 	p.answer = a
 	_ = l.SetDeadline(p.currentDeadline())
 	a.stopAfterFunc = context.AfterFunc(p.request.Context(), func() { _ = l.Close() })
-	wrote := p.writeRequest(a, copyName)
-	if wrote != nil && l.writtenBytes == 0 {
+	writeErr := p.writeRequest(a, copyName)
+	if writeErr != nil && l.writtenBytes == 0 {
 		a.close()
-		return p.failed("writing the request failed before its first byte", wrote, core.CallUnsent{})
+		return p.failed("writing the request failed before its first byte", writeErr, core.CallUnsent{})
 	}
 	if err := p.readResponseHead(a); err != nil {
 		a.close()
@@ -204,8 +205,8 @@
 		}
 		headers := p.gateway.protocol.Answer(head.StatusCode, head.Header)
 		p.gateway.HandleNotice(time.Now(), p.endpoint, headers.Notice)
-		mine := headers.ID == p.inbound.ID || (headers.ID == "" && a.endpointConn.isNew && strayAnswers == 0)
-		if mine {
+		isOwn := headers.ID == p.inbound.ID || (headers.ID == "" && a.endpointConn.isNew && strayAnswers == 0)
+		if isOwn {
 			a.head = head
 			a.headers = headers
 			if strayAnswers > 0 {
--- a/gateway/faults_test.go
+++ b/gateway/faults_test.go
@@ -182,7 +182,7 @@
 		DeferCleanup(gone.Crash)
 		b.deployment.ListAt(gone, unresponsiveAddress(), emulator.Plain, "ready")
 		b.refresh()
-		begun := time.Now()
+		startedAt := time.Now()
 		for i := range 8 {
 			o := b.caller.Do(context.Background(), emulator.Call{
 				ID:       fmt.Sprintf("x%d", i),
@@ -194,7 +194,7 @@
 			Expect(o.Status).To(Equal(http.StatusOK))
 		}
 		// Without the short connect timeout, each try there would use the whole deadline.
-		Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
+		Expect(time.Since(startedAt)).To(BeNumerically("<", 2*time.Second))
 	})
 })
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,7 +17,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// bodyMemoryDivisor is the divisor of the box's memory that gives the bound for request bodies.
+// bodyMemoryDivisor divides the box's memory; the quotient bounds the buffered request bodies.
 const bodyMemoryDivisor = 6
 
 // Rules are the limits of a gateway.
@@ -37,7 +37,7 @@
 	onPlaced           func(fleet.Placement)
 	onEvacuating       func(fleet.Evacuating)
 	onLeaving          func(endpoint string)
-	borrowSends        func(ctx context.Context, service string)
+	borrowRetries      func(ctx context.Context, service string)
 	view               func() *fleet.View
 	boxes              func() int
 	balancer           *admission.Balancer
@@ -45,8 +45,8 @@
 	pool               *Pool
 	log                *zap.Logger
 	counters           *counters
-	mu                 sync.Mutex
-	usualAnswer        durationAverages                    // time to the first byte of an answer or event, by route
+	mu                 sync.Mutex                          // guards budgets, streams and evacuations
+	usualAnswer        durationAverages                    // time to a whole answer or a first event, by route
 	eventIntervals     durationAverages                    // time between events, by service
 	budgets            map[string]*core.SharedBudget       // retry budgets, by service
 	streams            map[string]map[*proxiedRequest]bool // running streams, by endpoint ID
@@ -74,8 +74,8 @@
 	return func(g *Gateway) { g.boxes = boxes }
 }
 
-// WithRateShare sets the function that returns how many of an endpoint's rate shares, or of
-// a cold endpoint's sends, are this box's.
+// WithRateShare sets the function that returns how many of an endpoint's units, which are
+// rate shares or a cold endpoint's sends, are this box's.
 func WithRateShare(share func(endpoint string, units int) int) Option {
 	return func(g *Gateway) {
 		g.sendGate.cold.share = share
@@ -95,8 +95,8 @@
 
 // WithBorrow sets the function that requests sends from other boxes' retry budgets when a
 // stream needs one and this box's part is spent. ReceiveTransfer adds what they grant.
-func WithBorrow(borrowSends func(ctx context.Context, service string)) Option {
-	return func(g *Gateway) { g.borrowSends = borrowSends }
+func WithBorrow(borrowRetries func(ctx context.Context, service string)) Option {
+	return func(g *Gateway) { g.borrowRetries = borrowRetries }
 }
 
 // WithOnPlaced sets the function that is called with each placement that other boxes need to
@@ -111,7 +111,8 @@
 	return func(g *Gateway) { g.onEvacuating = onEvacuating }
 }
 
-// WithOnLeaving sets the function that is called with each endpoint that announced its leaving.
+// WithOnLeaving sets the function that is called with the ID of each endpoint that announced
+// that it leaves.
 func WithOnLeaving(onLeaving func(endpoint string)) Option {
 	return func(g *Gateway) { g.onLeaving = onLeaving }
 }
@@ -167,8 +168,8 @@
 	g.activeRequests.Add(1)
 	defer g.activeRequests.Add(-1)
 	g.checkSuspension()
-	// A request with both Content-Length and chunks can smuggle another one: net/http
-	// ignores the length, but a proxy in front may not. Nothing may follow it.
+	// A chunked request may also have a Content-Length, which net/http ignores. A proxy in
+	// front may not, so the connection is closed lest the rest smuggle another request.
 	if g.stopAt.Load() != nil || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
--- a/gateway/inbound.go
+++ b/gateway/inbound.go
@@ -76,17 +76,17 @@
 // readBody reads the whole body, within the configured size limit and the box's memory for
 // bodies; on failure it answers the caller and returns false.
 func (p *proxiedRequest) readBody() bool {
-	most := int64(p.view.Table.Limits().BodyBytes)
+	maxBytes := int64(p.view.Table.Limits().BodyBytes)
 	length := p.request.ContentLength
 	if length == 0 {
 		return true
 	}
-	if most > 0 && length > most {
+	if maxBytes > 0 && length > maxBytes {
 		p.refuse(http.StatusRequestEntityTooLarge, "the body is larger than the configuration permits")
 		return false
 	}
 	_ = http.NewResponseController(p.writer).SetReadDeadline(p.deadline)
-	err := p.readBodyChunks(http.MaxBytesReader(p.writer, p.request.Body, max(most, 1)))
+	err := p.readBodyChunks(http.MaxBytesReader(p.writer, p.request.Body, max(maxBytes, 1)))
 	_ = http.NewResponseController(p.writer).SetReadDeadline(time.Time{})
 	if err == nil {
 		return true
@@ -110,15 +110,15 @@
 
 // readBodyChunks reads the body in chunks and reserves memory before each, since the length
 // of a chunked body is not known in advance.
-func (p *proxiedRequest) readBodyChunks(from io.Reader) error {
+func (p *proxiedRequest) readBodyChunks(source io.Reader) error {
 	for {
 		if !p.gateway.reserveBodyMemory(bodyChunkBytes) {
 			return errNoMemory
 		}
 		p.reservedBytes += bodyChunkBytes
-		piece, err := io.ReadAll(io.LimitReader(from, bodyChunkBytes))
-		p.body = append(p.body, piece...)
-		if err != nil || len(piece) < bodyChunkBytes {
+		chunk, err := io.ReadAll(io.LimitReader(source, bodyChunkBytes))
+		p.body = append(p.body, chunk...)
+		if err != nil || len(chunk) < bodyChunkBytes {
 			return err
 		}
 	}
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.request.Context(), moveTimeout)
 	defer cancel()
-	withoutRoom := make(map[string]bool) // targets without room
+	withoutRoom := make(map[string]bool) // IDs of targets that refused or have no send left
 	for ctx.Err() == nil && p.runsAt(source) {
 		from := p.currentEndpoint()
 		target, ok := p.chooseMoveTarget(from, withoutRoom)
@@ -120,20 +120,20 @@
 	all := slices.DeleteFunc(slices.Clone(p.candidates(time.Now())), func(e routing.Endpoint) bool {
 		return e.ID == source.ID || withoutRoom[e.ID]
 	})
-	w := p.demand(nil)
-	w.Zone = source.Zone
-	w.MaxMemoryUse = maxMoveFill
+	req := p.requirements(nil)
+	req.Zone = source.Zone
+	req.MaxMemoryUse = maxMoveFill
 	for _, fits := range []func(routing.Endpoint) bool{
 		func(e routing.Endpoint) bool { return e.Zone == source.Zone && !busy[e.ID] },
 		func(e routing.Endpoint) bool { return !busy[e.ID] },
 		func(e routing.Endpoint) bool { return e.Zone == source.Zone },
 	} {
-		if e, ok := g.balancer.Pick(time.Now(), filterEndpoints(all, fits), w); ok {
+		if e, ok := g.balancer.Pick(time.Now(), filterEndpoints(all, fits), req); ok {
 			return e, true
 		}
 	}
-	w.MaxMemoryUse = 0
-	return g.balancer.Pick(time.Now(), all, w)
+	req.MaxMemoryUse = 0
+	return g.balancer.Pick(time.Now(), all, req)
 }
 
 func filterEndpoints(all []routing.Endpoint, fits func(routing.Endpoint) bool) []routing.Endpoint {
@@ -164,7 +164,7 @@
 	expected := p.expectedCopyTime()
 	var last MoveResult
 	for {
-		begun := time.Now()
+		startedAt := time.Now()
 		moved, err := p.requestMove(ctx, m)
 		if errors.Is(err, errSourceThrottled) && last.Copy != "" {
 			return last, nil
@@ -173,7 +173,7 @@
 			p.logAsync("copy failed", zap.String("endpoint", m.Source.ID), zap.String("target", m.Target.ID), zap.Error(err))
 			return moved, err
 		}
-		if time.Since(begun) < expected+copyTimeMargin || time.Now().After(until) {
+		if time.Since(startedAt) < expected+copyTimeMargin || time.Now().After(until) {
 			return moved, nil
 		}
 		last = moved
@@ -183,7 +183,7 @@
 
 // moveTo moves the run to one target. After an error the run continues where it is.
 func (p *proxiedRequest) moveTo(ctx context.Context, source, target routing.Endpoint) error {
-	tokens := p.demand(nil).Tokens
+	tokens := p.requirements(nil).Tokens
 	p.gateway.balancer.Copy(time.Now(), target.ID, tokens)
 	defer p.gateway.balancer.Copy(time.Now(), target.ID, -tokens)
 	m := Move{
@@ -191,7 +191,7 @@
 		Source:  source,
 		Target:  target,
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	p.gateway.recordTarget(source.ID, p.inbound.ID, target.ID)
 	earlier, err := p.copyWhileRunning(ctx, m)
 	if err != nil {
@@ -218,7 +218,7 @@
 		zap.String("endpoint", source.ID),
 		zap.String("target", h.target.ID),
 		zap.Int("events", moved.Events),
-		zap.Duration("copying", copied.Sub(begun)),
+		zap.Duration("copying", copied.Sub(startedAt)),
 		zap.Duration("stopped", time.Since(copied)),
 		zap.Error(err),
 	)
--- a/gateway/overdue_timer.go
+++ b/gateway/overdue_timer.go
@@ -23,30 +23,30 @@
 
 // durationAverages holds exponential moving averages of durations, by name.
 type durationAverages struct {
-	mu  sync.Mutex
-	all map[string]time.Duration
+	mu       sync.Mutex
+	averages map[string]time.Duration
 }
 
 func newDurationAverages() durationAverages {
-	return durationAverages{all: make(map[string]time.Duration)}
+	return durationAverages{averages: make(map[string]time.Duration)}
 }
 
-func (u *durationAverages) learn(name string, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	usual, known := u.all[name]
+func (a *durationAverages) learn(name string, took time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	usual, known := a.averages[name]
 	if !known {
-		u.all[name] = took
+		a.averages[name] = took
 		return
 	}
-	u.all[name] = usual + time.Duration(averageWeight*float64(took-usual))
+	a.averages[name] = usual + time.Duration(averageWeight*float64(took-usual))
 }
 
 // mean returns the average for a name, or 0 if there is none yet.
-func (u *durationAverages) mean(name string) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.all[name]
+func (a *durationAverages) mean(name string) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.averages[name]
 }
 
 // overdueTimer waits for the answer to a send to begin. It detects endpoints that leave some
@@ -110,8 +110,8 @@
 // hasRetryBudget reports whether the service's retry budget allows one more send.
 func (g *Gateway) hasRetryBudget(service string) bool {
 	now := time.Now()
-	has := 0
+	available := 0
 	boxes := g.boxes()
-	g.withBudget(service, now, func(b *core.SharedBudget) { has = b.Available(now, boxes) })
-	return has > 0
+	g.withBudget(service, now, func(b *core.SharedBudget) { available = b.Available(now, boxes) })
+	return available > 0
 }
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -6,8 +6,8 @@
 	"dillsaddle.example/dillsaddle/fleet"
 )
 
-// announceRun notifies the group of the run that begins at an engine: of its prompt to be
-// read or, if copied, of its memory that is there already.
+// announceRun notifies the group of a run that begins at an engine, with the size of its
+// prompt or, if it continues from a copy, of the memory that the engine holds already.
 func (p *proxiedRequest) announceRun(now time.Time, copied bool) {
 	p.reportedTokens = 0
 	if p.service.Engine == nil {
--- a/gateway/rate_limiter.go
+++ b/gateway/rate_limiter.go
@@ -23,11 +23,12 @@
 	endpoints map[string]*limitedEndpoint // by endpoint ID
 }
 
+// limitedEndpoint is this box's share of the rate limit of one endpoint.
 type limitedEndpoint struct {
 	limiter        *core.RateLimiter
 	perSecond      float64
-	share          int
-	shareInterval  time.Duration
+	share          int           // how many of the shares that the limit is split into are this box's
+	shareInterval  time.Duration // each share allows one send in this time
 	shareUpdatedAt time.Time
 	loadQueriedAt  time.Time
 }
@@ -46,20 +47,20 @@
 	if !limited {
 		return nil
 	}
-	known := l.endpoints[endpoint]
-	if known == nil {
-		known = &limitedEndpoint{limiter: core.NewRateLimiter(core.DefaultRateLimiterRules(), rand.Float64)}
-		l.endpoints[endpoint] = known
+	entry := l.endpoints[endpoint]
+	if entry == nil {
+		entry = &limitedEndpoint{limiter: core.NewRateLimiter(core.DefaultRateLimiterRules(), rand.Float64)}
+		l.endpoints[endpoint] = entry
 	}
-	if known.perSecond != perSecond || now.Sub(known.shareUpdatedAt) > shareTTL {
+	if entry.perSecond != perSecond || now.Sub(entry.shareUpdatedAt) > shareTTL {
 		units, shareInterval := core.DefaultRateLimiterRules().SplitRate(perSecond)
-		known.perSecond = perSecond
-		known.shareInterval = shareInterval
-		known.share = l.share(endpoint, units)
-		known.shareUpdatedAt = now
-		known.limiter.Set(now, known.share, shareInterval)
+		entry.perSecond = perSecond
+		entry.shareInterval = shareInterval
+		entry.share = l.share(endpoint, units)
+		entry.shareUpdatedAt = now
+		entry.limiter.Set(now, entry.share, shareInterval)
 	}
-	return known
+	return entry
 }
 
 // isLimited reports whether an endpoint announced a rate limit.
@@ -76,51 +77,51 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.endpoints[endpoint]
-	return known != nil && now.Sub(known.shareUpdatedAt) <= shareTTL && !known.limiter.CanReserve(now)
+	entry := l.endpoints[endpoint]
+	return entry != nil && now.Sub(entry.shareUpdatedAt) <= shareTTL && !entry.limiter.CanReserve(now)
 }
 
 // reserve reserves a send for a planned request and reports whether one was left.
 func (l *rateLimiter) reserve(now time.Time, endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.state(now, endpoint)
-	return known == nil || known.limiter.Reserve(now)
+	entry := l.state(now, endpoint)
+	return entry == nil || entry.limiter.Reserve(now)
 }
 
 // release returns a reserved send that is not used.
 func (l *rateLimiter) release(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if known := l.endpoints[endpoint]; known != nil {
-		known.limiter.CancelReservation()
+	if entry := l.endpoints[endpoint]; entry != nil {
+		entry.limiter.CancelReservation()
 	}
 }
 
 // send spends a send, reserved before if held is set, and reports whether it may be made.
-func (l *rateLimiter) send(now time.Time, endpoint string, held bool) bool {
+func (l *rateLimiter) send(now time.Time, endpoint string, reserved bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.state(now, endpoint)
-	return known == nil || known.limiter.Acquire(now, held)
+	entry := l.state(now, endpoint)
+	return entry == nil || entry.limiter.Acquire(now, reserved)
 }
 
 // allowLoadQuery spends a send on a load query and reports whether it may be made.
 func (l *rateLimiter) allowLoadQuery(now time.Time, endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.state(now, endpoint)
-	if known == nil {
+	entry := l.state(now, endpoint)
+	if entry == nil {
 		return true
 	}
-	if known.share == 0 {
+	if entry.share == 0 {
 		return false
 	}
-	every := time.Duration(float64(known.shareInterval) / (float64(known.share) * maxLoadQueryShare))
-	if now.Sub(known.loadQueriedAt) < every || !known.limiter.Acquire(now, false) {
+	interval := time.Duration(float64(entry.shareInterval) / (float64(entry.share) * maxLoadQueryShare))
+	if now.Sub(entry.loadQueriedAt) < interval || !entry.limiter.Acquire(now, false) {
 		return false
 	}
-	known.loadQueriedAt = now
+	entry.loadQueriedAt = now
 	return true
 }
 
@@ -132,11 +133,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.endpoints[endpoint]
-	if known == nil {
+	entry := l.endpoints[endpoint]
+	if entry == nil {
 		return 0, true
 	}
-	return known.limiter.Next(now)
+	return entry.limiter.Next(now)
 }
 
 // sweep removes endpoints that are no longer limited and that nothing was sent to lately.
@@ -144,8 +145,8 @@
 	l.announced.Sweep(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, known := range l.endpoints {
-		if !l.isLimited(now, id) && known.limiter.IsIdle(now) {
+	for id, entry := range l.endpoints {
+		if !l.isLimited(now, id) && entry.limiter.IsIdle(now) {
 			delete(l.endpoints, id)
 		}
 	}
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -68,17 +68,17 @@
 	if g.hasRetryBudget(service) {
 		return true
 	}
-	if g.borrowSends == nil {
+	if g.borrowRetries == nil {
 		return false
 	}
-	begun := time.Now()
+	requestedAt := time.Now()
 	ctx, cancel := context.WithTimeout(p.request.Context(), borrowTimeout)
 	defer cancel()
-	g.borrowSends(ctx, service)
+	g.borrowRetries(ctx, service)
 	available := g.hasRetryBudget(service)
 	p.logAsync("retry budget spent; requested sends from other boxes",
 		zap.Int("boxes", g.boxes()),
-		zap.Duration("asked_for", time.Since(begun)),
+		zap.Duration("asked_for", time.Since(requestedAt)),
 		zap.Bool("allowed", available),
 	)
 	return available
@@ -87,10 +87,10 @@
 // TransferOut transfers part of this box's retry budget to another box.
 func (g *Gateway) TransferOut(now time.Time, service string, sends int) int {
 	keep := g.sendsToKeep(service)
-	lent := 0
+	transferred := 0
 	boxes := g.boxes()
-	g.withBudget(service, now, func(b *core.SharedBudget) { lent = b.TransferOut(now, boxes, sends, keep) })
-	return lent
+	g.withBudget(service, now, func(b *core.SharedBudget) { transferred = b.TransferOut(now, boxes, sends, keep) })
+	return transferred
 }
 
 // ReceiveTransfer adds sends that another box transferred to this box's retry budget.
--- a/gateway/send_gate.go
+++ b/gateway/send_gate.go
@@ -96,13 +96,13 @@
 func (g *sendGate) nextSendIn(now time.Time, all []routing.Endpoint) time.Duration {
 	var first time.Duration
 	for _, e := range all {
-		in, ok := g.limits.nextSendIn(now, e.ID)
-		in = max(in, g.backoffs.remaining(now, e.ID))
-		if ok && in == 0 {
+		wait, ok := g.limits.nextSendIn(now, e.ID)
+		wait = max(wait, g.backoffs.remaining(now, e.ID))
+		if ok && wait == 0 {
 			return 0
 		}
-		if ok && (first == 0 || in < first) {
-			first = in
+		if ok && (first == 0 || wait < first) {
+			first = wait
 		}
 	}
 	return first
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -63,7 +63,7 @@
 // at which the request was sent.
 func (p *proxiedRequest) stream(sent time.Time) core.Event {
 	a := p.answer
-	runEndpoint, tokens, backup := p.endpoint.ID, p.demand(nil).Tokens, p.backup.ID
+	runEndpoint, tokens, backup := p.endpoint.ID, p.requirements(nil).Tokens, p.backup.ID
 	if backup != "" {
 		p.gateway.balancer.Copy(time.Now(), backup, tokens)
 		defer p.gateway.balancer.Copy(time.Now(), backup, -tokens)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -160,11 +160,11 @@
 			Expect(streamAt(emulator.ResumePath, id).Whole).To(BeTrue())
 		}
 		first.SetFault(emulator.Silent, 100)
-		begun := time.Now()
+		startedAt := time.Now()
 		for _, id := range []string{"o4", "o5", "o6", "o7"} {
 			Expect(streamAt(emulator.ResumePath, id).Whole).To(BeTrue())
 		}
-		Expect(time.Since(begun)).To(BeNumerically("<", 10*time.Second))
+		Expect(time.Since(startedAt)).To(BeNumerically("<", 10*time.Second))
 	})
 
 	// moveOnDrain starts a stream at the first engine, drains that engine, checks that the
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -12,10 +12,10 @@
 		g.streams[id] = all
 	}
 	all[p] = true
-	leaving := g.evacuations[id]
+	evacuation := g.evacuations[id]
 	g.mu.Unlock()
-	if leaving != nil {
-		go leaving.addOwnRuns()
+	if evacuation != nil {
+		go evacuation.addOwnRuns()
 	}
 }
 
@@ -25,10 +25,10 @@
 	if len(g.streams[endpoint]) == 0 {
 		delete(g.streams, endpoint)
 	}
-	leaving := g.evacuations[endpoint]
+	evacuation := g.evacuations[endpoint]
 	g.mu.Unlock()
-	if leaving != nil {
-		go leaving.finishRun(p)
+	if evacuation != nil {
+		go evacuation.finishRun(p)
 	}
 }
 
--- a/gateway/suspension.go
+++ b/gateway/suspension.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// HandleSuspension corrects the gateway's state after the machine was suspended for a time that the
-// monotonic clock did not count. Deadlines come that much sooner, and idle connections are
-// closed: their endpoints may have closed them, and a request that must run only once would
-// be lost there.
+// HandleSuspension corrects the gateway's state after the machine was suspended for a time
+// that the monotonic clock did not count. Deadlines come that much sooner. Idle connections
+// are closed: their endpoints may have closed them, and a request that must run only once
+// would be lost there.
 func (g *Gateway) HandleSuspension(d time.Duration) {
 	g.suspended.Add(int64(d))
 	g.sendGate.backoffs.suspended(d)
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -23,7 +23,7 @@
 // store once, and again on refresh.
 type testbed struct {
 	deployment      *emulator.Deployment
-	belief          *fleet.State
+	state           *fleet.State
 	gateway         *gateway.Gateway
 	address         string
 	caller          *emulator.Caller
@@ -48,12 +48,12 @@
 		deployment: d,
 		store:      platform.NewStore(netip.MustParseAddrPort(d.StoreAddr)),
 	}
-	b.belief = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
+	b.state = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 		if b.gateway != nil {
 			b.gateway.HandleChange(c)
 		}
 	}))
-	b.gateway = gateway.New("zone-a", platform.Protocol{}, b.belief.View, gateway.Rules{
+	b.gateway = gateway.New("zone-a", platform.Protocol{}, b.state.View, gateway.Rules{
 		Retry: core.BudgetRules{
 			Ratio:  0.2,
 			Slack:  50,
@@ -100,7 +100,7 @@
 func (b *testbed) refresh() {
 	snapshot, err := b.store.Read(context.Background())
 	Expect(err).NotTo(HaveOccurred())
-	b.belief.ApplySnapshot(time.Now(), snapshot)
+	b.state.ApplySnapshot(time.Now(), snapshot)
 }
 
 func (b *testbed) call(method, path, id, body string) emulator.Outcome {
--- a/gateway/throttle.go
+++ b/gateway/throttle.go
@@ -40,14 +40,14 @@
 func (g *Gateway) Throttles(now time.Time) []Throttle {
 	var all []Throttle
 	remaining := g.sendGate.backoffs.all(now)
-	for _, w := range g.sendGate.limits.announced.All(now) {
+	for _, limit := range g.sendGate.limits.announced.All(now) {
 		all = append(all, Throttle{
-			Endpoint:  w.Endpoint,
-			PerSecond: w.PerSecond,
+			Endpoint:  limit.Endpoint,
+			PerSecond: limit.PerSecond,
 			Limited:   true,
-			Rest:      remaining[w.Endpoint],
+			Rest:      remaining[limit.Endpoint],
 		})
-		delete(remaining, w.Endpoint)
+		delete(remaining, limit.Endpoint)
 	}
 	for endpoint, left := range remaining {
 		all = append(all, Throttle{
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -67,7 +67,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.request.Context(), pingTimeout)
 	defer cancel()
-	begun := time.Now()
+	pingedAt := time.Now()
 	err := p.gateway.mover.Ping(ctx, d.engine)
 	if err == nil || p.request.Context().Err() != nil {
 		d.timer.Reset(d.after)
@@ -76,7 +76,7 @@
 	p.logAsync("engine did not answer a ping; its stream's connection is closed",
 		zap.String("endpoint", d.engine.ID),
 		zap.Duration("silent_for", d.after),
-		zap.Duration("asked_for", time.Since(begun)),
+		zap.Duration("asked_for", time.Since(pingedAt)),
 		zap.Error(err),
 	)
 	p.gateway.balancer.Failed(time.Now(), d.engine.ID, true)
