--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,9 +93,9 @@
 	return func(g *Gateway) { g.mover = m }
 }
 
-// WithBorrow sets the function that requests sends from other boxes' retry budgets when a
+// WithRetryBorrowing sets the function that requests sends from other boxes' retry budgets when a
 // stream needs one and this box's part is spent. ReceiveTransfer adds what they grant.
-func WithBorrow(borrowRetries func(ctx context.Context, service string)) Option {
+func WithRetryBorrowing(borrowRetries func(ctx context.Context, service string)) Option {
 	return func(g *Gateway) { g.borrowRetries = borrowRetries }
 }
 
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -95,7 +95,7 @@
 	// retry budget is spent while other boxes have sends left.
 	DescribeTable("that needs a send when this box's retry budget is spent",
 		func(lent int) {
-			b = newTestbedWith(false, gateway.WithBorrow(func(_ context.Context, service string) {
+			b = newTestbedWith(false, gateway.WithRetryBorrowing(func(_ context.Context, service string) {
 				if lent > 0 {
 					b.gateway.ReceiveTransfer(time.Now(), service, lent)
 				}
