--- a/gateway/mover.go
+++ b/gateway/mover.go
@@ -28,7 +28,7 @@
 const (
 	RunUnknown     EngineRefusal = "no such run" // the run has not begun or has ended
 	MoveInProgress EngineRefusal = "another move is under way"
-	NoRoom         EngineRefusal = "no room, or no way there"
+	NoRoom         EngineRefusal = "target has no room or is unreachable"
 )
 
 // EngineError reports that an engine refused a call.
@@ -39,7 +39,7 @@
 
 // Error returns a message with the engine's status.
 func (e *EngineError) Error() string {
-	return fmt.Sprintf("the engine answered %d; choose another one or try again later", e.Status)
+	return fmt.Sprintf("engine refused the call with status %d", e.Status)
 }
 
 // Mover copies the memory of runs between engines.
--- a/gateway/retry_budget_test.go
+++ b/gateway/retry_budget_test.go
@@ -16,8 +16,8 @@
 	// Ten boxes share a slack of 50.
 	shared := gateway.WithBoxes(func() int { return 10 })
 	const share = 5
-	// totalLent returns how many sends the box transfers when asked repeatedly.
-	totalLent := func(b *testbed) int {
+	// totalTransferred returns how many sends the box transfers when asked repeatedly.
+	totalTransferred := func(b *testbed) int {
 		total := 0
 		for range 20 {
 			total += b.gateway.TransferOut(time.Now(), emulator.Model, 1)
@@ -29,7 +29,7 @@
 	It("transfers its whole part when it has no streams", func() {
 		b := newTestbedWith(true, shared)
 		b.add("e-1", emulator.Model)
-		Expect(totalLent(b)).To(Equal(share))
+		Expect(totalTransferred(b)).To(Equal(share))
 	})
 
 	It("keeps one send when it has a stream", func() {
@@ -46,6 +46,6 @@
 			Deadline: 20 * time.Second,
 		})
 		Eventually(s.Runs).Should(HaveLen(1))
-		Expect(totalLent(b)).To(Equal(share - 1))
+		Expect(totalTransferred(b)).To(Equal(share - 1))
 	})
 })
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -94,10 +94,10 @@
 	// Guards against cutting streams whose copy is ready because this box's part of the
 	// retry budget is spent while other boxes have sends left.
 	DescribeTable("that needs a send when this box's retry budget is spent",
-		func(lent int) {
+		func(transferred int) {
 			b = newTestbedWith(false, gateway.WithRetryBorrowing(func(_ context.Context, service string) {
-				if lent > 0 {
-					b.gateway.ReceiveTransfer(time.Now(), service, lent)
+				if transferred > 0 {
+					b.gateway.ReceiveTransfer(time.Now(), service, transferred)
 				}
 			}))
 			first := b.add("e-1", emulator.Model)
@@ -111,16 +111,16 @@
 			b.refresh()
 			b.deployment.List(first, emulator.Model, "draining")
 			b.refresh()
-			if lent == 0 {
+			if transferred == 0 {
 				// It stays at its engine until that crashes.
 				time.Sleep(4 * eventGap)
 				first.Crash()
 			}
 			o := <-done
 			Expect(o.Fault).To(BeEmpty())
-			Expect(o.Whole).To(Equal(lent > 0))
+			Expect(o.Whole).To(Equal(transferred > 0))
 			Expect(o.Events).To(BeNumerically(">=", 3))
-			Expect(second.Runs()).To(HaveLen(min(lent, 1)))
+			Expect(second.Runs()).To(HaveLen(min(transferred, 1)))
 		},
 		Entry("continues with a send transferred from another box", 1),
 		Entry("ends with its engine when no box transfers one", 0),
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -37,9 +37,9 @@
 
 func newTestbed() *testbed { return newTestbedWith(true) }
 
-// newTestbedWith returns a testbed whose retry budget has no slack at first unless the box is
-// fresh.
-func newTestbedWith(fresh bool, options ...gateway.Option) *testbed {
+// newTestbedWith returns a testbed. Its retry budget has no slack at first if firstProcess is
+// not set.
+func newTestbedWith(firstProcess bool, options ...gateway.Option) *testbed {
 	d, err := emulator.NewDeployment()
 	Expect(err).NotTo(HaveOccurred())
 	observed, log := observer.New(zap.InfoLevel)
@@ -61,7 +61,7 @@
 			Safety: 1,
 		},
 		MemoryBytes:  64 << 20,
-		FirstProcess: fresh,
+		FirstProcess: firstProcess,
 	}, append([]gateway.Option{
 		gateway.WithLog(zap.New(observed)),
 		gateway.WithMover(platform.NewEngines()),
