--- a/gateway/overdue_timer.go
+++ b/gateway/overdue_timer.go
@@ -71,7 +71,7 @@
 		mayRetryElsewhere: !p.headSent && p.call.MayRunAgain(),
 	}
 	usualAnswer := p.gateway.usualAnswer.mean(p.route.Name)
-	after := max(time.Duration(overdueFactor*float64(usualAnswer)), time.Duration(minOverduePart*float64(p.route.Target)))
+	after := max(time.Duration(overdueFactor*float64(usualAnswer)), time.Duration(minOverduePart*float64(p.route.LatencyTarget)))
 	if usualAnswer > 0 && time.Until(p.currentDeadline()) > after+usualAnswer {
 		o.timer = time.AfterFunc(after, func() { o.onOverdue(after) })
 	}
