--- a/gateway/rate_limiter.go
+++ b/gateway/rate_limiter.go
@@ -142,7 +142,7 @@
 
 // sweep removes endpoints that are no longer limited and that nothing was sent to lately.
 func (l *rateLimiter) sweep(now time.Time) {
-	l.announced.Sweep(now)
+	l.announced.DropExpired(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, entry := range l.endpoints {
