--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -197,8 +197,8 @@
 	g.sendGate.sweep(now)
 }
 
-// SetShare sets the engines that the box's group prefers.
-func (g *Gateway) SetShare(share map[string]bool) { g.balancer.SetShare(share) }
+// SetGroupEngines sets the engines that the box's group prefers.
+func (g *Gateway) SetGroupEngines(share map[string]bool) { g.balancer.SetGroupEngines(share) }
 
 // HandleReport handles an engine's load report, made at the given time.
 func (g *Gateway) HandleReport(at time.Time, r routing.Report) { g.balancer.Memory(at, r) }
