--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -39,7 +39,7 @@
 // ReportLeaving takes an endpoint's own word to this box that it is on its way out, and
 // tells the boxes of the group if that is news.
 func (p *Peers) ReportLeaving(endpoint string) {
-	if p.belief.MarkLeaving(time.Now(), fromEngine, endpoint) {
+	if p.state.MarkLeaving(time.Now(), sourceEngine, endpoint) {
 		p.BroadcastEvacuating(Evacuating{Endpoint: endpoint})
 	}
 }
@@ -49,7 +49,7 @@
 func (p *Peers) BroadcastEvacuating(e Evacuating) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pushEvacuating(p.paths.near, e)
+	p.pushEvacuating(p.paths.direct, e)
 	e.Relay = true
 	p.pushEvacuating(p.paths.relays(), e)
 }
@@ -57,7 +57,7 @@
 func (p *Peers) pushEvacuating(to []netip.AddrPort, e Evacuating) {
 	for _, address := range to {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), greetTime)
+			ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 			defer cancel()
 			// Who doesn't hear it lets the turns pass.
 			if c, err := p.pool.Get(ctx, address); err == nil {
@@ -67,16 +67,16 @@
 	}
 }
 
-// evacuating takes a fellow's word on an engine that leaves, which may be the first
+// handleEvacuating takes a fellow's word on an engine that leaves, which may be the first
 // that this box hears of it.
-func (p *Peers) evacuating(_ context.Context, _ *wire.Conn, e Evacuating) {
+func (p *Peers) handleEvacuating(_ context.Context, _ *wire.Conn, e Evacuating) {
 	if e.Relay {
 		e.Relay = false
 		p.mu.Lock()
-		p.pushEvacuating(p.paths.near, e)
+		p.pushEvacuating(p.paths.direct, e)
 		p.mu.Unlock()
 	}
 	now := time.Now()
-	p.belief.MarkLeaving(now, fromPeer, e.Endpoint)
+	p.state.MarkLeaving(now, sourcePeer, e.Endpoint)
 	p.onEvacuating(now, e)
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -29,7 +29,7 @@
 // must go on, answer a greeting, and give new requests to no endpoint without an address.
 func FuzzMessage(f *testing.F) {
 	kinds := []string{
-		fleet.Gossip{}.Kind(), fleet.Update{}.Kind(), fleet.EndRecords{}.Kind(), fleet.Placements{}.Kind(),
+		fleet.Gossip{}.Kind(), fleet.Update{}.Kind(), fleet.CrashRecords{}.Kind(), fleet.Placements{}.Kind(),
 		fleet.Evacuating{}.Kind(), fleet.StateRequest{}.Kind(), fleet.BorrowRequest{}.Kind(),
 	}
 	for i, m := range []any{
@@ -42,7 +42,7 @@
 			Age:     -1,
 		},
 		fleet.Update{ListRevision: 9, Updated: []routing.Endpoint{{ID: "e"}}},
-		fleet.EndRecords{All: []core.CrashRecord{{Cleared: true, Age: 1 << 62}}},
+		fleet.CrashRecords{All: []core.CrashRecord{{Cleared: true, Age: 1 << 62}}},
 		fleet.Placements{All: []fleet.Placement{{Endpoint: "e", Tokens: -1}}},
 		fleet.Evacuating{Endpoint: "e", Runs: []fleet.PendingMove{{ID: "r", CopyTime: -1}}},
 		fleet.StateRequest{ConfigVersion: 1 << 63},
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// greetTime bounds one greeting.
-	greetTime = 800 * time.Millisecond
-	// listPatience is how long a list may be behind a partner's before it is asked
+	// messageTimeout bounds one greeting.
+	messageTimeout = 800 * time.Millisecond
+	// maxListLag is how long a list may be behind a partner's before it is asked
 	// for: news bring most changes within milliseconds.
-	listPatience = 400 * time.Millisecond
+	maxListLag = 400 * time.Millisecond
 )
 
-func (p *Peers) greet(ctx context.Context, address netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(ctx, greetTime)
+func (p *Peers) gossipWith(ctx context.Context, address netip.AddrPort) {
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
-	answer, err := wire.Request[Gossip](ctx, p.pool, address, p.greeting(p.isFellow(address)))
+	answer, err := wire.Request[Gossip](ctx, p.pool, address, p.newGossip(p.isGroupMember(address)))
 	if err != nil {
 		p.log.Debug("box didn't answer", zap.Stringer("address", address), zap.Error(err))
-		p.abandon(address)
+		p.markUnreachable(address)
 		return
 	}
-	p.take(answer, p.isFellow(address))
+	p.mergeGossip(answer, p.isGroupMember(address))
 	c, err := p.pool.Get(ctx, address)
 	if err != nil {
 		return // it was dropped meanwhile; the next greeting opens another
 	}
-	p.compare(c, answer)
+	p.compareVersions(c, answer)
 }
 
-// greeting gives what this box tells another. A box of another group gets the reports of
+// newGossip gives what this box tells another. A box of another group gets the reports of
 // this group's engines only: it has the others from theirs, and bytes between zones have a
 // price. On 295 boxes in five zones greetings were most of them.
-func (p *Peers) greeting(fellow bool) Gossip {
-	p.look()
-	v := p.belief.View()
+func (p *Peers) newGossip(inGroup bool) Gossip {
+	p.checkSuspension()
+	v := p.state.View()
 	now := time.Now()
 	g := Gossip{
 		ConfigVersion: v.ConfigVersion(),
@@ -52,11 +52,11 @@
 		Limits:        p.limits.sample(now),
 	}
 	if p.reports != nil {
-		var share map[string]bool // all
-		if !fellow {
-			share = p.PreferredEndpoints(v)
+		var preferred map[string]bool // all
+		if !inGroup {
+			preferred = p.PreferredEndpoints(v)
 		}
-		g.Reports = p.reports.Sample(now, share)
+		g.Reports = p.reports.Sample(now, preferred)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,23 +65,23 @@
 	return g
 }
 
-func (p *Peers) greeted(c *wire.Conn, g Gossip) Gossip {
-	fellow := slices.Contains(p.Group().Members, g.From.Box)
-	p.take(g, fellow)
-	p.compare(c, g)
-	return p.greeting(fellow)
+func (p *Peers) handleGossip(c *wire.Conn, g Gossip) Gossip {
+	inGroup := slices.Contains(p.Group().Members, g.From.Box)
+	p.mergeGossip(g, inGroup)
+	p.compareVersions(c, g)
+	return p.newGossip(inGroup)
 }
 
-func (p *Peers) isFellow(address netip.AddrPort) bool {
+func (p *Peers) isGroupMember(address netip.AddrPort) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Contains(p.fellows, address)
+	return slices.Contains(p.groupAddresses, address)
 }
 
-func (p *Peers) take(g Gossip, fellow bool) {
+func (p *Peers) mergeGossip(g Gossip, inGroup bool) {
 	now := time.Now()
-	p.endsGreeted(g.Crashes, fellow)
-	p.limitsGreeted(g.Limits, fellow)
+	p.mergeCrashRecords(g.Crashes, inGroup)
+	p.mergeLimitRecords(g.Limits, inGroup)
 	if p.reports != nil {
 		p.reports.Merge(now, g.Reports)
 	}
@@ -91,13 +91,13 @@
 	p.roster.RecordContact(now, g.From)
 }
 
-// compare takes a box's word that nothing is newer, or what it has.
-func (p *Peers) compare(c *wire.Conn, g Gossip) {
-	v := p.belief.View()
-	p.belief.Confirm(time.Now(), g.ListRevision, g.Age)
+// compareVersions takes a box's word that nothing is newer, or what it has.
+func (p *Peers) compareVersions(c *wire.Conn, g Gossip) {
+	v := p.state.View()
+	p.state.Confirm(time.Now(), g.ListRevision, g.Age)
 	o := core.Advertisement{ConfigVersion: g.ConfigVersion}
-	if !v.HasEndpointList || time.Since(v.ConfirmedAt) > listPatience {
+	if !v.HasEndpointList || time.Since(v.ConfirmedAt) > maxListLag {
 		o.ListRevision = g.ListRevision
 	}
-	p.offered(c, o)
+	p.handleAdvertisement(c, o)
 }
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -14,9 +14,9 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// limitSample bounds the limits in one greeting, which has some thirty bytes of each: a
+// maxGossipLimits bounds the limits in one greeting, which has some thirty bytes of each: a
 // whole service may be under strain at once.
-const limitSample = 32
+const maxGossipLimits = 32
 
 // LimitRecords is what a box tells its group at once of limits that endpoints named.
 type LimitRecords struct {
@@ -30,46 +30,46 @@
 // name. Within a group word of a change goes to all at once; greetings carry it from group
 // to group, and tell that it still holds.
 type Limits struct {
-	mu      sync.Mutex
-	limits  *core.Limits
-	present atomic.Bool // whether anything is known; most boxes know of no limit
-	log     *zap.Logger
-	tell    func([]core.LimitRecord)
+	mu         sync.Mutex
+	limits     *core.Limits
+	hasRecords atomic.Bool // whether anything is known; most boxes know of no limit
+	log        *zap.Logger
+	broadcast  func([]core.LimitRecord)
 }
 
 // NewLimits builds a table in which no endpoint is limited.
 func NewLimits(log *zap.Logger) *Limits {
 	return &Limits{
-		limits: core.NewLimits(core.DefaultLimitRules()),
-		log:    log,
-		tell:   func([]core.LimitRecord) {},
+		limits:    core.NewLimits(core.DefaultLimitRules()),
+		log:       log,
+		broadcast: func([]core.LimitRecord) {},
 	}
 }
 
 // RecordAnswer takes what an endpoint's answer to this box says of its limit.
 func (l *Limits) RecordAnswer(now time.Time, endpoint string, limited bool, perSecond float64) {
-	if !limited && !l.present.Load() {
+	if !limited && !l.hasRecords.Load() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := core.LimitRecord{
+	record := core.LimitRecord{
 		Endpoint:  endpoint,
 		Limited:   limited,
 		PerSecond: perSecond,
 	}
-	news := l.limits.RecordAnswer(now, w)
-	l.present.Store(!l.limits.IsEmpty())
-	if news {
-		l.changed([]core.LimitRecord{w}, "own")
-		l.tell([]core.LimitRecord{w})
+	isChange := l.limits.RecordAnswer(now, record)
+	l.hasRecords.Store(!l.limits.IsEmpty())
+	if isChange {
+		l.logChanges([]core.LimitRecord{record}, "own")
+		l.broadcast([]core.LimitRecord{record})
 	}
 }
 
 // Lookup gives the requests a second that an endpoint takes from all boxes together, if it
 // named a limit.
 func (l *Limits) Lookup(now time.Time, endpoint string) (perSecond float64, limited bool) {
-	if !l.present.Load() {
+	if !l.hasRecords.Load() {
 		return 0, false
 	}
 	l.mu.Lock()
@@ -88,7 +88,7 @@
 
 // Sweep forgets limits that no box has heard of for long.
 func (l *Limits) Sweep(now time.Time) {
-	if !l.present.Load() {
+	if !l.hasRecords.Load() {
 		return
 	}
 	l.mu.Lock()
@@ -96,7 +96,7 @@
 	for _, endpoint := range l.limits.Expire(now) {
 		l.log.Info("limit of an endpoint is forgotten, no box heard of it lately", zap.String("endpoint", endpoint))
 	}
-	l.present.Store(!l.limits.IsEmpty())
+	l.hasRecords.Store(!l.limits.IsEmpty())
 }
 
 // HandleSuspension takes that the machine was suspended for a time that its clock didn't count.
@@ -108,38 +108,38 @@
 
 // sample gives what a greeting tells.
 func (l *Limits) sample(now time.Time) []core.LimitRecord {
-	if !l.present.Load() {
+	if !l.hasRecords.Load() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limits.Sample(now, limitSample)
+	return l.limits.Sample(now, maxGossipLimits)
 }
 
-// hear takes what another box told, and gives what the group should hear of it.
-func (l *Limits) hear(now time.Time, told []core.LimitRecord, from string) []core.LimitRecord {
-	if len(told) == 0 {
+// merge takes what another box told, and gives what the group should hear of it.
+func (l *Limits) merge(now time.Time, received []core.LimitRecord, from string) []core.LimitRecord {
+	if len(received) == 0 {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := l.limits.Merge(now, told)
-	l.present.Store(!l.limits.IsEmpty())
-	l.changed(news, from)
-	return news
+	updated := l.limits.Merge(now, received)
+	l.hasRecords.Store(!l.limits.IsEmpty())
+	l.logChanges(updated, from)
+	return updated
 }
 
-// changed logs what is believed of endpoints' limits after news of them.
-func (l *Limits) changed(news []core.LimitRecord, from string) {
-	for _, w := range news {
+// logChanges logs what is believed of endpoints' limits after news of them.
+func (l *Limits) logChanges(updated []core.LimitRecord, from string) {
+	for _, record := range updated {
 		event := "endpoint names no limit any more"
-		if w.Limited {
+		if record.Limited {
 			event = "endpoint names a limit"
 		}
 		l.log.Info(event,
-			zap.String("endpoint", w.Endpoint),
-			zap.Float64("per_second", w.PerSecond),
-			zap.Duration("age", w.Age),
+			zap.String("endpoint", record.Endpoint),
+			zap.Float64("per_second", record.PerSecond),
+			zap.Duration("age", record.Age),
 			zap.String("from", from),
 		)
 	}
@@ -149,25 +149,25 @@
 func WithLimits(l *Limits) PeersOption {
 	return func(p *Peers) {
 		p.limits = l
-		l.tell = p.tellLimits
+		l.broadcast = p.broadcastLimitRecords
 	}
 }
 
-// tellLimits tells the boxes of the group at once; who isn't reached hears it with a
+// broadcastLimitRecords tells the boxes of the group at once; who isn't reached hears it with a
 // greeting.
-func (p *Peers) tellLimits(words []core.LimitRecord) {
-	p.tellFellows(LimitRecords{All: words})
+func (p *Peers) broadcastLimitRecords(records []core.LimitRecord) {
+	p.broadcastToGroup(LimitRecords{All: records})
 }
 
-// limitsTold takes a fellow's word.
-func (p *Peers) limitsTold(_ context.Context, _ *wire.Conn, told LimitRecords) {
-	p.limits.hear(time.Now(), told.All, fromPeer)
+// handleLimitRecords takes a fellow's word.
+func (p *Peers) handleLimitRecords(_ context.Context, _ *wire.Conn, received LimitRecords) {
+	p.limits.merge(time.Now(), received.All, sourcePeer)
 }
 
-// limitsGreeted takes what a greeting told; what comes from another group is handed on in
+// mergeLimitRecords takes what a greeting told; what comes from another group is handed on in
 // this one.
-func (p *Peers) limitsGreeted(told []core.LimitRecord, fellow bool) {
-	if news := p.limits.hear(time.Now(), told, fromPeer); len(news) > 0 && !fellow {
-		p.tellLimits(news)
+func (p *Peers) mergeLimitRecords(records []core.LimitRecord, inGroup bool) {
+	if updated := p.limits.merge(time.Now(), records, sourcePeer); len(updated) > 0 && !inGroup {
+		p.broadcastLimitRecords(updated)
 	}
 }
--- a/fleet/load_reports.go
+++ b/fleet/load_reports.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// reportEvery spaces the questions to one engine; each has a price, and an
+	// queryInterval spaces the questions to one engine; each has a price, and an
 	// engine's word is half a second old when it is given.
-	reportEvery = 500 * time.Millisecond
-	// staleEvery spaces them while the list is older than staleList: only the
+	queryInterval = 500 * time.Millisecond
+	// staleQueryInterval spaces them while the list is older than staleList: only the
 	// engines themselves tell then that they leave, with 1.5 to 2 s notice, and
 	// half a second late.
-	staleEvery = 200 * time.Millisecond
-	staleList  = time.Second
-	// reportTime bounds one question.
-	reportTime = 700 * time.Millisecond
-	// reportLife is how long a report is handed on.
-	reportLife = 3 * time.Second
-	// reportSample bounds the reports in one greeting.
-	reportSample = 64
+	staleQueryInterval = 200 * time.Millisecond
+	staleListAge       = time.Second
+	// queryTimeout bounds one question.
+	queryTimeout = 700 * time.Millisecond
+	// reportLifetime is how long a report is handed on.
+	reportLifetime = 3 * time.Second
+	// maxGossipReports bounds the reports in one greeting.
+	maxGossipReports = 64
 )
 
 // LoadReporter asks an engine for its load.
@@ -49,14 +49,14 @@
 // LoadReports knows the load of engines. Each engine is asked by one box, which
 // follows from the roster, and that box's greetings tell the others.
 type LoadReports struct {
-	mu       sync.Mutex
-	reporter LoadReporter
-	belief   *State
-	peers    *Peers
-	log      *zap.Logger
-	onReport func(time.Time, routing.Report)
-	mayAsk   func(routing.Endpoint) bool
-	known    map[string]timedReport
+	mu          sync.Mutex
+	reporter    LoadReporter
+	state       *State
+	peers       *Peers
+	log         *zap.Logger
+	onReport    func(time.Time, routing.Report)
+	queryFilter func(routing.Endpoint) bool
+	latest      map[string]timedReport
 }
 
 type timedReport struct {
@@ -69,20 +69,20 @@
 
 // WithLoadQueryFilter is asked before each question to an engine: one that takes only some requests
 // may take none now.
-func WithLoadQueryFilter(mayAsk func(routing.Endpoint) bool) LoadReportsOption {
-	return func(r *LoadReports) { r.mayAsk = mayAsk }
+func WithLoadQueryFilter(queryFilter func(routing.Endpoint) bool) LoadReportsOption {
+	return func(r *LoadReports) { r.queryFilter = queryFilter }
 }
 
 // NewLoadReports builds an empty table; onReport is called with each report that is
 // newer than the one before, and with when it was true.
-func NewLoadReports(reporter LoadReporter, belief *State, log *zap.Logger, onReport func(time.Time, routing.Report), options ...LoadReportsOption) *LoadReports {
+func NewLoadReports(reporter LoadReporter, state *State, log *zap.Logger, onReport func(time.Time, routing.Report), options ...LoadReportsOption) *LoadReports {
 	r := &LoadReports{
-		reporter: reporter,
-		belief:   belief,
-		log:      log,
-		onReport: onReport,
-		mayAsk:   func(routing.Endpoint) bool { return true },
-		known:    make(map[string]timedReport),
+		reporter:    reporter,
+		state:       state,
+		log:         log,
+		onReport:    onReport,
+		queryFilter: func(routing.Endpoint) bool { return true },
+		latest:      make(map[string]timedReport),
 	}
 	for _, o := range options {
 		o(r)
@@ -93,43 +93,43 @@
 // Run asks the engines that fall to this box until the context ends.
 func (r *LoadReports) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, e := range r.mine() {
-			go r.ask(ctx, e)
+		for _, e := range r.assignedEngines() {
+			go r.query(ctx, e)
 		}
-		every := reportEvery
-		if time.Since(r.belief.View().ConfirmedAt) > staleList {
-			every = staleEvery
+		every := queryInterval
+		if time.Since(r.state.View().ConfirmedAt) > staleListAge {
+			every = staleQueryInterval
 		}
 		Sleep(ctx, every)
 	}
 }
 
-// mine gives the engines that this box asks: those of its group's share for
+// assignedEngines gives the engines that this box asks: those of its group's share for
 // which its name hashes highest in the group. A box that knows few of the others yet
 // asks none, as all would ask all.
-func (r *LoadReports) mine() []routing.Endpoint {
-	v := r.belief.View()
-	if v.Table == nil || !r.peers.IsSettled() {
+func (r *LoadReports) assignedEngines() []routing.Endpoint {
+	v := r.state.View()
+	if v.Table == nil || !r.peers.HasDiscoveredPeers() {
 		return nil
 	}
 	self, group := r.peers.Self(), r.peers.Group()
-	share := r.peers.PreferredEndpoints(v)
-	var mine []routing.Endpoint
+	preferred := r.peers.PreferredEndpoints(v)
+	var assignedEngines []routing.Endpoint
 	for _, s := range v.Table.Document().Services {
 		if s.Engine == nil {
 			continue
 		}
 		for _, e := range v.Serving(s.Name) {
-			if share[e.ID] && owns(self, group.Members, e.ID) {
-				mine = append(mine, e)
+			if preferred[e.ID] && hashesHighest(self, group.Members, e.ID) {
+				assignedEngines = append(assignedEngines, e)
 			}
 		}
 	}
-	return mine
+	return assignedEngines
 }
 
-// owns is rendezvous hashing.
-func owns(self string, others []string, key string) bool {
+// hashesHighest is rendezvous hashing.
+func hashesHighest(self string, others []string, key string) bool {
 	weight := xxhash.Sum64String(self + "/" + key)
 	for _, other := range others {
 		if xxhash.Sum64String(other+"/"+key) > weight {
@@ -139,16 +139,16 @@
 	return true
 }
 
-func (r *LoadReports) ask(ctx context.Context, e routing.Endpoint) {
-	if !r.mayAsk(e) {
+func (r *LoadReports) query(ctx context.Context, e routing.Endpoint) {
+	if !r.queryFilter(e) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	report, err := r.reporter.Report(ctx, e)
 	var restarted *RestartedError
 	if errors.As(err, &restarted) {
-		r.belief.MarkRestarted(fromEngine, e, restarted.Started)
+		r.state.MarkRestarted(sourceEngine, e, restarted.Started)
 		return
 	}
 	if err != nil {
@@ -159,7 +159,7 @@
 	if report.Leaving {
 		r.peers.ReportLeaving(e.ID)
 	}
-	r.take(now, report)
+	r.record(now, report)
 }
 
 // Clear drops all reports: after a suspension of the machine, they are older than their
@@ -167,29 +167,29 @@
 func (r *LoadReports) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.known)
+	clear(r.latest)
 }
 
 // Merge takes reports that another box handed on.
 func (r *LoadReports) Merge(now time.Time, reports []routing.Report) {
 	for _, report := range reports {
-		if report.Age >= 0 && report.Age < reportLife {
+		if report.Age >= 0 && report.Age < reportLifetime {
 			if report.Leaving {
-				r.belief.MarkLeaving(now, fromPeer, report.Endpoint)
+				r.state.MarkLeaving(now, sourcePeer, report.Endpoint)
 			}
-			r.take(now, report)
+			r.record(now, report)
 		}
 	}
 }
 
-func (r *LoadReports) take(now time.Time, report routing.Report) {
+func (r *LoadReports) record(now time.Time, report routing.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := now.Add(-report.Age)
-	if !at.After(r.known[report.Endpoint].at) {
+	if !at.After(r.latest[report.Endpoint].at) {
 		return
 	}
-	r.known[report.Endpoint] = timedReport{
+	r.latest[report.Endpoint] = timedReport{
 		Report: report,
 		at:     at,
 	}
@@ -197,19 +197,19 @@
 }
 
 // Sample gives the reports to hand on, with their ages: of some engines by id, or of all.
-func (r *LoadReports) Sample(now time.Time, of map[string]bool) []routing.Report {
+func (r *LoadReports) Sample(now time.Time, endpoints map[string]bool) []routing.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []routing.Report
-	for id, known := range r.known {
-		age := now.Sub(known.at)
-		if age >= reportLife {
-			delete(r.known, id)
+	for id, latest := range r.latest {
+		age := now.Sub(latest.at)
+		if age >= reportLifetime {
+			delete(r.latest, id)
 			continue
 		}
-		if len(out) < reportSample && (of == nil || of[id]) {
-			known.Report.Age = age
-			out = append(out, known.Report)
+		if len(out) < maxGossipReports && (endpoints == nil || endpoints[id]) {
+			latest.Report.Age = age
+			out = append(out, latest.Report)
 		}
 	}
 	return out
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -48,9 +48,9 @@
 // Kind names the views.
 func (PeerState) Kind() string { return "views" }
 
-// newsMost is how many changes one piece of news carries; each takes some
+// maxUpdateChanges is how many changes one piece of news carries; each takes some
 // seventy bytes, and a box hears the news from each of its partners.
-const newsMost = 8
+const maxUpdateChanges = 8
 
 // Update is a change that a box learned from the store, as boxes hand it on.
 type Update struct {
@@ -67,8 +67,8 @@
 // Kind names the message.
 func (Update) Kind() string { return "news" }
 
-// newest gives the revision of the last change of the list.
-func (n Update) newest() routing.Revision {
+// newestRevision gives the revision of the last change of the list.
+func (n Update) newestRevision() routing.Revision {
 	var at routing.Revision
 	for _, e := range n.Updated {
 		at = max(at, e.Revision)
@@ -82,10 +82,10 @@
 	return at
 }
 
-// announcement gives the news as they are handed on: many changes are left out,
+// truncate gives the news as they are handed on: many changes are left out,
 // since every partner hears them from many others.
-func (n Update) announcement() Update {
-	if len(n.Updated)+len(n.Removed)+len(n.Zones) > newsMost {
+func (n Update) truncate() Update {
+	if len(n.Updated)+len(n.Removed)+len(n.Zones) > maxUpdateChanges {
 		n.Updated = nil
 		n.Removed = nil
 		n.Zones = nil
@@ -94,6 +94,6 @@
 	return n
 }
 
-func (n Update) empty() bool {
+func (n Update) isEmpty() bool {
 	return n.Version == 0 && len(n.Updated) == 0 && len(n.Removed) == 0 && len(n.Zones) == 0
 }
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -16,49 +16,49 @@
 )
 
 const (
-	// greetEvery spaces a box's greetings; greetLost does so while the store
+	// gossipInterval spaces a box's greetings; greetLost does so while the store
 	// is away, when peers are the only source.
-	greetEvery = 250 * time.Millisecond
-	greetLost  = 150 * time.Millisecond
+	gossipInterval          = 250 * time.Millisecond
+	storeDownGossipInterval = 150 * time.Millisecond
 )
 
 // Peers exchanges views and the roster with other boxes.
 type Peers struct {
-	give         *giver
-	mu           sync.Mutex // guards all that follows
-	pull         *core.SourceSelector[*wire.Conn]
-	pulling      bool          // whether newer views are asked for
-	ended        chan struct{} // closed when this box greets nobody any more
-	woken        chan struct{} // tells who asks for them that somebody offered some
-	memo         shareMemo
-	roster       *core.Roster
-	settling     *core.PeerDiscovery
-	division     *core.ShareAllocator
-	settled      bool // whether most other boxes are known
-	belief       *State
-	seeds        []netip.AddrPort
-	log          *zap.Logger
-	network      wire.Network
-	handlers     *wire.Handlers
-	pool         *wire.Pool
-	server       *wire.Server
-	group        core.Group
-	fellows      []netip.AddrPort // the other boxes of the group
-	paths        groupPaths       // by which messages reach them
-	strangers    []netip.AddrPort
-	turn         int
-	rotated      time.Time
-	alive        map[string]bool
-	reports      *LoadReports
-	budgets      RetryBudgets
-	quarantine   *Quarantine
-	limits       *Limits
-	look         func()
-	onPlaced     func(time.Time, Placement)
-	onEvacuating func(time.Time, Evacuating)
-	untold       []Placement
-	seen         []newsKey // the news that were handed on last
-	telling      map[netip.AddrPort]bool
+	sender            *stateSender
+	mu                sync.Mutex // guards all that follows
+	sources           *core.SourceSelector[*wire.Conn]
+	fetching          bool          // whether newer views are asked for
+	stopped           chan struct{} // closed when this box greets nobody any more
+	wake              chan struct{} // tells who asks for them that somebody offered some
+	lastPreferred     preferredCache
+	roster            *core.Roster
+	discovery         *core.PeerDiscovery
+	rateShares        *core.ShareAllocator
+	discovered        bool // whether most other boxes are known
+	state             *State
+	seeds             []netip.AddrPort
+	log               *zap.Logger
+	network           wire.Network
+	handlers          *wire.Handlers
+	pool              *wire.Pool
+	server            *wire.Server
+	group             core.Group
+	groupAddresses    []netip.AddrPort // the other boxes of the group
+	paths             groupPaths       // by which messages reach them
+	remotePartners    []netip.AddrPort
+	gossipCount       int
+	rotatedAt         time.Time
+	aliveBoxes        map[string]bool
+	reports           *LoadReports
+	budgets           RetryBudgets
+	quarantine        *Quarantine
+	limits            *Limits
+	checkSuspension   func()
+	onPlacement       func(time.Time, Placement)
+	onEvacuating      func(time.Time, Evacuating)
+	pendingPlacements []Placement
+	seenUpdates       []updateKey // the news that were handed on last
+	pushing           map[netip.AddrPort]bool
 }
 
 // PeersOption changes how peers are built.
@@ -84,52 +84,52 @@
 }
 
 // WithPlacementHandler is called with each placement of a partner.
-func WithPlacementHandler(onPlaced func(time.Time, Placement)) PeersOption {
-	return func(p *Peers) { p.onPlaced = onPlaced }
+func WithPlacementHandler(onPlacement func(time.Time, Placement)) PeersOption {
+	return func(p *Peers) { p.onPlacement = onPlacement }
 }
 
 // WithSuspensionCheck gives what looks whether the machine was suspended and calls Suspended if it
 // was; it is called before other boxes are told how old anything is.
-func WithSuspensionCheck(look func()) PeersOption {
-	return func(p *Peers) { p.look = look }
+func WithSuspensionCheck(checkSuspension func()) PeersOption {
+	return func(p *Peers) { p.checkSuspension = checkSuspension }
 }
 
 // NewPeers listens on the box's own address for others; seeds are addresses to
 // begin with, which may be stale.
-func NewPeers(self core.Peer, seeds []netip.AddrPort, belief *State, options ...PeersOption) (*Peers, error) {
+func NewPeers(self core.Peer, seeds []netip.AddrPort, state *State, options ...PeersOption) (*Peers, error) {
 	p := &Peers{
-		roster:       core.NewRoster(self, core.DefaultRosterRules()),
-		settling:     core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
-		division:     core.NewShareAllocator(time.Now(), self.Box, core.DefaultShareRules()),
-		belief:       belief,
-		seeds:        others(seeds, self.Address),
-		log:          zap.NewNop(),
-		alive:        make(map[string]bool),
-		onPlaced:     func(time.Time, Placement) {},
-		onEvacuating: func(time.Time, Evacuating) {},
-		telling:      make(map[netip.AddrPort]bool),
-		pull:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
-		ended:        make(chan struct{}),
-		woken:        make(chan struct{}, 1),
-		network:      wire.Sockets{},
-		quarantine:   NewQuarantine(zap.NewNop()),
-		limits:       NewLimits(zap.NewNop()),
-		look:         func() {},
+		roster:          core.NewRoster(self, core.DefaultRosterRules()),
+		discovery:       core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
+		rateShares:      core.NewShareAllocator(time.Now(), self.Box, core.DefaultShareRules()),
+		state:           state,
+		seeds:           withoutAddress(seeds, self.Address),
+		log:             zap.NewNop(),
+		aliveBoxes:      make(map[string]bool),
+		onPlacement:     func(time.Time, Placement) {},
+		onEvacuating:    func(time.Time, Evacuating) {},
+		pushing:         make(map[netip.AddrPort]bool),
+		sources:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
+		stopped:         make(chan struct{}),
+		wake:            make(chan struct{}, 1),
+		network:         wire.Sockets{},
+		quarantine:      NewQuarantine(zap.NewNop()),
+		limits:          NewLimits(zap.NewNop()),
+		checkSuspension: func() {},
 	}
 	for _, o := range options {
 		o(p)
 	}
-	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.answered), wire.WithNetwork(p.network))
-	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.greeted(c, g), nil })
-	p.give = newGiver(belief, p.log)
-	wire.Answer(p.handlers, p.give.first)
-	wire.Answer(p.handlers, p.give.more)
-	wire.Answer(p.handlers, p.lend)
-	wire.Take(p.handlers, p.heard)
-	wire.Take(p.handlers, p.evacuating)
-	wire.Take(p.handlers, p.newsCame)
-	wire.Take(p.handlers, p.endsTold)
-	wire.Take(p.handlers, p.limitsTold)
+	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.recordSentChunk), wire.WithNetwork(p.network))
+	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.handleGossip(c, g), nil })
+	p.sender = newStateSender(state, p.log)
+	wire.Answer(p.handlers, p.sender.handleStateRequest)
+	wire.Answer(p.handlers, p.sender.handleChunkRequest)
+	wire.Answer(p.handlers, p.handleBorrowRequest)
+	wire.Take(p.handlers, p.handlePlacements)
+	wire.Take(p.handlers, p.handleEvacuating)
+	wire.Take(p.handlers, p.handleUpdate)
+	wire.Take(p.handlers, p.handleCrashRecords)
+	wire.Take(p.handlers, p.handleLimitRecords)
 	p.pool = wire.NewPool(p.handlers)
 	server, err := wire.Listen(self.Address, p.handlers)
 	if err != nil {
@@ -139,8 +139,8 @@
 	return p, nil
 }
 
-// others gives addresses without one's own.
-func others(all []netip.AddrPort, own netip.AddrPort) []netip.AddrPort {
+// withoutAddress gives addresses without one's own.
+func withoutAddress(all []netip.AddrPort, own netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(all), func(a netip.AddrPort) bool { return a == own })
 }
 
@@ -148,29 +148,29 @@
 func (p *Peers) SetSeeds(seeds []netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seeds = others(seeds, p.roster.Self().Address)
+	p.seeds = withoutAddress(seeds, p.roster.Self().Address)
 }
 
 // Run greets other boxes until the context ends.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := greetEvery
-		if p.belief.IsStoreDown() {
-			every = greetLost
+		every := gossipInterval
+		if p.state.IsStoreDown() {
+			every = storeDownGossipInterval
 		}
-		if address, ok := p.nextPartner(time.Now()); ok {
-			go p.greet(ctx, address)
+		if address, ok := p.nextGossipPartner(time.Now()); ok {
+			go p.gossipWith(ctx, address)
 		}
 		Sleep(ctx, every*3/4+rand.N(every/2))
 	}
-	close(p.ended)
+	close(p.stopped)
 	p.server.Close()
 }
 
 // HandleSuspension takes that the machine was suspended for a time, which its steady clock didn't
 // count.
 func (p *Peers) HandleSuspension(d time.Duration) {
-	p.belief.HandleSuspension(d)
+	p.state.HandleSuspension(d)
 	if p.reports != nil {
 		p.reports.Clear()
 	}
@@ -180,14 +180,14 @@
 	p.roster.HandleSuspension(d)
 }
 
-// tellFellows tells the boxes of the group of something at once, without waiting.
-func (p *Peers) tellFellows(m wire.Message) {
+// broadcastToGroup tells the boxes of the group of something at once, without waiting.
+func (p *Peers) broadcastToGroup(m wire.Message) {
 	p.mu.Lock()
-	fellows := p.fellows
+	groupAddresses := p.groupAddresses
 	p.mu.Unlock()
-	for _, address := range fellows {
+	for _, address := range groupAddresses {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), greetTime)
+			ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 			defer cancel()
 			if c, err := p.pool.Get(ctx, address); err == nil {
 				_ = c.Push(ctx, m)
--- a/fleet/placements.go
+++ b/fleet/placements.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// tellEvery is how long placements wait for others to go with them.
-	tellEvery = 15 * time.Millisecond
-	// tellMost bounds the placements of one message; a box with more tells the
+	// placementBatchDelay is how long placements wait for others to go with them.
+	placementBatchDelay = 15 * time.Millisecond
+	// maxPlacements bounds the placements of one message; a box with more tells the
 	// first, and its partners know that the engines are busy.
-	tellMost = 64
+	maxPlacements = 64
 )
 
 // Placement is a prompt that a box has just sent to an engine, a copy of a run that
@@ -41,59 +41,59 @@
 // BroadcastPlacement tells the boxes of the group of a placement, soon and without waiting. A partner
 // that still takes the message before gets none: news of placements are worth
 // nothing when they are late.
-func (p *Peers) BroadcastPlacement(placed Placement) {
+func (p *Peers) BroadcastPlacement(placement Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.untold) >= tellMost {
+	if len(p.pendingPlacements) >= maxPlacements {
 		return
 	}
-	p.untold = append(p.untold, placed)
-	if len(p.untold) == 1 {
-		time.AfterFunc(tellEvery, p.tell)
+	p.pendingPlacements = append(p.pendingPlacements, placement)
+	if len(p.pendingPlacements) == 1 {
+		time.AfterFunc(placementBatchDelay, p.flushPlacements)
 	}
 }
 
-func (p *Peers) tell() {
+func (p *Peers) flushPlacements() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	news := Placements{All: p.untold}
-	p.untold = nil
-	p.pushPlacements(p.paths.near, news)
-	news.Relay = true
-	p.pushPlacements(p.paths.relays(), news)
+	batch := Placements{All: p.pendingPlacements}
+	p.pendingPlacements = nil
+	p.pushPlacements(p.paths.direct, batch)
+	batch.Relay = true
+	p.pushPlacements(p.paths.relays(), batch)
 }
 
-func (p *Peers) pushPlacements(to []netip.AddrPort, news Placements) {
+func (p *Peers) pushPlacements(to []netip.AddrPort, batch Placements) {
 	for _, address := range to {
-		if p.telling[address] {
+		if p.pushing[address] {
 			continue
 		}
-		p.telling[address] = true
-		go p.push(address, news)
+		p.pushing[address] = true
+		go p.pushPlacementsTo(address, batch)
 	}
 }
 
-func (p *Peers) push(address netip.AddrPort, news Placements) {
-	ctx, cancel := context.WithTimeout(context.Background(), greetTime)
+func (p *Peers) pushPlacementsTo(address netip.AddrPort, batch Placements) {
+	ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 	defer cancel()
 	// A partner that can't be reached is found out by the greetings.
 	if c, err := p.pool.Get(ctx, address); err == nil {
-		_ = c.Push(ctx, news)
+		_ = c.Push(ctx, batch)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.telling, address)
+	delete(p.pushing, address)
 }
 
-// heard takes a partner's placements.
-func (p *Peers) heard(_ context.Context, _ *wire.Conn, news Placements) {
-	if news.Relay {
+// handlePlacements takes a partner's placements.
+func (p *Peers) handlePlacements(_ context.Context, _ *wire.Conn, batch Placements) {
+	if batch.Relay {
 		p.mu.Lock()
-		p.pushPlacements(p.paths.near, Placements{All: news.All})
+		p.pushPlacements(p.paths.direct, Placements{All: batch.All})
 		p.mu.Unlock()
 	}
 	now := time.Now()
-	for _, placed := range news.All {
-		p.onPlaced(now, placed)
+	for _, placement := range batch.All {
+		p.onPlacement(now, placement)
 	}
 }
--- a/fleet/preferred_endpoints.go
+++ b/fleet/preferred_endpoints.go
@@ -8,13 +8,13 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// shareMemo keeps the last share: it is asked for some times a second, and
+// preferredCache keeps the last share: it is asked for some times a second, and
 // changes with the list, the configuration and the group only.
-type shareMemo struct {
-	changed routing.Revision
-	version uint64
-	group   core.Group
-	share   map[string]bool
+type preferredCache struct {
+	listRevision routing.Revision
+	version      uint64
+	group        core.Group
+	preferred    map[string]bool
 }
 
 // PreferredEndpoints gives the endpoints that this box's group uses first, by id; it must
@@ -26,30 +26,30 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := &p.memo
-	if m.share != nil && m.changed == v.ListRevision && m.version == v.ConfigVersion() && slices.Equal(m.group.Members, p.group.Members) {
-		return m.share
+	m := &p.lastPreferred
+	if m.preferred != nil && m.listRevision == v.ListRevision && m.version == v.ConfigVersion() && slices.Equal(m.group.Members, p.group.Members) {
+		return m.preferred
 	}
-	share := make(map[string]bool)
+	preferred := make(map[string]bool)
 	for _, s := range v.Table.Document().Services {
 		if s.Engine == nil {
 			for _, e := range v.Serving(s.Name) {
-				share[e.ID] = true
+				preferred[e.ID] = true
 			}
 			continue
 		}
-		maps.Copy(share, p.group.PreferredEndpoints(sites(v.Serving(s.Name))))
+		maps.Copy(preferred, p.group.PreferredEndpoints(endpointLocations(v.Serving(s.Name))))
 	}
-	p.memo = shareMemo{
-		changed: v.ListRevision,
-		version: v.ConfigVersion(),
-		group:   p.group,
-		share:   share,
+	p.lastPreferred = preferredCache{
+		listRevision: v.ListRevision,
+		version:      v.ConfigVersion(),
+		group:        p.group,
+		preferred:    preferred,
 	}
-	return share
+	return preferred
 }
 
-func sites(endpoints []routing.Endpoint) []core.EndpointLocation {
+func endpointLocations(endpoints []routing.Endpoint) []core.EndpointLocation {
 	out := make([]core.EndpointLocation, 0, len(endpoints))
 	for _, e := range endpoints {
 		out = append(out, core.EndpointLocation{
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -11,31 +11,31 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// EndRecords is what a box tells its group at once of requests under which endpoints
+// CrashRecords is what a box tells its group at once of requests under which endpoints
 // ended.
-type EndRecords struct {
+type CrashRecords struct {
 	All []core.CrashRecord `cbor:"1,keyasint"`
 }
 
 // Kind names the message.
-func (EndRecords) Kind() string { return "end records" }
+func (CrashRecords) Kind() string { return "end records" }
 
 // Quarantine is what a box knows, by itself and from others, of requests under which
 // endpoints ended. Within a group word goes to all at once; greetings carry it from group
 // to group, and to boxes that start or were cut off.
 type Quarantine struct {
-	mu   sync.Mutex
-	q    *core.Quarantine
-	log  *zap.Logger
-	tell func([]core.CrashRecord)
+	mu        sync.Mutex
+	q         *core.Quarantine
+	log       *zap.Logger
+	broadcast func([]core.CrashRecord)
 }
 
 // NewQuarantine builds one that knows of no end.
 func NewQuarantine(log *zap.Logger) *Quarantine {
 	return &Quarantine{
-		q:    core.NewQuarantine(core.DefaultQuarantineRules()),
-		log:  log,
-		tell: func([]core.CrashRecord) {},
+		q:         core.NewQuarantine(core.DefaultQuarantineRules()),
+		log:       log,
+		broadcast: func([]core.CrashRecord) {},
 	}
 }
 
@@ -46,9 +46,9 @@
 	if !q.q.Crashed(now, request, endpoint) {
 		return
 	}
-	q.changed(now, request, "own")
+	q.logChange(now, request, "own")
 	if record, ok := q.q.Lookup(now, request); ok {
-		q.tell([]core.CrashRecord{record})
+		q.broadcast([]core.CrashRecord{record})
 	}
 }
 
@@ -59,9 +59,9 @@
 	if !q.q.RecordSuccess(now, request) {
 		return
 	}
-	q.changed(now, request, "own")
+	q.logChange(now, request, "own")
 	if record, ok := q.q.Lookup(now, request); ok {
-		q.tell([]core.CrashRecord{record})
+		q.broadcast([]core.CrashRecord{record})
 	}
 }
 
@@ -102,24 +102,24 @@
 	return q.q.Sample(now)
 }
 
-// hear takes what another box told, and gives what the group should hear of it.
-func (q *Quarantine) hear(now time.Time, told []core.CrashRecord, from string) (news, objections []core.CrashRecord) {
-	if len(told) == 0 {
+// merge takes what another box told, and gives what the group should hear of it.
+func (q *Quarantine) merge(now time.Time, received []core.CrashRecord, from string) (updated, objections []core.CrashRecord) {
+	if len(received) == 0 {
 		return nil, nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	news, objections = q.q.Merge(now, told)
-	for _, t := range news {
-		q.changed(now, t.Request, from)
+	updated, objections = q.q.Merge(now, received)
+	for _, record := range updated {
+		q.logChange(now, record.Request, from)
 	}
-	return news, objections
+	return updated, objections
 }
 
-// changed logs what is believed of a request after news of it. One end alone is logged by
+// logChange logs what is believed of a request after news of it. One end alone is logged by
 // the box that saw it: where many servers crash at once, there is one for each request
 // that ran there.
-func (q *Quarantine) changed(now time.Time, request core.Digest, from string) {
+func (q *Quarantine) logChange(now time.Time, request core.Digest, from string) {
 	ended := q.q.Crashes(request)
 	if len(ended) == 1 {
 		return
@@ -144,32 +144,32 @@
 func WithQuarantine(q *Quarantine) PeersOption {
 	return func(p *Peers) {
 		p.quarantine = q
-		q.tell = p.tellEnds
+		q.broadcast = p.broadcastCrashRecords
 	}
 }
 
-// tellEnds tells the boxes of the group at once: each repeat meanwhile may end another
+// broadcastCrashRecords tells the boxes of the group at once: each repeat meanwhile may end another
 // endpoint. Who isn't reached hears it with a greeting.
-func (p *Peers) tellEnds(records []core.CrashRecord) {
-	p.tellFellows(EndRecords{All: records})
+func (p *Peers) broadcastCrashRecords(records []core.CrashRecord) {
+	p.broadcastToGroup(CrashRecords{All: records})
 }
 
-// endsTold takes a fellow's word.
-func (p *Peers) endsTold(_ context.Context, _ *wire.Conn, told EndRecords) {
-	_, objections := p.quarantine.hear(time.Now(), told.All, fromPeer)
+// handleCrashRecords takes a fellow's word.
+func (p *Peers) handleCrashRecords(_ context.Context, _ *wire.Conn, received CrashRecords) {
+	_, objections := p.quarantine.merge(time.Now(), received.All, sourcePeer)
 	if len(objections) > 0 {
-		p.tellEnds(objections)
+		p.broadcastCrashRecords(objections)
 	}
 }
 
-// endsGreeted takes what a greeting told; what comes from another group is handed on in
+// mergeCrashRecords takes what a greeting told; what comes from another group is handed on in
 // this one.
-func (p *Peers) endsGreeted(told []core.CrashRecord, fellow bool) {
-	news, objections := p.quarantine.hear(time.Now(), told, fromPeer)
-	if !fellow {
-		objections = append(objections, news...)
+func (p *Peers) mergeCrashRecords(records []core.CrashRecord, inGroup bool) {
+	updated, objections := p.quarantine.merge(time.Now(), records, sourcePeer)
+	if !inGroup {
+		objections = append(objections, updated...)
 	}
 	if len(objections) > 0 {
-		p.tellEnds(objections)
+		p.broadcastCrashRecords(objections)
 	}
 }
--- a/fleet/rate_share.go
+++ b/fleet/rate_share.go
@@ -7,8 +7,8 @@
 func (p *Peers) RateShare(endpoint string, units int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.settled || (!p.roster.HasContact() && len(p.seeds) > 0) {
+	if !p.discovered || (!p.roster.HasContact() && len(p.seeds) > 0) {
 		return 0
 	}
-	return p.division.Share(time.Now(), endpoint, units)
+	return p.rateShares.Share(time.Now(), endpoint, units)
 }
--- a/fleet/retry_budget.go
+++ b/fleet/retry_budget.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// lendAsk is how many sends a box asks for: the one that it needs now. What
+	// maxBorrowedSends is how many sends a box asks for: the one that it needs now. What
 	// is lent and not used is lost to both.
-	lendAsk = 1
-	// borrowTries bounds the boxes that are asked for it, within the time that a stream
+	maxBorrowedSends = 1
+	// maxBorrowAttempts bounds the boxes that are asked for it, within the time that a stream
 	// can wait; each answers in one to three milliseconds, and one in three has some.
-	borrowTries = 12
+	maxBorrowAttempts = 12
 )
 
 // BorrowRequest asks a box of the group for a part of its retry budget.
@@ -52,39 +52,39 @@
 	p.budgets = b
 }
 
-func (p *Peers) lender() RetryBudgets {
+func (p *Peers) retryBudgets() RetryBudgets {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budgets
 }
 
-// lend answers a box that asks.
-func (p *Peers) lend(_ context.Context, _ *wire.Conn, q BorrowRequest) (BorrowResponse, error) {
-	b := p.lender()
+// handleBorrowRequest answers a box that asks.
+func (p *Peers) handleBorrowRequest(_ context.Context, _ *wire.Conn, q BorrowRequest) (BorrowResponse, error) {
+	b := p.retryBudgets()
 	if b == nil || q.Sends <= 0 {
 		return BorrowResponse{}, nil
 	}
-	return BorrowResponse{Sends: b.TransferOut(time.Now(), q.Service, min(q.Sends, lendAsk))}, nil
+	return BorrowResponse{Sends: b.TransferOut(time.Now(), q.Service, min(q.Sends, maxBorrowedSends))}, nil
 }
 
-func (p *Peers) anyFellow() (netip.AddrPort, bool) {
+func (p *Peers) randomGroupMember() (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.fellows) == 0 {
+	if len(p.groupAddresses) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return p.fellows[rand.N(len(p.fellows))], true
+	return p.groupAddresses[rand.N(len(p.groupAddresses))], true
 }
 
 // BorrowRetries asks boxes of the group one after the other, until one gives a part
 // of its budget or the context ends.
 func (p *Peers) BorrowRetries(ctx context.Context, service string) {
-	b := p.lender()
+	b := p.retryBudgets()
 	if b == nil {
 		return
 	}
-	for range borrowTries {
-		address, ok := p.anyFellow()
+	for range maxBorrowAttempts {
+		address, ok := p.randomGroupMember()
 		if !ok || ctx.Err() != nil || p.borrow(ctx, b, address, service) {
 			return
 		}
@@ -93,11 +93,11 @@
 
 // borrow asks one box, and tells whether it gave something.
 func (p *Peers) borrow(ctx context.Context, b RetryBudgets, from netip.AddrPort, service string) bool {
-	ctx, cancel := context.WithTimeout(ctx, greetTime)
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
 	lent, err := wire.Request[BorrowResponse](ctx, p.pool, from, BorrowRequest{
 		Service: service,
-		Sends:   lendAsk,
+		Sends:   maxBorrowedSends,
 	})
 	if err != nil {
 		p.log.Debug("no part of a budget came", zap.Stringer("address", from), zap.Error(err))
@@ -106,6 +106,6 @@
 	if lent.Sends <= 0 {
 		return false
 	}
-	b.ReceiveTransfer(time.Now(), service, min(lent.Sends, lendAsk))
+	b.ReceiveTransfer(time.Now(), service, min(lent.Sends, maxBorrowedSends))
 	return true
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -8,19 +8,19 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// returnGrace is how long entries that lapsed while the store was away have to
+// missingGracePeriod is how long entries that lapsed while the store was away have to
 // come back after its return; the platform gives about two seconds.
-const returnGrace = 2 * time.Second
+const missingGracePeriod = 2 * time.Second
 
-// leftMemory is how long the box remembers that an incarnation was leaving, so
+// leavingRetention is how long the box remembers that an incarnation was leaving, so
 // that an old view can't bring it back; far above what any view lags.
-const leftMemory = 10 * time.Minute
+const leavingRetention = 10 * time.Minute
 
 // Names of the sources of changes.
 const (
-	fromStore  = "store"
-	fromPeer   = "peer"
-	fromEngine = "engine" // the endpoint itself
+	sourceStore  = "store"
+	sourcePeer   = "peer"
+	sourceEngine = "engine" // the endpoint itself
 )
 
 // ChangeKind names a change of belief, for logs.
@@ -69,35 +69,35 @@
 
 // State holds the newest view and makes the next ones.
 type State struct {
-	mu       sync.Mutex
-	view     atomic.Pointer[View]
-	onChange func(Change)
-	untold   []Change             // told once the view holds them
-	entries  map[string]*entry    // by the servers' published names
-	touched  map[string]string    // incarnations that changed since the last view, with the servers' names
-	left     map[string]time.Time // leaving incarnations, with when that was learned
-	zones    map[string]routing.ZoneDrain
-	lacking  map[string]routing.ZoneDrain // drained zones that a copy of the store doesn't have as such
-	table    *routing.Table
-	changed  routing.Revision
-	listed   bool
-	confirm  time.Time
-	backAt   time.Time // when the store came back after an outage
-	away     bool
-	heardOf  []heard // versions that are newer than the one in force, oldest first
-
-	removed   []Removal        // the last ones, for partial lists
-	since     routing.Revision // the list's last change when this box first had one
-	forgotten routing.Revision // removals up to this revision are not known any more
+	mu             sync.Mutex
+	view           atomic.Pointer[View]
+	onChange       func(Change)
+	pendingChanges []Change                  // told once the view holds them
+	entries        map[string]*endpointEntry // by the servers' published names
+	modified       map[string]string         // incarnations that changed since the last view, with the servers' names
+	leaving        map[string]time.Time      // leaving incarnations, with when that was learned
+	zones          map[string]routing.ZoneDrain
+	missingZones   map[string]routing.ZoneDrain // drained zones that a copy of the store doesn't have as such
+	table          *routing.Table
+	changed        routing.Revision
+	hasList        bool
+	confirmedAt    time.Time
+	storeUpAt      time.Time // when the store came back after an outage
+	storeDown      bool
+	announcements  []versionAnnouncement // versions that are newer than the one in force, oldest first
+
+	removals       []Removal        // the last ones, for partial lists
+	firstRevision  routing.Revision // the list's last change when this box first had one
+	prunedRevision routing.Revision // removals up to this revision are not known any more
 }
 
-// heard is when anyone first told of a version of the configuration.
-type heard struct {
+// versionAnnouncement is when anyone first told of a version of the configuration.
+type versionAnnouncement struct {
 	version uint64
 	at      time.Time
 }
 
-type entry struct {
+type endpointEntry struct {
 	routing.Endpoint
 	missing bool // it lapsed during an outage and may still come back
 }
@@ -110,120 +110,122 @@
 // are one change: on a fleet of 295 boxes and 141 endpoints, their start took 42,000
 // lines of the boxes' logs with a change each.
 func WithOnChange(onChange func(Change)) StateOption {
-	return func(b *State) { b.onChange = onChange }
+	return func(s *State) { s.onChange = onChange }
 }
 
 // NewState builds an empty belief.
 func NewState(options ...StateOption) *State {
-	b := &State{
-		onChange: func(Change) {},
-		entries:  make(map[string]*entry),
-		touched:  make(map[string]string),
-		left:     make(map[string]time.Time),
-		zones:    make(map[string]routing.ZoneDrain),
-		lacking:  make(map[string]routing.ZoneDrain),
+	s := &State{
+		onChange:     func(Change) {},
+		entries:      make(map[string]*endpointEntry),
+		modified:     make(map[string]string),
+		leaving:      make(map[string]time.Time),
+		zones:        make(map[string]routing.ZoneDrain),
+		missingZones: make(map[string]routing.ZoneDrain),
 	}
 	for _, o := range options {
-		o(b)
+		o(s)
 	}
-	b.view.Store(&View{})
-	return b
+	s.view.Store(&View{})
+	return s
 }
 
 // View gives the newest view.
-func (b *State) View() *View { return b.view.Load() }
+func (s *State) View() *View { return s.view.Load() }
 
 // MarkStoreDown notes that the store can't be reached.
-func (b *State) MarkStoreDown() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.away = true
+func (s *State) MarkStoreDown() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.storeDown = true
 }
 
 // IsStoreDown tells whether the store can't be reached at present.
-func (b *State) IsStoreDown() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.away
+func (s *State) IsStoreDown() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.storeDown
 }
 
 // MarkStoreUp notes that the store answered.
-func (b *State) MarkStoreUp(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.away {
-		b.away = false
-		b.backAt = now
+func (s *State) MarkStoreUp(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.storeDown {
+		s.storeDown = false
+		s.storeUpAt = now
 	}
 }
 
 // HandleSuspension takes that the machine was suspended for a time, which the steady clock didn't
 // count: what was confirmed before is so much older. Other boxes are told of its age, and
 // would take an old list for a fresh one.
-func (b *State) HandleSuspension(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.confirm = b.confirm.Add(-d)
-	b.backAt = b.backAt.Add(-d)
-	for i := range b.heardOf {
-		b.heardOf[i].at = b.heardOf[i].at.Add(-d)
+func (s *State) HandleSuspension(d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.confirmedAt = s.confirmedAt.Add(-d)
+	s.storeUpAt = s.storeUpAt.Add(-d)
+	for i := range s.announcements {
+		s.announcements[i].at = s.announcements[i].at.Add(-d)
 	}
-	b.publish()
+	s.publish()
 }
 
-// returned tells whether what the store lacked after an outage, or after it came back from
+// gracePeriodOver tells whether what the store lacked after an outage, or after it came back from
 // an older copy, had its time to come back.
-func (b *State) returned(now time.Time) bool { return !b.away && now.Sub(b.backAt) >= returnGrace }
+func (s *State) gracePeriodOver(now time.Time) bool {
+	return !s.storeDown && now.Sub(s.storeUpAt) >= missingGracePeriod
+}
 
 // Tick drops entries whose time to come back is over.
-func (b *State) Tick(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *State) Tick(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	changed := false
-	for _, e := range b.entries {
-		if e.missing && b.returned(now) {
-			b.drop("outage", e, b.changed)
+	for _, e := range s.entries {
+		if e.missing && s.gracePeriodOver(now) {
+			s.dropEndpoint("outage", e, s.changed)
 			changed = true
 		}
 	}
-	if b.returned(now) && len(b.lacking) > 0 {
-		b.giveUpZones(now)
+	if s.gracePeriodOver(now) && len(s.missingZones) > 0 {
+		s.endMissingDrains(now)
 		changed = true
 	}
-	for id, at := range b.left {
-		if now.Sub(at) > leftMemory {
-			delete(b.left, id)
+	for id, at := range s.leaving {
+		if now.Sub(at) > leavingRetention {
+			delete(s.leaving, id)
 		}
 	}
 	if changed {
-		b.publish()
+		s.publish()
 	}
 }
 
 // publish makes the next view from the last one and the entries that changed, and
 // tells of the changes.
-func (b *State) publish() {
-	v := b.view.Load().next(b.zoneStates(), b.touched, func(id string) (routing.Endpoint, bool) {
-		e := b.entries[b.touched[id]]
+func (s *State) publish() {
+	v := s.view.Load().next(s.zoneStates(), s.modified, func(id string) (routing.Endpoint, bool) {
+		e := s.entries[s.modified[id]]
 		if e == nil || e.ID != id {
 			return routing.Endpoint{}, false
 		}
 		return e.Endpoint, true
 	})
-	clear(b.touched)
-	v.Table = b.table
-	v.HasEndpointList = b.listed
-	v.ListRevision = b.changed
-	v.ConfirmedAt = b.confirm
-	b.view.Store(v)
-	for _, c := range joinedTogether(b.untold) {
-		b.onChange(c)
+	clear(s.modified)
+	v.Table = s.table
+	v.HasEndpointList = s.hasList
+	v.ListRevision = s.changed
+	v.ConfirmedAt = s.confirmedAt
+	s.view.Store(v)
+	for _, c := range mergeJoined(s.pendingChanges) {
+		s.onChange(c)
 	}
-	b.untold = b.untold[:0]
+	s.pendingChanges = s.pendingChanges[:0]
 }
 
-// joinedTogether makes one change of the endpoints that joined by the same source.
-func joinedTogether(all []Change) []Change {
+// mergeJoined makes one change of the endpoints that joined by the same source.
+func mergeJoined(all []Change) []Change {
 	var out []Change
 	first := make(map[string]int) // by source
 	for _, c := range all {
--- a/fleet/state_endpoints.go
+++ b/fleet/state_endpoints.go
@@ -6,57 +6,57 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// removedMemory is how many removals a box remembers for partial lists; a fleet
+// maxRemovals is how many removals a box remembers for partial lists; a fleet
 // of thousands of servers replaces some hundreds at once.
-const removedMemory = 4096
+const maxRemovals = 4096
 
 // ChangesSince gives what changed after a revision, or tells that the whole list is
 // needed.
-func (b *State) ChangesSince(changed routing.Revision) (updated []routing.Endpoint, removed []Removal, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if changed == 0 || changed < b.forgotten || changed < b.since {
+func (s *State) ChangesSince(after routing.Revision) (updated []routing.Endpoint, removals []Removal, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if after == 0 || after < s.prunedRevision || after < s.firstRevision {
 		return nil, nil, false
 	}
-	for _, e := range b.entries {
-		if e.Revision > changed {
+	for _, e := range s.entries {
+		if e.Revision > after {
 			updated = append(updated, e.Endpoint)
 		}
 	}
-	for _, r := range b.removed {
-		if r.Revision > changed {
-			removed = append(removed, r)
+	for _, r := range s.removals {
+		if r.Revision > after {
+			removals = append(removals, r)
 		}
 	}
-	return updated, removed, true
+	return updated, removals, true
 }
 
-// update takes an entry, unless it is older than what is believed: by the store's
+// updateEndpoint takes an entry, unless it is older than what is believed: by the store's
 // revision, or because the server has started again since.
-func (b *State) update(now time.Time, from string, e routing.Endpoint) {
+func (s *State) updateEndpoint(now time.Time, from string, e routing.Endpoint) {
 	name := e.Name()
-	old := b.entries[name]
+	old := s.entries[name]
 	if old != nil && (old.Revision > e.Revision || (e.Usable() && e.Started < old.Started)) {
 		return
 	}
-	if _, left := b.left[e.ID]; left {
+	if _, leaving := s.leaving[e.ID]; leaving {
 		e.Leaving = true
 	}
 	if e.Leaving {
-		b.left[e.ID] = now
+		s.leaving[e.ID] = now
 	}
 	e.ColdUntil = coldUntil(now, old, e)
-	b.entries[name] = &entry{Endpoint: e}
-	b.touched[e.ID] = name
+	s.entries[name] = &endpointEntry{Endpoint: e}
+	s.modified[e.ID] = name
 	if old != nil && old.ID != e.ID {
-		b.touched[old.ID] = name
+		s.modified[old.ID] = name
 	}
-	b.tellUpdate(from, old, e)
+	s.recordEndpointChange(from, old, e)
 }
 
 // coldUntil gives until when an endpoint is cold. An entry that is read again tells nothing
 // new: what is left was told when it was written.
-func coldUntil(now time.Time, old *entry, e routing.Endpoint) time.Time {
+func coldUntil(now time.Time, old *endpointEntry, e routing.Endpoint) time.Time {
 	known := old != nil && old.ID == e.ID
 	if known && old.Revision.Number() == e.Revision.Number() && old.Cold == e.Cold {
 		return old.ColdUntil // it may be read again in a later era of the store
@@ -71,33 +71,33 @@
 	return until
 }
 
-func (b *State) tellUpdate(from string, old *entry, e routing.Endpoint) {
+func (s *State) recordEndpointChange(from string, old *endpointEntry, e routing.Endpoint) {
 	known := old != nil && old.Usable()
 	switch {
-	case !known && !b.listed:
+	case !known && !s.hasList:
 		// One line for the first list, and not thousands.
 	case !known && e.Usable():
-		b.tell(EndpointJoined, from, e)
+		s.recordChange(EndpointJoined, from, e)
 	case !known:
 		// The source logs an entry that can't be used.
 	case !e.Usable():
-		b.tell(EndpointUnusable, from, old.Endpoint)
+		s.recordChange(EndpointUnusable, from, old.Endpoint)
 	case old.ID != e.ID:
-		b.tell(EndpointRestarted, from, old.Endpoint)
-		b.tell(EndpointJoined, from, e)
+		s.recordChange(EndpointRestarted, from, old.Endpoint)
+		s.recordChange(EndpointJoined, from, e)
 	case e.Leaving && !old.Leaving:
-		b.tell(EndpointLeaving, from, e)
+		s.recordChange(EndpointLeaving, from, e)
 	}
 }
 
 // MarkRestarted takes a server's own word, by way of who told it, that it has started
 // again since its entry was written. The former incarnation and all that was known of
 // it are gone; the new one is at the same place until the store says otherwise.
-func (b *State) MarkRestarted(from string, former routing.Endpoint, started int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *State) MarkRestarted(from string, former routing.Endpoint, started int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	name := former.Name()
-	old := b.entries[name]
+	old := s.entries[name]
 	if old == nil || old.ID != former.ID || started <= old.Started {
 		return
 	}
@@ -105,75 +105,75 @@
 	e.ID = routing.IncarnationID(name, started)
 	e.Started = started
 	e.Leaving = false
-	b.entries[name] = &entry{Endpoint: e}
-	b.touched[e.ID] = name
-	b.touched[old.ID] = name
-	b.tellUpdate(from, old, e)
-	b.publish()
+	s.entries[name] = &endpointEntry{Endpoint: e}
+	s.modified[e.ID] = name
+	s.modified[old.ID] = name
+	s.recordEndpointChange(from, old, e)
+	s.publish()
 }
 
 // MarkLeaving takes an endpoint's own word, by way of who told it, that it is on its
 // way out; true says that this was news.
-func (b *State) MarkLeaving(now time.Time, from, id string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, ok := b.view.Load().Endpoint(id)
+func (s *State) MarkLeaving(now time.Time, from, id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known, ok := s.view.Load().Endpoint(id)
 	if !ok {
 		return false
 	}
-	e := b.entries[known.Name()]
+	e := s.entries[known.Name()]
 	if e == nil || e.ID != id || e.Leaving {
 		return false
 	}
 	e.Leaving = true
-	b.left[id] = now
-	b.touched[id] = known.Name()
-	b.tell(EndpointLeaving, from, e.Endpoint)
-	b.publish()
+	s.leaving[id] = now
+	s.modified[id] = known.Name()
+	s.recordChange(EndpointLeaving, from, e.Endpoint)
+	s.publish()
 	return true
 }
 
-// remove takes an entry that went. One that went with the store away has its
+// removeEndpoint takes an entry that went. One that went with the store away has its
 // time to come back; any other is leaving for good.
-func (b *State) remove(now time.Time, from string, e *entry, revision routing.Revision) {
+func (s *State) removeEndpoint(now time.Time, from string, e *endpointEntry, revision routing.Revision) {
 	if e.missing {
 		return
 	}
-	outage := from == fromStore && (b.away || (!b.backAt.IsZero() && now.Sub(b.backAt) < returnGrace))
+	outage := from == sourceStore && (s.storeDown || (!s.storeUpAt.IsZero() && now.Sub(s.storeUpAt) < missingGracePeriod))
 	if outage && !e.Leaving {
-		b.miss(from, e)
+		s.markMissing(from, e)
 		return
 	}
-	b.left[e.ID] = now
-	b.drop(from, e, revision)
+	s.leaving[e.ID] = now
+	s.dropEndpoint(from, e, revision)
 }
 
-// miss notes that an entry isn't there, and may come back.
-func (b *State) miss(from string, e *entry) {
+// markMissing notes that an entry isn't there, and may come back.
+func (s *State) markMissing(from string, e *endpointEntry) {
 	if e.missing {
 		return
 	}
 	e.missing = true
-	b.tell(EndpointMissing, from, e.Endpoint)
+	s.recordChange(EndpointMissing, from, e.Endpoint)
 }
 
-func (b *State) drop(from string, e *entry, revision routing.Revision) {
+func (s *State) dropEndpoint(from string, e *endpointEntry, revision routing.Revision) {
 	name := e.Name()
-	delete(b.entries, name)
-	b.touched[e.ID] = name
-	b.removed = append(b.removed, Removal{
+	delete(s.entries, name)
+	s.modified[e.ID] = name
+	s.removals = append(s.removals, Removal{
 		Name:     name,
 		Revision: revision,
 	})
-	if len(b.removed) > removedMemory {
-		b.forgotten = b.removed[0].Revision
-		b.removed = b.removed[1:]
+	if len(s.removals) > maxRemovals {
+		s.prunedRevision = s.removals[0].Revision
+		s.removals = s.removals[1:]
 	}
-	b.tell(EndpointRemoved, from, e.Endpoint)
+	s.recordChange(EndpointRemoved, from, e.Endpoint)
 }
 
-func (b *State) tell(kind ChangeKind, from string, e routing.Endpoint) {
-	b.untold = append(b.untold, Change{
+func (s *State) recordChange(kind ChangeKind, from string, e routing.Endpoint) {
+	s.pendingChanges = append(s.pendingChanges, Change{
 		Kind:     kind,
 		Endpoint: e,
 		Revision: e.Revision,
--- a/fleet/transfer_metrics.go
+++ b/fleet/transfer_metrics.go
@@ -11,25 +11,25 @@
 )
 
 var (
-	viewsGiven    = metrics.NewCounter("dillsaddle_views_given_bytes_total")
-	viewsGiveTime = metrics.NewHistogram("dillsaddle_views_give_seconds")
-	viewsTakeTime = metrics.NewHistogram("dillsaddle_views_take_seconds")
-	viewsBusy     = metrics.NewCounter("dillsaddle_views_busy_total")
+	sentStateBytes = metrics.NewCounter("dillsaddle_views_given_bytes_total")
+	chunkSendTime  = metrics.NewHistogram("dillsaddle_views_give_seconds")
+	stateFetchTime = metrics.NewHistogram("dillsaddle_views_take_seconds")
+	busyAnswers    = metrics.NewCounter("dillsaddle_views_busy_total")
 )
 
-// answered counts the views that this box gives, part by part.
-func (p *Peers) answered(a wire.Answered) {
+// recordSentChunk counts the views that this box gives, part by part.
+func (p *Peers) recordSentChunk(a wire.Answered) {
 	if a.Kind != (Chunk{}).Kind() {
 		return
 	}
-	viewsGiven.Add(a.Bytes)
-	viewsGiveTime.Update(a.Took.Seconds())
+	sentStateBytes.Add(a.Bytes)
+	chunkSendTime.Update(a.Took.Seconds())
 }
 
-// viewsCame logs and counts the views that another box gave.
-func (p *Peers) viewsCame(from netip.AddrPort, v PeerState, bytes int, asked time.Time) {
+// recordFetchedState logs and counts the views that another box gave.
+func (p *Peers) recordFetchedState(from netip.AddrPort, v PeerState, bytes int, asked time.Time) {
 	took := time.Since(asked)
-	viewsTakeTime.Update(took.Seconds())
+	stateFetchTime.Update(took.Seconds())
 	if v.Document == nil {
 		return
 	}
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -14,9 +14,9 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// newsMemory is how many pieces of news a box remembers, to hand each on once;
+// maxSeenUpdates is how many pieces of news a box remembers, to hand each on once;
 // they travel for some tens of milliseconds.
-const newsMemory = 128
+const maxSeenUpdates = 128
 
 // ReaderRank gives this box's place, from 0, among those that read the store for all.
 func (p *Peers) ReaderRank() int {
@@ -30,22 +30,22 @@
 
 // BroadcastUpdate tells the partners at once of what this box has learned.
 func (p *Peers) BroadcastUpdate(n Update) {
-	if p.firstSeen(n) {
-		p.spread(n.announcement(), nil)
+	if p.markSeen(n) {
+		p.forwardUpdate(n.truncate(), nil)
 	}
 }
 
-func (p *Peers) spread(n Update, from *wire.Conn) {
+func (p *Peers) forwardUpdate(n Update, from *wire.Conn) {
 	p.mu.Lock()
 	partners := p.partners()
 	p.mu.Unlock()
 	for _, address := range partners {
-		go p.pushNews(address, n, from)
+		go p.pushUpdate(address, n, from)
 	}
 }
 
-func (p *Peers) pushNews(address netip.AddrPort, n Update, from *wire.Conn) {
-	ctx, cancel := context.WithTimeout(context.Background(), greetTime)
+func (p *Peers) pushUpdate(address netip.AddrPort, n Update, from *wire.Conn) {
+	ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 	defer cancel()
 	c, err := p.pool.Get(ctx, address)
 	if err != nil || c == from {
@@ -57,48 +57,48 @@
 	}
 }
 
-// newsCame takes news from a peer, asks for what they leave out, and hands on what
+// handleUpdate takes news from a peer, asks for what they leave out, and hands on what
 // is new. Word of what this box doesn't have to give goes on once it has.
-func (p *Peers) newsCame(_ context.Context, c *wire.Conn, n Update) {
+func (p *Peers) handleUpdate(_ context.Context, c *wire.Conn, n Update) {
 	if n.Age < 0 {
 		n.Age = math.MaxInt64
 	}
 	if !n.Truncated {
-		p.belief.ApplyUpdate(time.Now(), fromPeer, n)
+		p.state.ApplyUpdate(time.Now(), sourcePeer, n)
 	}
 	o := core.Advertisement{ConfigVersion: n.Version}
 	if n.Truncated {
 		o.ListRevision = n.ListRevision
 	}
-	p.offered(c, o)
+	p.handleAdvertisement(c, o)
 	n.Version = 0
-	if n.ListRevision > 0 && !n.Truncated && p.firstSeen(n) {
-		p.spread(n, c)
+	if n.ListRevision > 0 && !n.Truncated && p.markSeen(n) {
+		p.forwardUpdate(n, c)
 	}
 }
 
-// newsKey tells one piece of news from another.
-type newsKey struct {
+// updateKey tells one piece of news from another.
+type updateKey struct {
 	changed routing.Revision
 	version uint64
 }
 
-// firstSeen tells whether news came for the first time, and remembers them.
+// markSeen tells whether news came for the first time, and remembers them.
 // What a box believes doesn't tell: after a gap, it takes the same news again
 // and again.
-func (p *Peers) firstSeen(n Update) bool {
-	key := newsKey{
+func (p *Peers) markSeen(n Update) bool {
+	key := updateKey{
 		changed: n.ListRevision,
 		version: n.Version,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if slices.Contains(p.seen, key) {
+	if slices.Contains(p.seenUpdates, key) {
 		return false
 	}
-	p.seen = append(p.seen, key)
-	if len(p.seen) > newsMemory {
-		p.seen = p.seen[1:]
+	p.seenUpdates = append(p.seenUpdates, key)
+	if len(p.seenUpdates) > maxSeenUpdates {
+		p.seenUpdates = p.seenUpdates[1:]
 	}
 	return true
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -19,16 +19,16 @@
 	ConfirmedAt     time.Time                     // when the store last said that this is all
 	Zones           []routing.ZoneDrain           // what is known of zones, by name
 	byService       map[string][]routing.Endpoint // sorted by id
-	byID            [viewParts]map[string]routing.Endpoint
+	byID            [shardCount]map[string]routing.Endpoint
 }
 
-// viewParts is into how many parts a view's endpoints fall: the next view shares
+// shardCount is into how many parts a view's endpoints fall: the next view shares
 // all parts in which nothing changed. Of thousands of endpoints a part holds
 // some tens, so that a change of one copies no more; a whole view of 3,000 took
 // some milliseconds.
-const viewParts = 64
+const shardCount = 64
 
-func partOf(id string) uint64 { return xxhash.Sum64String(id) % viewParts }
+func shardOf(id string) uint64 { return xxhash.Sum64String(id) % shardCount }
 
 // Drained tells whether the operator wants a zone's endpoints to get no new requests.
 func (v *View) Drained(zone string) bool {
@@ -40,7 +40,7 @@
 
 // Endpoint gives an endpoint by the id of its incarnation, while it is known.
 func (v *View) Endpoint(id string) (routing.Endpoint, bool) {
-	e, ok := v.byID[partOf(id)][id]
+	e, ok := v.byID[shardOf(id)][id]
 	return e, ok
 }
 
@@ -72,47 +72,47 @@
 	return v.Table.Version()
 }
 
-// all gives every endpoint that is known, in no order.
-func (v *View) all() []routing.Endpoint {
+// endpoints gives every endpoint that is known, in no order.
+func (v *View) endpoints() []routing.Endpoint {
 	var out []routing.Endpoint
-	for _, part := range v.byID {
-		out = slices.AppendSeq(out, maps.Values(part))
+	for _, shard := range v.byID {
+		out = slices.AppendSeq(out, maps.Values(shard))
 	}
 	return out
 }
 
 // next gives a view with some entries as they are now; it shares the rest with
 // this one.
-func (v *View) next(zones []routing.ZoneDrain, touched map[string]string, now func(id string) (routing.Endpoint, bool)) *View {
-	n := &viewEdit{
-		View:     *v,
-		services: make(map[string]bool),
-		parts:    make(map[uint64]bool),
+func (v *View) next(zones []routing.ZoneDrain, modified map[string]string, lookup func(id string) (routing.Endpoint, bool)) *View {
+	n := &viewBuilder{
+		View:        *v,
+		ownServices: make(map[string]bool),
+		ownShards:   make(map[uint64]bool),
 	}
 	n.Zones = zones
 	n.byService = maps.Clone(v.byService)
 	if n.byService == nil {
 		n.byService = make(map[string][]routing.Endpoint)
 	}
-	for id := range touched {
+	for id := range modified {
 		if e, had := v.Endpoint(id); had {
-			delete(n.part(id), id)
-			n.own(e.Service)
+			delete(n.shard(id), id)
+			n.ownService(e.Service)
 		}
 	}
-	for service := range n.services {
+	for service := range n.ownServices {
 		n.byService[service] = slices.DeleteFunc(n.byService[service], func(e routing.Endpoint) bool {
-			_, changed := touched[e.ID]
+			_, changed := modified[e.ID]
 			return changed
 		})
 	}
-	for id := range touched {
-		if e, has := now(id); has {
-			n.part(id)[id] = e
+	for id := range modified {
+		if e, has := lookup(id); has {
+			n.shard(id)[id] = e
 			n.add(e)
 		}
 	}
-	for service := range n.services {
+	for service := range n.ownServices {
 		slices.SortFunc(n.byService[service], compareIDs)
 	}
 	return &n.View
@@ -120,18 +120,18 @@
 
 func compareIDs(a, b routing.Endpoint) int { return cmp.Compare(a.ID, b.ID) }
 
-// viewEdit is a view in the making, with what it doesn't share any more.
-type viewEdit struct {
+// viewBuilder is a view in the making, with what it doesn't share any more.
+type viewBuilder struct {
 	View
-	services map[string]bool
-	parts    map[uint64]bool
+	ownServices map[string]bool
+	ownShards   map[uint64]bool
 }
 
-// part gives the part of an id, to be changed.
-func (n *viewEdit) part(id string) map[string]routing.Endpoint {
-	at := partOf(id)
-	if !n.parts[at] {
-		n.parts[at] = true
+// shard gives the part of an id, to be changed.
+func (n *viewBuilder) shard(id string) map[string]routing.Endpoint {
+	at := shardOf(id)
+	if !n.ownShards[at] {
+		n.ownShards[at] = true
 		n.byID[at] = maps.Clone(n.byID[at])
 		if n.byID[at] == nil {
 			n.byID[at] = make(map[string]routing.Endpoint)
@@ -140,18 +140,18 @@
 	return n.byID[at]
 }
 
-// own makes a service's endpoints this view's own.
-func (n *viewEdit) own(service string) {
-	if !n.services[service] {
-		n.services[service] = true
+// ownService makes a service's endpoints this view's own.
+func (n *viewBuilder) ownService(service string) {
+	if !n.ownServices[service] {
+		n.ownServices[service] = true
 		n.byService[service] = slices.Clone(n.byService[service])
 	}
 }
 
-func (n *viewEdit) add(e routing.Endpoint) {
+func (n *viewBuilder) add(e routing.Endpoint) {
 	if e.Leaving || !e.Usable() || n.Drained(e.Zone) {
 		return
 	}
-	n.own(e.Service)
+	n.ownService(e.Service)
 	n.byService[e.Service] = append(n.byService[e.Service], e)
 }
