--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,16 +1,18 @@
-// Package fleet keeps what a box believes about its deployment: the
-// configuration in force, the endpoints, and the other boxes. It follows the
-// store, exchanges views with peers, and says how old each belief is.
+// Package fleet maintains a box's cached state of its deployment: the active configuration, the
+// endpoint list, and the other boxes. It reads the operators' store, gossips with other boxes,
+// and records when the list was last known to be complete.
 //
-// The way of a configuration's newest version: a reader's watch of the store brings it
-// (follower.go; who reads: news.go), the belief takes it and makes the next view
-// (belief_apply.go, belief.go, view.go), the news of it go to all partners (news.go, whom:
-// partners.go), a box that hears of it asks for it (pull.go) and is given it in parts
-// (give.go); greetings show who is behind (greeting.go). The list of endpoints travels the
-// same way, but its changes go along with the news (belief_list.go).
+// A few boxes, the readers, watch the store for all (store_watcher.go). A new configuration
+// version takes this way: the reader merges it into its State and publishes the next View
+// (state.go, state_apply.go, view.go), announces the version to its partners (update.go,
+// partners.go), and each box fetches it in chunks from a box that has it (state_fetcher.go,
+// state_sender.go). Periodic gossip (gossip.go) shows which box is behind. Changes of the
+// endpoint list take the same way, but a small change is contained in the announcement itself
+// (state_endpoints.go).
 //
-// Beside that: the other boxes (members.go), what is told within a group of what each box
-// places (placements.go), of engines that leave (evacuation.go), of their load
-// (reports.go, share.go), and sends of the retry budget that are lent (lend.go). Requests
-// under which endpoints end are told to all boxes (quarantine.go).
+// Beside that, boxes exchange the roster (members.go), and within a group of boxes the prompts
+// that each has placed (placements.go), endpoints that leave (evacuation.go), the engines' load
+// (load_reports.go, preferred_endpoints.go) and parts of their retry budgets (retry_budget.go).
+// Requests that crash endpoints (quarantine.go) and rate limits that endpoints report
+// (limits.go) are shared with all boxes.
 package fleet
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -8,44 +8,44 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// Evacuating is what a box tells its group of an engine that leaves: the runs
-// that it has to move off it, and those that are over.
+// Evacuating is the message that an engine is leaving. It lists the sender's runs that must move
+// off the engine, and those that no longer need to.
 type Evacuating struct {
 	Endpoint     string        `cbor:"1,keyasint"`
 	Runs         []PendingMove `cbor:"2,keyasint,omitempty"`
 	FinishedRuns []string      `cbor:"3,keyasint,omitempty"`
-	MovingRunID  string        `cbor:"4,keyasint,omitempty"` // the run whose memory goes to the target
+	MovingRunID  string        `cbor:"4,keyasint,omitempty"` // run whose memory is being moved to the target
 	Target       string        `cbor:"5,keyasint,omitempty"`
-	Relay        bool          `cbor:"6,keyasint,omitempty"` // hand it on to the boxes of the own zone
+	Relay        bool          `cbor:"6,keyasint,omitempty"` // the receiver forwards it to the boxes of its own zone
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (Evacuating) Kind() string { return "evacuating" }
 
-// PendingMove is a run that waits for its move.
+// PendingMove is a run that waits to be moved to another engine.
 type PendingMove struct {
 	ID       string        `cbor:"1,keyasint"`
 	Rank     int           `cbor:"2,keyasint,omitempty"`
 	Value    float64       `cbor:"3,keyasint"`
-	CopyTime time.Duration `cbor:"4,keyasint"` // on a free link
+	CopyTime time.Duration `cbor:"4,keyasint"` // time to copy the run's memory over an idle link
 }
 
-// WithEvacuationHandler is called with what other boxes of the group tell of engines
-// that leave.
+// WithEvacuationHandler sets a function that is called with each Evacuating message from other
+// boxes of the group.
 func WithEvacuationHandler(onEvacuating func(time.Time, Evacuating)) PeersOption {
 	return func(p *Peers) { p.onEvacuating = onEvacuating }
 }
 
-// ReportLeaving takes an endpoint's own word to this box that it is on its way out, and
-// tells the boxes of the group if that is news.
+// ReportLeaving marks an endpoint as leaving after it announced so to this box, and broadcasts it
+// to the group if it was not marked yet.
 func (p *Peers) ReportLeaving(endpoint string) {
 	if p.state.MarkLeaving(time.Now(), sourceEngine, endpoint) {
 		p.BroadcastEvacuating(Evacuating{Endpoint: endpoint})
 	}
 }
 
-// BroadcastEvacuating tells the boxes of the group at once: an engine that leaves is gone
-// after a second or two.
+// BroadcastEvacuating sends the message to the boxes of the group at once: a leaving engine may
+// be gone after one or two seconds.
 func (p *Peers) BroadcastEvacuating(e Evacuating) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 			defer cancel()
-			// Who doesn't hear it lets the turns pass.
+			// A box that misses the message waits for the other runs' turns to time out.
 			if c, err := p.pool.Get(ctx, address); err == nil {
 				_ = c.Push(ctx, e)
 			}
@@ -67,8 +67,8 @@
 	}
 }
 
-// handleEvacuating takes a fellow's word on an engine that leaves, which may be the first
-// that this box hears of it.
+// handleEvacuating applies another box's message, which may be the first notice that the engine
+// is leaving, and relays it if asked to.
 func (p *Peers) handleEvacuating(_ context.Context, _ *wire.Conn, e Evacuating) {
 	if e.Relay {
 		e.Relay = false
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// messageTimeout bounds one greeting.
+	// messageTimeout bounds a gossip exchange or the sending of one message.
 	messageTimeout = 800 * time.Millisecond
-	// maxListLag is how long a list may be behind a partner's before it is asked
-	// for: news bring most changes within milliseconds.
+	// maxListLag is how long ago the list may have been confirmed before a newer one is
+	// fetched: updates deliver most changes within milliseconds.
 	maxListLag = 400 * time.Millisecond
 )
 
@@ -25,21 +25,20 @@
 	defer cancel()
 	answer, err := wire.Request[Gossip](ctx, p.pool, address, p.newGossip(p.isGroupMember(address)))
 	if err != nil {
-		p.log.Debug("box didn't answer", zap.Stringer("address", address), zap.Error(err))
+		p.log.Debug("box did not answer, trying another", zap.Stringer("address", address), zap.Error(err))
 		p.markUnreachable(address)
 		return
 	}
 	p.mergeGossip(answer, p.isGroupMember(address))
 	c, err := p.pool.Get(ctx, address)
 	if err != nil {
-		return // it was dropped meanwhile; the next greeting opens another
+		return // the connection was closed meanwhile; the next exchange opens another
 	}
 	p.compareVersions(c, answer)
 }
 
-// newGossip gives what this box tells another. A box of another group gets the reports of
-// this group's engines only: it has the others from theirs, and bytes between zones have a
-// price. On 295 boxes in five zones greetings were most of them.
+// newGossip returns this box's gossip message. A box of another group gets only the load reports
+// of this group's engines, to limit traffic between zones.
 func (p *Peers) newGossip(inGroup bool) Gossip {
 	p.checkSuspension()
 	v := p.state.View()
@@ -52,7 +51,7 @@
 		Limits:        p.limits.sample(now),
 	}
 	if p.reports != nil {
-		var preferred map[string]bool // all
+		var preferred map[string]bool // nil for the reports of all engines
 		if !inGroup {
 			preferred = p.PreferredEndpoints(v)
 		}
@@ -91,7 +90,7 @@
 	p.roster.RecordContact(now, g.From)
 }
 
-// compareVersions takes a box's word that nothing is newer, or what it has.
+// compareVersions confirms the list if the peer has no newer one, and fetches what is newer.
 func (p *Peers) compareVersions(c *wire.Conn, g Gossip) {
 	v := p.state.View()
 	p.state.Confirm(time.Now(), g.ListRevision, g.Age)
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -14,30 +14,30 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// maxGossipLimits bounds the limits in one greeting, which has some thirty bytes of each: a
-// whole service may be under strain at once.
+// maxGossipLimits bounds the limits in a gossip message, each about 30 bytes. A whole service may
+// be limited at once.
 const maxGossipLimits = 32
 
-// LimitRecords is what a box tells its group at once of limits that endpoints named.
+// LimitRecords is the message that endpoints reported or lifted rate limits.
 type LimitRecords struct {
 	All []core.LimitRecord `cbor:"1,keyasint"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (LimitRecords) Kind() string { return "limit records" }
 
-// Limits is what a box knows, by itself and from others, of the limits that endpoints
-// name. Within a group word of a change goes to all at once; greetings carry it from group
-// to group, and tell that it still holds.
+// Limits holds the rate limits that endpoints report, as observed by this box and others. Changes
+// are broadcast within the group; gossip carries them to other groups and keeps them from
+// expiring.
 type Limits struct {
 	mu         sync.Mutex
 	limits     *core.Limits
-	hasRecords atomic.Bool // whether anything is known; most boxes know of no limit
+	hasRecords atomic.Bool // avoids the lock in the usual case that there are no limits
 	log        *zap.Logger
 	broadcast  func([]core.LimitRecord)
 }
 
-// NewLimits builds a table in which no endpoint is limited.
+// NewLimits returns a table without limits.
 func NewLimits(log *zap.Logger) *Limits {
 	return &Limits{
 		limits:    core.NewLimits(core.DefaultLimitRules()),
@@ -46,7 +46,7 @@
 	}
 }
 
-// RecordAnswer takes what an endpoint's answer to this box says of its limit.
+// RecordAnswer records the limit, or its absence, that an endpoint reported in an answer to this box.
 func (l *Limits) RecordAnswer(now time.Time, endpoint string, limited bool, perSecond float64) {
 	if !limited && !l.hasRecords.Load() {
 		return
@@ -66,8 +66,8 @@
 	}
 }
 
-// Lookup gives the requests a second that an endpoint takes from all boxes together, if it
-// named a limit.
+// Lookup returns the requests per second that an endpoint accepts from all boxes together, if it
+// is limited.
 func (l *Limits) Lookup(now time.Time, endpoint string) (perSecond float64, limited bool) {
 	if !l.hasRecords.Load() {
 		return 0, false
@@ -77,7 +77,7 @@
 	return l.limits.Lookup(now, endpoint)
 }
 
-// All gives the endpoints that named limits, by id.
+// All returns the current limits, sorted by endpoint.
 func (l *Limits) All(now time.Time) []core.LimitRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	return all
 }
 
-// Sweep forgets limits that no box has heard of for long.
+// Sweep drops limits that no box has observed recently.
 func (l *Limits) Sweep(now time.Time) {
 	if !l.hasRecords.Load() {
 		return
@@ -94,19 +94,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, endpoint := range l.limits.Expire(now) {
-		l.log.Info("limit of an endpoint is forgotten, no box heard of it lately", zap.String("endpoint", endpoint))
+		l.log.Info("endpoint's rate limit expired, no box observed it recently", zap.String("endpoint", endpoint))
 	}
 	l.hasRecords.Store(!l.limits.IsEmpty())
 }
 
-// HandleSuspension takes that the machine was suspended for a time that its clock didn't count.
+// HandleSuspension corrects the records' ages after a machine suspension.
 func (l *Limits) HandleSuspension(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.HandleSuspension(d)
 }
 
-// sample gives what a greeting tells.
+// sample returns the records for a gossip message.
 func (l *Limits) sample(now time.Time) []core.LimitRecord {
 	if !l.hasRecords.Load() {
 		return nil
@@ -116,7 +116,7 @@
 	return l.limits.Sample(now, maxGossipLimits)
 }
 
-// merge takes what another box told, and gives what the group should hear of it.
+// merge merges another box's records and returns those that changed the table.
 func (l *Limits) merge(now time.Time, received []core.LimitRecord, from string) []core.LimitRecord {
 	if len(received) == 0 {
 		return nil
@@ -129,12 +129,12 @@
 	return updated
 }
 
-// logChanges logs what is believed of endpoints' limits after news of them.
+// logChanges logs new or lifted limits.
 func (l *Limits) logChanges(updated []core.LimitRecord, from string) {
 	for _, record := range updated {
-		event := "endpoint names no limit any more"
+		event := "endpoint lifted its rate limit"
 		if record.Limited {
-			event = "endpoint names a limit"
+			event = "endpoint reported a rate limit"
 		}
 		l.log.Info(event,
 			zap.String("endpoint", record.Endpoint),
@@ -145,7 +145,7 @@
 	}
 }
 
-// WithLimits shares with others the limits that endpoints name.
+// WithLimits shares the limits with other boxes.
 func WithLimits(l *Limits) PeersOption {
 	return func(p *Peers) {
 		p.limits = l
@@ -153,19 +153,19 @@
 	}
 }
 
-// broadcastLimitRecords tells the boxes of the group at once; who isn't reached hears it with a
-// greeting.
+// broadcastLimitRecords sends records to the group at once. Boxes that miss the message get the
+// records by gossip.
 func (p *Peers) broadcastLimitRecords(records []core.LimitRecord) {
 	p.broadcastToGroup(LimitRecords{All: records})
 }
 
-// handleLimitRecords takes a fellow's word.
+// handleLimitRecords merges records from a box of the group.
 func (p *Peers) handleLimitRecords(_ context.Context, _ *wire.Conn, received LimitRecords) {
 	p.limits.merge(time.Now(), received.All, sourcePeer)
 }
 
-// mergeLimitRecords takes what a greeting told; what comes from another group is handed on in
-// this one.
+// mergeLimitRecords merges records from gossip. Changes from another group are broadcast in this
+// one.
 func (p *Peers) mergeLimitRecords(records []core.LimitRecord, inGroup bool) {
 	if updated := p.limits.merge(time.Now(), records, sourcePeer); len(updated) > 0 && !inGroup {
 		p.broadcastLimitRecords(updated)
--- a/fleet/load_reports.go
+++ b/fleet/load_reports.go
@@ -14,40 +14,38 @@
 )
 
 const (
-	// queryInterval spaces the questions to one engine; each has a price, and an
-	// engine's word is half a second old when it is given.
+	// queryInterval is the time between queries of an engine. It bounds their cost; reports
+	// are about half a second old anyway.
 	queryInterval = 500 * time.Millisecond
-	// staleQueryInterval spaces them while the list is older than staleList: only the
-	// engines themselves tell then that they leave, with 1.5 to 2 s notice, and
-	// half a second late.
+	// staleQueryInterval applies while the list is older than staleListAge. Only the engines
+	// announce then that they are leaving, 1.5 to 2 s ahead.
 	staleQueryInterval = 200 * time.Millisecond
 	staleListAge       = time.Second
-	// queryTimeout bounds one question.
+	// queryTimeout bounds one query.
 	queryTimeout = 700 * time.Millisecond
-	// reportLifetime is how long a report is handed on.
+	// reportLifetime is the age up to which reports are gossiped.
 	reportLifetime = 3 * time.Second
-	// maxGossipReports bounds the reports in one greeting.
+	// maxGossipReports bounds the reports in a gossip message.
 	maxGossipReports = 64
 )
 
-// LoadReporter asks an engine for its load.
+// LoadReporter queries engines for their load.
 type LoadReporter interface {
 	Report(ctx context.Context, e routing.Endpoint) (routing.Report, error)
 }
 
-// RestartedError reports that the server which answered is another incarnation than
-// the one that was asked.
+// RestartedError reports that a query was answered by a later incarnation of the server.
 type RestartedError struct {
-	Started int64 // of the one that answered, Unix milliseconds
+	Started int64 // start of the later incarnation, in Unix milliseconds
 }
 
-// Error names the start and the remedy.
+// Error implements the error interface.
 func (e *RestartedError) Error() string {
-	return fmt.Sprintf("the server has started again, at %d; what is known of it is of its former life", e.Started)
+	return fmt.Sprintf("server restarted at %d (Unix ms): its previous incarnation is gone", e.Started)
 }
 
-// LoadReports knows the load of engines. Each engine is asked by one box, which
-// follows from the roster, and that box's greetings tell the others.
+// LoadReports holds the latest load report of each engine. Each engine is queried by one box,
+// chosen by hash among the boxes of the roster, which sends the report to others by gossip.
 type LoadReports struct {
 	mu          sync.Mutex
 	reporter    LoadReporter
@@ -64,17 +62,17 @@
 	at time.Time
 }
 
-// LoadReportsOption changes how a table of reports is built.
+// LoadReportsOption configures LoadReports.
 type LoadReportsOption func(*LoadReports)
 
-// WithLoadQueryFilter is asked before each question to an engine: one that takes only some requests
-// may take none now.
+// WithLoadQueryFilter sets a function that reports whether an engine may be queried now, since a
+// rate-limited engine may accept no request.
 func WithLoadQueryFilter(queryFilter func(routing.Endpoint) bool) LoadReportsOption {
 	return func(r *LoadReports) { r.queryFilter = queryFilter }
 }
 
-// NewLoadReports builds an empty table; onReport is called with each report that is
-// newer than the one before, and with when it was true.
+// NewLoadReports returns an empty table. The function onReport is called with each report that
+// is newer than the previous one, and with the time of its data.
 func NewLoadReports(reporter LoadReporter, state *State, log *zap.Logger, onReport func(time.Time, routing.Report), options ...LoadReportsOption) *LoadReports {
 	r := &LoadReports{
 		reporter:    reporter,
@@ -90,7 +88,7 @@
 	return r
 }
 
-// Run asks the engines that fall to this box until the context ends.
+// Run queries the engines assigned to this box until the context ends.
 func (r *LoadReports) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, e := range r.assignedEngines() {
@@ -104,9 +102,9 @@
 	}
 }
 
-// assignedEngines gives the engines that this box asks: those of its group's share for
-// which its name hashes highest in the group. A box that knows few of the others yet
-// asks none, as all would ask all.
+// assignedEngines returns the engines that this box queries: of its group's preferred endpoints,
+// those for which this box hashes highest in the group. Until it has discovered its peers a box
+// queries none, or every starting box would query all.
 func (r *LoadReports) assignedEngines() []routing.Endpoint {
 	v := r.state.View()
 	if v.Table == nil || !r.peers.HasDiscoveredPeers() {
@@ -128,7 +126,7 @@
 	return assignedEngines
 }
 
-// hashesHighest is rendezvous hashing.
+// hashesHighest reports whether self wins rendezvous hashing for a key.
 func hashesHighest(self string, others []string, key string) bool {
 	weight := xxhash.Sum64String(self + "/" + key)
 	for _, other := range others {
@@ -152,7 +150,7 @@
 		return
 	}
 	if err != nil {
-		r.log.Debug("engine gave no report", zap.String("endpoint", e.ID), zap.Error(err))
+		r.log.Debug("querying engine load failed", zap.String("endpoint", e.ID), zap.Error(err))
 		return
 	}
 	now := time.Now()
@@ -162,15 +160,14 @@
 	r.record(now, report)
 }
 
-// Clear drops all reports: after a suspension of the machine, they are older than their
-// ages say.
+// Clear drops all reports, whose ages are wrong after a machine suspension.
 func (r *LoadReports) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.latest)
 }
 
-// Merge takes reports that another box handed on.
+// Merge adds reports that another box sent.
 func (r *LoadReports) Merge(now time.Time, reports []routing.Report) {
 	for _, report := range reports {
 		if report.Age >= 0 && report.Age < reportLifetime {
@@ -196,7 +193,7 @@
 	r.onReport(at, report)
 }
 
-// Sample gives the reports to hand on, with their ages: of some engines by id, or of all.
+// Sample returns reports with their ages for gossip, of the given endpoints, or of all if nil.
 func (r *LoadReports) Sample(now time.Time, endpoints map[string]bool) []routing.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -9,18 +9,18 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Members gives all boxes that are known but this one.
+// Members returns all known boxes but this one.
 func (p *Peers) Members() []core.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.All(time.Now())
 }
 
-// maxLoggedBoxes bounds the boxes that one log line names.
+// maxLoggedBoxes bounds the boxes that a log line lists.
 const maxLoggedBoxes = 8
 
-// logRosterChanges logs which boxes came and went, in a line each: a line a box took 87,000
-// lines of the logs at the start of a fleet of 295, two thirds of all.
+// logRosterChanges logs the boxes that became alive or were lost, all in one line each, and
+// updates what depends on the roster.
 func (p *Peers) logRosterChanges(now time.Time) {
 	aliveBoxes := make(map[string]bool)
 	var joined, lost []string
@@ -42,17 +42,17 @@
 	p.logBoxes("boxes suspected or leaving", lost)
 }
 
-// checkDiscovery looks whether this box knows most of the others.
+// checkDiscovery updates whether this box has discovered most of its peers.
 func (p *Peers) checkDiscovery(now time.Time) {
 	if p.discovered || !p.discovery.Observe(now, len(p.aliveBoxes), len(p.seeds) > 0) {
 		return
 	}
 	p.discovered = true
-	p.log.Info("most boxes are known", zap.Int("known", len(p.aliveBoxes)))
+	p.log.Info("most boxes discovered", zap.Int("known", len(p.aliveBoxes)))
 }
 
-// HasDiscoveredPeers tells whether this box knows most of the others, and so its own part of what
-// is divided among all.
+// HasDiscoveredPeers reports whether this box knows most of the others, and thus its share of
+// what is divided among all.
 func (p *Peers) HasDiscoveredPeers() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -7,67 +7,67 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Gossip is what two boxes tell each other: who they are, whom they heard of,
-// and how new their views are.
+// Gossip is the message that two boxes exchange periodically: the boxes that each knows, the
+// versions of its state, and samples of shared records.
 type Gossip struct {
 	From          core.Peer          `cbor:"1,keyasint"`
 	Members       []core.Peer        `cbor:"2,keyasint,omitempty"`
-	ConfigVersion uint64             `cbor:"3,keyasint"` // version in force; 0 for none
-	ListRevision  routing.Revision   `cbor:"4,keyasint"` // the list's last change; 0 for no list
+	ConfigVersion uint64             `cbor:"3,keyasint"` // active version; 0 for none
+	ListRevision  routing.Revision   `cbor:"4,keyasint"` // revision of the list's last change; 0 for no list
 	Reports       []routing.Report   `cbor:"5,keyasint,omitempty"`
-	Age           time.Duration      `cbor:"6,keyasint"` // since the list was confirmed
+	Age           time.Duration      `cbor:"6,keyasint"` // time since the list was confirmed
 	Crashes       []core.CrashRecord `cbor:"7,keyasint,omitempty"`
-	Limits        []core.LimitRecord `cbor:"8,keyasint,omitempty"` // that endpoints named
+	Limits        []core.LimitRecord `cbor:"8,keyasint,omitempty"` // rate limits that endpoints reported
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (Gossip) Kind() string { return "greeting" }
 
-// StateRequest asks a peer for its views where they are newer; the first part of them answers
-// it.
+// StateRequest requests the peer's state as far as it is newer than the given versions. The
+// answer is the first Chunk of a PeerState.
 type StateRequest struct {
 	ConfigVersion uint64           `cbor:"1,keyasint"`
 	ListRevision  routing.Revision `cbor:"2,keyasint"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (StateRequest) Kind() string { return "want" }
 
-// PeerState is a peer's newer configuration and list, or nothing of either. The
-// list is given whole, or as what changed since the revision asked for.
+// PeerState is the part of a peer's state that is newer than the receiver's. The list is either
+// complete or contains the changes since the requested revision.
 type PeerState struct {
 	Document     *routing.Document   `cbor:"1,keyasint,omitempty"`
 	Endpoints    []routing.Endpoint  `cbor:"2,keyasint,omitempty"`
-	ListRevision routing.Revision    `cbor:"3,keyasint,omitempty"` // 0 when the list is not newer
-	Age          time.Duration       `cbor:"-"`                    // since the list was confirmed; it goes with the first part
-	Partial      bool                `cbor:"5,keyasint,omitempty"` // only what changed
-	Removed      []Removal           `cbor:"6,keyasint,omitempty"` // with a partial list
-	Zones        []routing.ZoneDrain `cbor:"7,keyasint,omitempty"` // all that is known of zones; they are few
+	ListRevision routing.Revision    `cbor:"3,keyasint,omitempty"` // 0 if the list is not newer
+	Age          time.Duration       `cbor:"-"`                    // time since the list was confirmed; sent with the first chunk
+	Partial      bool                `cbor:"5,keyasint,omitempty"` // the list contains changes only
+	Removed      []Removal           `cbor:"6,keyasint,omitempty"` // only in a partial list
+	Zones        []routing.ZoneDrain `cbor:"7,keyasint,omitempty"` // all known zone states
 }
 
-// Kind names the views.
+// Kind returns the message's kind.
 func (PeerState) Kind() string { return "views" }
 
-// maxUpdateChanges is how many changes one piece of news carries; each takes some
-// seventy bytes, and a box hears the news from each of its partners.
+// maxUpdateChanges bounds the changes in one update. Each takes about 70 bytes, and a box
+// receives the update from each of its partners.
 const maxUpdateChanges = 8
 
-// Update is a change that a box learned from the store, as boxes hand it on.
+// Update is a change of the list or configuration that boxes forward to each other at once.
 type Update struct {
-	BaseRevision routing.Revision    `cbor:"1,keyasint"` // the list's last change before it
+	BaseRevision routing.Revision    `cbor:"1,keyasint"` // list revision that the changes apply to
 	ListRevision routing.Revision    `cbor:"2,keyasint"`
-	Version      uint64              `cbor:"3,keyasint,omitempty"` // of a newer configuration; it is asked for once
+	Version      uint64              `cbor:"3,keyasint,omitempty"` // version of a newer configuration, which is fetched separately
 	Updated      []routing.Endpoint  `cbor:"4,keyasint,omitempty"`
 	Removed      []Removal           `cbor:"5,keyasint,omitempty"`
-	Age          time.Duration       `cbor:"6,keyasint"`           // since the store told it
-	Truncated    bool                `cbor:"7,keyasint,omitempty"` // the changes are left out; they are asked for once
+	Age          time.Duration       `cbor:"6,keyasint"`           // time since the store reported the change
+	Truncated    bool                `cbor:"7,keyasint,omitempty"` // the changes are omitted and fetched separately
 	Zones        []routing.ZoneDrain `cbor:"8,keyasint,omitempty"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (Update) Kind() string { return "news" }
 
-// newestRevision gives the revision of the last change of the list.
+// newestRevision returns the highest revision of the update's changes.
 func (n Update) newestRevision() routing.Revision {
 	var at routing.Revision
 	for _, e := range n.Updated {
@@ -82,8 +82,8 @@
 	return at
 }
 
-// truncate gives the news as they are handed on: many changes are left out,
-// since every partner hears them from many others.
+// truncate omits the changes if there are many, since each box receives the update from several
+// partners.
 func (n Update) truncate() Update {
 	if len(n.Updated)+len(n.Removed)+len(n.Zones) > maxUpdateChanges {
 		n.Updated = nil
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// remotePartnerCount is how many boxes of other groups a box keeps connections
-	// to; by them news reach n boxes in about log n rounds.
+	// remotePartnerCount is how many boxes of other groups a box sends updates to, which
+	// then reach n boxes in about log n hops.
 	remotePartnerCount = 2
-	// remoteGossipInterval is how many greetings there are to one that goes to them: word
-	// that the list still holds must cross from group to group well within the
-	// time in which a change must be in force.
+	// remoteGossipInterval makes every third gossip exchange go to a box of another group,
+	// so that confirmations of the list cross groups well within the propagation limit.
 	remoteGossipInterval = 3
-	// rotationInterval is how often one of them is replaced.
+	// rotationInterval is how often a partner of another group is replaced.
 	rotationInterval = 4 * time.Second
 )
 
-// nextGossipPartner gives whom to greet next, in turn.
+// nextGossipPartner returns the box for the next gossip exchange, in round-robin order.
 func (p *Peers) nextGossipPartner(now time.Time) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,9 +40,8 @@
 	return direct[(n-remoteTurn)%len(direct)], true
 }
 
-// refreshPartners keeps the partners up to date: the other boxes of the group, and a few
-// strangers in turn, by whom news reach the other groups. A seed is among the
-// strangers now and then, so that parts of a fleet that lost each other meet.
+// refreshPartners updates the group and its addresses and rotates the partners of other groups.
+// Seeds are among these now and then, so that a split fleet can merge again.
 func (p *Peers) refreshPartners(now time.Time) {
 	alive := p.roster.Alive(now)
 	p.group = core.GroupOf(p.roster.Self(), alive, p.state.View().EngineCount())
@@ -84,25 +82,25 @@
 	p.remotePartners = append(p.remotePartners, choices[rand.N(len(choices))])
 }
 
-// closeConnection closes the connection to a box that is no partner any more. It may
-// wait for a dial that hangs, and must not hold the others up meanwhile.
+// closeConnection closes the connection to a former partner in the background, since it may
+// have to wait for a dial that hangs.
 func (p *Peers) closeConnection(address netip.AddrPort) {
 	go p.pool.Drop(address)
 }
 
-// partners are the boxes to which this one hands news on.
+// partners returns the boxes to which this box sends updates.
 func (p *Peers) partners() []netip.AddrPort {
 	return append(p.paths.updateTargets(), p.remotePartners...)
 }
 
-// Group gives the part of the fleet that this box belongs to.
+// Group returns the group of boxes that this box belongs to.
 func (p *Peers) Group() core.Group {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.group
 }
 
-// markUnreachable replaces a partner that doesn't answer, and suspects its box.
+// markUnreachable records that a box didn't answer, and drops it from the remote partners.
 func (p *Peers) markUnreachable(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/paths.go
+++ b/fleet/paths.go
@@ -8,19 +8,19 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// maxDirectGroup is the size of a group up to which each box speaks to every other one itself.
-// Above it, to tell every other box costs most of the bytes between zones.
+// maxDirectGroup is the group size below which each box sends to all others directly. In larger
+// groups that would cause most of the traffic between zones.
 const maxDirectGroup = 24
 
-// groupPaths say how messages reach the boxes of a group with few bytes between zones.
+// groupPaths determines how messages reach all boxes of a group with little traffic between zones.
 type groupPaths struct {
-	direct     []netip.AddrPort   // whom this box speaks to itself, in an order that all compute alike
-	position   int                // of this box among those, and itself
-	zones      [][]netip.AddrPort // the boxes of each other zone, of which one hands on to the others
+	direct     []netip.AddrPort   // boxes to send to directly, in the same order on all boxes
+	position   int                // this box's position in that order
+	zones      [][]netip.AddrPort // boxes of each other zone; one of them relays to the rest
 	relayCount int
 }
 
-// newGroupPaths gives the paths from a box to the others of its group.
+// newGroupPaths returns the paths from a box to the other members of its group.
 func newGroupPaths(self core.Peer, members []core.Peer) groupPaths {
 	all := slices.Clone(members)
 	slices.SortFunc(all, func(a, b core.Peer) int { return core.CompareByHash(a.Box, b.Box) })
@@ -42,11 +42,11 @@
 	return g
 }
 
-// indirect gives the boxes that this one doesn't speak to itself.
+// indirect returns the boxes that are reached through relays.
 func (g *groupPaths) indirect() []netip.AddrPort { return slices.Concat(g.zones...) }
 
-// relays gives one box of each other zone, which hands a message on there; another one
-// with each message, so that one that is gone costs few.
+// relays returns one box of each other zone, which relays a message there. It rotates with each
+// call, so that a box that is down costs few messages.
 func (g *groupPaths) relays() []netip.AddrPort {
 	g.relayCount++
 	var out []netip.AddrPort
@@ -56,16 +56,16 @@
 	return out
 }
 
-// updateTargets gives the boxes to which this one hands news on: in a large group those at
-// distances of 1, 2, 4 and so on in the common order, by which news reach all in few steps,
-// and one of each other zone.
+// updateTargets returns the boxes to which this box forwards updates. In a large group these are
+// the boxes at distances 1, 2, 4 and so on in the common order, by which an update reaches all
+// in few hops, and one box of each other zone.
 func (g *groupPaths) updateTargets() []netip.AddrPort {
 	if len(g.zones) == 0 {
 		return slices.Clone(g.direct)
 	}
 	var out []netip.AddrPort
 	for step := 1; step <= len(g.direct); step *= 2 {
-		// Without this box itself the order is one shorter.
+		// The list doesn't contain this box, so distances are one shorter.
 		out = append(out, g.direct[(g.position+step-1)%len(g.direct)])
 	}
 	for _, zone := range g.zones {
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// gossipInterval spaces a box's greetings; greetLost does so while the store
-	// is away, when peers are the only source.
+	// gossipInterval is the average time between a box's gossip exchanges;
+	// storeDownGossipInterval applies while the store is down and peers are the only source.
 	gossipInterval          = 250 * time.Millisecond
 	storeDownGossipInterval = 150 * time.Millisecond
 )
 
-// Peers exchanges views and the roster with other boxes.
+// Peers maintains the roster of boxes and exchanges state with them.
 type Peers struct {
 	sender            *stateSender
-	mu                sync.Mutex // guards all that follows
+	mu                sync.Mutex // guards all fields below
 	sources           *core.SourceSelector[*wire.Conn]
-	fetching          bool          // whether newer views are asked for
-	stopped           chan struct{} // closed when this box greets nobody any more
-	wake              chan struct{} // tells who asks for them that somebody offered some
+	fetching          bool          // fetchAll is running
+	stopped           chan struct{} // closed when Run ends
+	wake              chan struct{} // wakes fetchAll after an advertisement
 	lastPreferred     preferredCache
 	roster            *core.Roster
 	discovery         *core.PeerDiscovery
 	rateShares        *core.ShareAllocator
-	discovered        bool // whether most other boxes are known
+	discovered        bool // most other boxes are known
 	state             *State
 	seeds             []netip.AddrPort
 	log               *zap.Logger
@@ -43,8 +43,8 @@
 	pool              *wire.Pool
 	server            *wire.Server
 	group             core.Group
-	groupAddresses    []netip.AddrPort // the other boxes of the group
-	paths             groupPaths       // by which messages reach them
+	groupAddresses    []netip.AddrPort // other boxes of the group
+	paths             groupPaths       // paths to the other boxes of the group
 	remotePartners    []netip.AddrPort
 	gossipCount       int
 	rotatedAt         time.Time
@@ -57,19 +57,19 @@
 	onPlacement       func(time.Time, Placement)
 	onEvacuating      func(time.Time, Evacuating)
 	pendingPlacements []Placement
-	seenUpdates       []updateKey // the news that were handed on last
+	seenUpdates       []updateKey // most recent updates, oldest first
 	pushing           map[netip.AddrPort]bool
 }
 
-// PeersOption changes how peers are built.
+// PeersOption configures Peers.
 type PeersOption func(*Peers)
 
-// WithPeersLog gives the log of changes of the roster.
+// WithPeersLog sets the logger.
 func WithPeersLog(log *zap.Logger) PeersOption {
 	return func(p *Peers) { p.log = log }
 }
 
-// WithLoadReports lets greetings carry the engines' reports.
+// WithLoadReports includes the engines' load reports in gossip.
 func WithLoadReports(r *LoadReports) PeersOption {
 	return func(p *Peers) {
 		p.reports = r
@@ -77,25 +77,24 @@
 	}
 }
 
-// WithNetwork gives what the connections between boxes run over; without it, the
-// operating system's.
+// WithNetwork sets the network that connects the boxes. The default is the operating system's.
 func WithNetwork(n wire.Network) PeersOption {
 	return func(p *Peers) { p.network = n }
 }
 
-// WithPlacementHandler is called with each placement of a partner.
+// WithPlacementHandler sets a function that is called with each placement of another box.
 func WithPlacementHandler(onPlacement func(time.Time, Placement)) PeersOption {
 	return func(p *Peers) { p.onPlacement = onPlacement }
 }
 
-// WithSuspensionCheck gives what looks whether the machine was suspended and calls Suspended if it
-// was; it is called before other boxes are told how old anything is.
+// WithSuspensionCheck sets a function that checks whether the machine was suspended and, if so,
+// calls HandleSuspension. It is called before ages are sent to other boxes.
 func WithSuspensionCheck(checkSuspension func()) PeersOption {
 	return func(p *Peers) { p.checkSuspension = checkSuspension }
 }
 
-// NewPeers listens on the box's own address for others; seeds are addresses to
-// begin with, which may be stale.
+// NewPeers starts to listen on the box's own address. Seeds are the addresses of boxes to
+// contact first; they may be stale.
 func NewPeers(self core.Peer, seeds []netip.AddrPort, state *State, options ...PeersOption) (*Peers, error) {
 	p := &Peers{
 		roster:          core.NewRoster(self, core.DefaultRosterRules()),
@@ -139,19 +138,19 @@
 	return p, nil
 }
 
-// withoutAddress gives addresses without one's own.
+// withoutAddress returns the addresses without the given one.
 func withoutAddress(all []netip.AddrPort, own netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(all), func(a netip.AddrPort) bool { return a == own })
 }
 
-// SetSeeds replaces the addresses to begin with.
+// SetSeeds replaces the seed addresses.
 func (p *Peers) SetSeeds(seeds []netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seeds = withoutAddress(seeds, p.roster.Self().Address)
 }
 
-// Run greets other boxes until the context ends.
+// Run gossips with other boxes until the context ends.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		every := gossipInterval
@@ -167,8 +166,8 @@
 	p.server.Close()
 }
 
-// HandleSuspension takes that the machine was suspended for a time, which its steady clock didn't
-// count.
+// HandleSuspension corrects all recorded times and ages after a machine suspension, which the
+// monotonic clock doesn't count.
 func (p *Peers) HandleSuspension(d time.Duration) {
 	p.state.HandleSuspension(d)
 	if p.reports != nil {
@@ -180,7 +179,7 @@
 	p.roster.HandleSuspension(d)
 }
 
-// broadcastToGroup tells the boxes of the group of something at once, without waiting.
+// broadcastToGroup sends a message to all boxes of the group without waiting.
 func (p *Peers) broadcastToGroup(m wire.Message) {
 	p.mu.Lock()
 	groupAddresses := p.groupAddresses
@@ -196,16 +195,15 @@
 	}
 }
 
-// MarkLeaving tells the other boxes, with the greetings that follow, that this one
-// is leaving.
+// MarkLeaving makes the following gossip announce that this box is leaving.
 func (p *Peers) MarkLeaving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.roster.MarkLeaving()
 }
 
-// Sharers counts the boxes that share a budget with this one. Before any other
-// box was met, the share is as small as can be, unless there is no other.
+// Sharers returns the number of boxes that share a retry budget. It is huge, and the share thus
+// minimal, until another box was contacted, unless there are no seeds.
 func (p *Peers) Sharers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,10 +213,10 @@
 	return p.roster.Sharers(time.Now())
 }
 
-// Traffic counts the messages that came from other boxes.
+// Traffic returns the number of messages received from other boxes.
 func (p *Peers) Traffic() uint64 { return p.handlers.Traffic().Received.Load() }
 
-// Self gives the name of this box.
+// Self returns this box's name.
 func (p *Peers) Self() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/placements.go
+++ b/fleet/placements.go
@@ -9,38 +9,37 @@
 )
 
 const (
-	// placementBatchDelay is how long placements wait for others to go with them.
+	// placementBatchDelay is how long placements wait to be sent in one message.
 	placementBatchDelay = 15 * time.Millisecond
-	// maxPlacements bounds the placements of one message; a box with more tells the
-	// first, and its partners know that the engines are busy.
+	// maxPlacements bounds the placements in a message. Further ones are omitted, since the
+	// receivers then know already that the engines are busy.
 	maxPlacements = 64
 )
 
-// Placement is a prompt that a box has just sent to an engine, a copy of a run that
-// is sent there as the run grows, the end of either, or word that an endpoint owes an
-// answer or broke a stream off.
+// Placement tells the boxes of a group what another box does to an engine's load. It is a prompt
+// sent to the engine, a copy of a run that is sent there as the run grows, the end of either, or
+// the observation that an answer is overdue or a stream broke.
 type Placement struct {
 	Endpoint      string `cbor:"1,keyasint"`
-	Tokens        int    `cbor:"2,keyasint"` // of the prompt, or of the copy at its end; with the end of a run, as told at its begin
+	Tokens        int    `cbor:"2,keyasint"` // tokens of the prompt, or of the copy when complete; at a run's end, as sent at its start
 	Copy          bool   `cbor:"3,keyasint,omitempty"`
 	AnswerOverdue bool   `cbor:"4,keyasint,omitempty"` // an answer of the endpoint is overdue
-	StreamBroken  bool   `cbor:"5,keyasint,omitempty"` // a stream of the endpoint broke off unannounced
-	RunEnded      bool   `cbor:"6,keyasint,omitempty"` // the run has ended
-	HeldTokens    int    `cbor:"7,keyasint,omitempty"` // tokens that a run held at its end
+	StreamBroken  bool   `cbor:"5,keyasint,omitempty"` // a stream of the endpoint broke without notice
+	RunEnded      bool   `cbor:"6,keyasint,omitempty"`
+	HeldTokens    int    `cbor:"7,keyasint,omitempty"` // tokens in the engine's memory when the run ended
 }
 
-// Placements is what a box placed in the last moments.
+// Placements is the message with a box's latest placements.
 type Placements struct {
 	All   []Placement `cbor:"1,keyasint"`
-	Relay bool        `cbor:"2,keyasint,omitempty"` // hand it on to the boxes of the own zone
+	Relay bool        `cbor:"2,keyasint,omitempty"` // the receiver forwards it to the boxes of its own zone
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (Placements) Kind() string { return "placements" }
 
-// BroadcastPlacement tells the boxes of the group of a placement, soon and without waiting. A partner
-// that still takes the message before gets none: news of placements are worth
-// nothing when they are late.
+// BroadcastPlacement queues a placement for the boxes of the group and returns at once. A box to
+// which the previous message is still being sent is skipped, since late placements are useless.
 func (p *Peers) BroadcastPlacement(placement Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +75,7 @@
 func (p *Peers) pushPlacementsTo(address netip.AddrPort, batch Placements) {
 	ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 	defer cancel()
-	// A partner that can't be reached is found out by the greetings.
+	// Gossip detects boxes that can't be reached.
 	if c, err := p.pool.Get(ctx, address); err == nil {
 		_ = c.Push(ctx, batch)
 	}
@@ -85,7 +84,7 @@
 	delete(p.pushing, address)
 }
 
-// handlePlacements takes a partner's placements.
+// handlePlacements applies another box's placements and relays them if asked to.
 func (p *Peers) handlePlacements(_ context.Context, _ *wire.Conn, batch Placements) {
 	if batch.Relay {
 		p.mu.Lock()
--- a/fleet/preferred_endpoints.go
+++ b/fleet/preferred_endpoints.go
@@ -8,8 +8,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// preferredCache keeps the last share: it is asked for some times a second, and
-// changes with the list, the configuration and the group only.
+// preferredCache caches the preferred endpoints, which are needed several times a second but
+// change only with the list, the configuration and the group.
 type preferredCache struct {
 	listRevision routing.Revision
 	version      uint64
@@ -17,9 +17,9 @@
 	preferred    map[string]bool
 }
 
-// PreferredEndpoints gives the endpoints that this box's group uses first, by id; it must
-// not be changed. Plain services are not divided: their calls are short and
-// need no news of placements.
+// PreferredEndpoints returns the ids of the endpoints that this box's group uses first. The
+// result must not be modified. Endpoints of services without engines are preferred by all
+// groups: their calls are short and don't need shared placements.
 func (p *Peers) PreferredEndpoints(v *View) map[string]bool {
 	if v.Table == nil {
 		return nil
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -11,18 +11,17 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// CrashRecords is what a box tells its group at once of requests under which endpoints
-// ended.
+// CrashRecords is the message that endpoints crashed during requests.
 type CrashRecords struct {
 	All []core.CrashRecord `cbor:"1,keyasint"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (CrashRecords) Kind() string { return "end records" }
 
-// Quarantine is what a box knows, by itself and from others, of requests under which
-// endpoints ended. Within a group word goes to all at once; greetings carry it from group
-// to group, and to boxes that start or were cut off.
+// Quarantine holds the requests that crash endpoints, as observed by this box and others. Changes
+// are broadcast within the group; gossip carries them to other groups and to boxes that start or
+// reconnect.
 type Quarantine struct {
 	mu        sync.Mutex
 	q         *core.Quarantine
@@ -30,7 +29,7 @@
 	broadcast func([]core.CrashRecord)
 }
 
-// NewQuarantine builds one that knows of no end.
+// NewQuarantine returns an empty quarantine.
 func NewQuarantine(log *zap.Logger) *Quarantine {
 	return &Quarantine{
 		q:         core.NewQuarantine(core.DefaultQuarantineRules()),
@@ -39,7 +38,7 @@
 	}
 }
 
-// Crashed takes the end of an endpoint under a request of this box.
+// Crashed records that an endpoint crashed during a request of this box.
 func (q *Quarantine) Crashed(now time.Time, request core.Digest, endpoint string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -52,7 +51,7 @@
 	}
 }
 
-// RecordSuccess takes a run of a request that its endpoint survived.
+// RecordSuccess records that an endpoint completed a request without a crash.
 func (q *Quarantine) RecordSuccess(now time.Time, request core.Digest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -65,21 +64,21 @@
 	}
 }
 
-// QuarantinedUntil tells whether no endpoint may get a request, and until when.
+// QuarantinedUntil reports whether a request is quarantined, and until when.
 func (q *Quarantine) QuarantinedUntil(now time.Time, request core.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.q.QuarantinedUntil(now, request)
 }
 
-// QuarantinedRequest is a request that no endpoint may get.
+// QuarantinedRequest is a request that must not be sent to any endpoint.
 type QuarantinedRequest struct {
 	Content  core.Digest
-	Ended    []string // the endpoints that ended under it
+	Ended    []string // endpoints that crashed during the request
 	TimeLeft time.Duration
 }
 
-// All gives the requests that no endpoint may get, the last ones first.
+// All returns the quarantined requests, most recent first.
 func (q *Quarantine) All(now time.Time) []QuarantinedRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -95,14 +94,16 @@
 	return all
 }
 
-// sample gives what a greeting tells.
+// sample returns the records for a gossip message.
 func (q *Quarantine) sample(now time.Time) []core.CrashRecord {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.q.Sample(now)
 }
 
-// merge takes what another box told, and gives what the group should hear of it.
+// merge merges another box's records. It returns those that changed the quarantine, and
+// objections: this box's records of successful runs of requests that the other box counts
+// crashes of.
 func (q *Quarantine) merge(now time.Time, received []core.CrashRecord, from string) (updated, objections []core.CrashRecord) {
 	if len(received) == 0 {
 		return nil, nil
@@ -116,9 +117,8 @@
 	return updated, objections
 }
 
-// logChange logs what is believed of a request after news of it. One end alone is logged by
-// the box that saw it: where many servers crash at once, there is one for each request
-// that ran there.
+// logChange logs a request's new state. A single crash is logged only by the box that observed
+// it, to bound the log when many servers crash at once.
 func (q *Quarantine) logChange(now time.Time, request core.Digest, from string) {
 	ended := q.q.Crashes(request)
 	if len(ended) == 1 {
@@ -130,17 +130,17 @@
 		zap.String("from", from),
 	}
 	if until, held := q.q.QuarantinedUntil(now, request); held {
-		q.log.Info("request is kept from endpoints: they end under it", append(fields, zap.Duration("for", until.Sub(now)))...)
+		q.log.Info("request quarantined, endpoints crash during it", append(fields, zap.Duration("for", until.Sub(now)))...)
 		return
 	}
 	if len(ended) == 0 {
-		q.log.Info("an endpoint survived a request, ends under it count no more", fields...)
+		q.log.Info("request completed by an endpoint, its recorded crashes no longer count", fields...)
 		return
 	}
-	q.log.Info("several endpoints ended under a request", fields...)
+	q.log.Info("several endpoints crashed during a request", fields...)
 }
 
-// WithQuarantine shares with others the requests under which endpoints ended.
+// WithQuarantine shares the quarantine with other boxes.
 func WithQuarantine(q *Quarantine) PeersOption {
 	return func(p *Peers) {
 		p.quarantine = q
@@ -148,13 +148,13 @@
 	}
 }
 
-// broadcastCrashRecords tells the boxes of the group at once: each repeat meanwhile may end another
-// endpoint. Who isn't reached hears it with a greeting.
+// broadcastCrashRecords sends records to the group at once, since each repeat of the request may
+// crash another endpoint. Boxes that miss the message get the records by gossip.
 func (p *Peers) broadcastCrashRecords(records []core.CrashRecord) {
 	p.broadcastToGroup(CrashRecords{All: records})
 }
 
-// handleCrashRecords takes a fellow's word.
+// handleCrashRecords merges records from a box of the group.
 func (p *Peers) handleCrashRecords(_ context.Context, _ *wire.Conn, received CrashRecords) {
 	_, objections := p.quarantine.merge(time.Now(), received.All, sourcePeer)
 	if len(objections) > 0 {
@@ -162,8 +162,8 @@
 	}
 }
 
-// mergeCrashRecords takes what a greeting told; what comes from another group is handed on in
-// this one.
+// mergeCrashRecords merges records from gossip. Changes from another group are broadcast in this
+// one.
 func (p *Peers) mergeCrashRecords(records []core.CrashRecord, inGroup bool) {
 	updated, objections := p.quarantine.merge(time.Now(), records, sourcePeer)
 	if !inGroup {
--- a/fleet/rate_share.go
+++ b/fleet/rate_share.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RateShare gives how many of the sends that an endpoint takes in a while, from all boxes
-// together, fall to this one.
+// RateShare returns this box's share of the requests that an endpoint accepts per interval from
+// all boxes together. It is zero until the box has discovered its peers.
 func (p *Peers) RateShare(endpoint string, units int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/retry_budget.go
+++ b/fleet/retry_budget.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// maxBorrowedSends is how many sends a box asks for: the one that it needs now. What
-	// is lent and not used is lost to both.
+	// maxBorrowedSends is how many sends are borrowed at once: only the one needed now, since
+	// borrowed sends that are not used are lost to both boxes.
 	maxBorrowedSends = 1
-	// maxBorrowAttempts bounds the boxes that are asked for it, within the time that a stream
-	// can wait; each answers in one to three milliseconds, and one in three has some.
+	// maxBorrowAttempts bounds the boxes asked for a send, so that a waiting stream is not
+	// delayed for long; each takes 1 to 3 ms.
 	maxBorrowAttempts = 12
 )
 
@@ -26,26 +26,26 @@
 	Sends   int    `cbor:"2,keyasint"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (BorrowRequest) Kind() string { return "borrow" }
 
-// BorrowResponse is what the asked box gave: it counted these sends as its own.
+// BorrowResponse contains the sends that the asked box transferred out of its budget.
 type BorrowResponse struct {
 	Sends int `cbor:"1,keyasint"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (BorrowResponse) Kind() string { return "lent" }
 
-// RetryBudgets are a box's parts of the retry budgets, as others borrow from them.
+// RetryBudgets are this box's parts of the services' retry budgets.
 type RetryBudgets interface {
-	// TransferOut gives up to some sends of a service, counted as spent here.
+	// TransferOut takes up to the given number of sends from a service's budget and returns how many.
 	TransferOut(now time.Time, service string, sends int) int
-	// ReceiveTransfer takes sends that another box gave.
+	// ReceiveTransfer adds sends from another box to a service's budget.
 	ReceiveTransfer(now time.Time, service string, sends int)
 }
 
-// SetRetryBudgets lets the boxes of a group lend each other parts of their budgets.
+// SetRetryBudgets sets the budgets that the boxes of a group lend each other parts of.
 func (p *Peers) SetRetryBudgets(b RetryBudgets) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 	return p.budgets
 }
 
-// handleBorrowRequest answers a box that asks.
+// handleBorrowRequest answers a box that wants to borrow sends.
 func (p *Peers) handleBorrowRequest(_ context.Context, _ *wire.Conn, q BorrowRequest) (BorrowResponse, error) {
 	b := p.retryBudgets()
 	if b == nil || q.Sends <= 0 {
@@ -76,8 +76,8 @@
 	return p.groupAddresses[rand.N(len(p.groupAddresses))], true
 }
 
-// BorrowRetries asks boxes of the group one after the other, until one gives a part
-// of its budget or the context ends.
+// BorrowRetries asks boxes of the group one after the other until one lends a part of its budget,
+// the attempts are used up, or the context ends.
 func (p *Peers) BorrowRetries(ctx context.Context, service string) {
 	b := p.retryBudgets()
 	if b == nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// borrow asks one box, and tells whether it gave something.
+// borrow asks one box and reports whether it lent anything.
 func (p *Peers) borrow(ctx context.Context, b RetryBudgets, from netip.AddrPort, service string) bool {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
@@ -100,7 +100,7 @@
 		Sends:   maxBorrowedSends,
 	})
 	if err != nil {
-		p.log.Debug("no part of a budget came", zap.Stringer("address", from), zap.Error(err))
+		p.log.Debug("borrowing retries from box failed, asking another", zap.Stringer("address", from), zap.Error(err))
 		return false
 	}
 	if lent.Sends <= 0 {
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -8,58 +8,58 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// missingGracePeriod is how long entries that lapsed while the store was away have to
-// come back after its return; the platform gives about two seconds.
+// missingGracePeriod is how long endpoints and drained zones that are missing after a store
+// outage or restore may take to reappear before they are dropped.
 const missingGracePeriod = 2 * time.Second
 
-// leavingRetention is how long the box remembers that an incarnation was leaving, so
-// that an old view can't bring it back; far above what any view lags.
+// leavingRetention is how long an incarnation stays marked as leaving, so that a stale list
+// can't make it available again.
 const leavingRetention = 10 * time.Minute
 
-// Names of the sources of changes.
+// Sources of changes, as logged.
 const (
 	sourceStore  = "store"
 	sourcePeer   = "peer"
-	sourceEngine = "engine" // the endpoint itself
+	sourceEngine = "engine" // the endpoint's own answer
 )
 
-// ChangeKind names a change of belief, for logs.
+// ChangeKind names a kind of change; it is also the text of the change's log line.
 type ChangeKind string
 
-// The changes of belief.
+// The kinds of changes.
 const (
 	ConfigurationInForce ChangeKind = "configuration in force"
 	EndpointJoined       ChangeKind = "endpoint joined"
 	EndpointLeaving      ChangeKind = "endpoint leaving"
 	EndpointRemoved      ChangeKind = "endpoint gone"
-	EndpointMissing      ChangeKind = "endpoint missing after an outage"
-	EndpointRestarted    ChangeKind = "endpoint restarted under its name" // its former incarnation is gone
-	StoreRestored        ChangeKind = "the store came back from an older copy"
-	EndpointUnusable     ChangeKind = "endpoint's entry names no server any more"
-	EndpointListLoaded   ChangeKind = "list known" // the first one
+	EndpointMissing      ChangeKind = "endpoint missing after a store outage"
+	EndpointRestarted    ChangeKind = "endpoint restarted" // reported for the previous incarnation
+	StoreRestored        ChangeKind = "store restored from an older backup"
+	EndpointUnusable     ChangeKind = "endpoint's store entry is no longer usable"
+	EndpointListLoaded   ChangeKind = "endpoint list loaded" // first list since the start
 	ZoneDrained          ChangeKind = "zone drained"
 	ZoneDrainEnded       ChangeKind = "zone drain ended"
 )
 
-// Change is one change of belief, for logs and for whoever acts on it.
+// Change describes one change of the state, for logs and callbacks.
 type Change struct {
 	Kind             ChangeKind
 	Endpoint         routing.Endpoint
-	Zone             string   // that was drained or taken back
-	Version          uint64   // of the configuration
-	Routes           int      // in it
-	Count            int      // of endpoints in the first list
-	JoinedIDs        []string // for EndpointJoined: the ids of all that joined with this view, by the same source
+	Zone             string   // zone whose drain began or ended
+	Version          uint64   // configuration version
+	Routes           int      // number of routes in the configuration
+	Count            int      // number of endpoints in the first list
+	JoinedIDs        []string // for EndpointJoined: ids of all endpoints that joined together
 	Revision         routing.Revision
-	PreviousRevision routing.Revision // for StoreReplaced: the list's last change until then
-	Source           string           // the store or a peer
+	PreviousRevision routing.Revision // for StoreRestored: list revision before the restore
+	Source           string           // "store", "engine", or the peer that sent the change
 
-	// For a configuration: when this process first heard of this version or a
-	// newer one, from anyone; zero when it came unannounced.
+	// For a configuration: when this process first learned that this version or a
+	// newer one exists; zero if it was not announced before it arrived.
 	AnnouncedAt time.Time
 }
 
-// PropagationDelay gives how long a process that had heard of a version was without it.
+// PropagationDelay returns the time between a configuration's announcement and its activation.
 func (c Change) PropagationDelay(now time.Time) time.Duration {
 	if c.AnnouncedAt.IsZero() {
 		return 0
@@ -67,31 +67,32 @@
 	return now.Sub(c.AnnouncedAt)
 }
 
-// State holds the newest view and makes the next ones.
+// State is the box's cached copy of the configuration, the endpoint list and the zone drains.
+// It merges changes from the store and from peers and publishes each result as a View.
 type State struct {
 	mu             sync.Mutex
 	view           atomic.Pointer[View]
 	onChange       func(Change)
-	pendingChanges []Change                  // told once the view holds them
-	entries        map[string]*endpointEntry // by the servers' published names
-	modified       map[string]string         // incarnations that changed since the last view, with the servers' names
-	leaving        map[string]time.Time      // leaving incarnations, with when that was learned
+	pendingChanges []Change                  // reported after the next view is published
+	entries        map[string]*endpointEntry // by name in the store
+	modified       map[string]string         // names by id, of incarnations changed since the last view
+	leaving        map[string]time.Time      // by id of the incarnation: when it was marked as leaving
 	zones          map[string]routing.ZoneDrain
-	missingZones   map[string]routing.ZoneDrain // drained zones that a copy of the store doesn't have as such
+	missingZones   map[string]routing.ZoneDrain // drained zones that are not drained in a restored store
 	table          *routing.Table
-	changed        routing.Revision
+	changed        routing.Revision // revision of the list's last change
 	hasList        bool
-	confirmedAt    time.Time
-	storeUpAt      time.Time // when the store came back after an outage
+	confirmedAt    time.Time // when the list was last known to be complete
+	storeUpAt      time.Time // when the store answered again after an outage or was restored
 	storeDown      bool
-	announcements  []versionAnnouncement // versions that are newer than the one in force, oldest first
+	announcements  []versionAnnouncement // configuration versions newer than the active one, oldest first
 
-	removals       []Removal        // the last ones, for partial lists
-	firstRevision  routing.Revision // the list's last change when this box first had one
-	prunedRevision routing.Revision // removals up to this revision are not known any more
+	removals       []Removal        // most recent removals, for partial lists
+	firstRevision  routing.Revision // list revision of the first list in this process or era
+	prunedRevision routing.Revision // removals up to this revision are no longer in removals
 }
 
-// versionAnnouncement is when anyone first told of a version of the configuration.
+// versionAnnouncement records when a configuration version was first announced to this box.
 type versionAnnouncement struct {
 	version uint64
 	at      time.Time
@@ -99,21 +100,20 @@
 
 type endpointEntry struct {
 	routing.Endpoint
-	missing bool // it lapsed during an outage and may still come back
+	missing bool // absent after a store outage or restore; dropped after the grace period
 }
 
-// StateOption changes how a belief is built.
+// StateOption configures a State.
 type StateOption func(*State)
 
-// WithOnChange is called for each change, in order and under the belief's lock,
-// when the view holds it and those that came with it. Endpoints that joined together
-// are one change: on a fleet of 295 boxes and 141 endpoints, their start took 42,000
-// lines of the boxes' logs with a change each.
+// WithOnChange sets a function that is called for each change, in order, after the view that
+// contains the change is published. It is called with the state locked. Endpoints that join
+// together are reported as one change.
 func WithOnChange(onChange func(Change)) StateOption {
 	return func(s *State) { s.onChange = onChange }
 }
 
-// NewState builds an empty belief.
+// NewState returns an empty state.
 func NewState(options ...StateOption) *State {
 	s := &State{
 		onChange:     func(Change) {},
@@ -130,24 +130,24 @@
 	return s
 }
 
-// View gives the newest view.
+// View returns the current view.
 func (s *State) View() *View { return s.view.Load() }
 
-// MarkStoreDown notes that the store can't be reached.
+// MarkStoreDown records that the store can't be reached.
 func (s *State) MarkStoreDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeDown = true
 }
 
-// IsStoreDown tells whether the store can't be reached at present.
+// IsStoreDown reports whether the last call to the store failed.
 func (s *State) IsStoreDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.storeDown
 }
 
-// MarkStoreUp notes that the store answered.
+// MarkStoreUp records that the store answered.
 func (s *State) MarkStoreUp(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,9 +157,9 @@
 	}
 }
 
-// HandleSuspension takes that the machine was suspended for a time, which the steady clock didn't
-// count: what was confirmed before is so much older. Other boxes are told of its age, and
-// would take an old list for a fresh one.
+// HandleSuspension moves all recorded times back by the length of a machine suspension, which
+// the monotonic clock doesn't count, so that the list's age is neither used nor gossiped as
+// lower than it is.
 func (s *State) HandleSuspension(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,13 +171,12 @@
 	s.publish()
 }
 
-// gracePeriodOver tells whether what the store lacked after an outage, or after it came back from
-// an older copy, had its time to come back.
+// gracePeriodOver reports whether the grace period after a store outage or restore has passed.
 func (s *State) gracePeriodOver(now time.Time) bool {
 	return !s.storeDown && now.Sub(s.storeUpAt) >= missingGracePeriod
 }
 
-// Tick drops entries whose time to come back is over.
+// Tick drops missing endpoints and zone drains after the grace period, and expired leaving marks.
 func (s *State) Tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,8 +201,8 @@
 	}
 }
 
-// publish makes the next view from the last one and the entries that changed, and
-// tells of the changes.
+// publish stores a new view that contains the modified entries, then reports the pending
+// changes.
 func (s *State) publish() {
 	v := s.view.Load().next(s.zoneStates(), s.modified, func(id string) (routing.Endpoint, bool) {
 		e := s.entries[s.modified[id]]
@@ -224,7 +223,7 @@
 	s.pendingChanges = s.pendingChanges[:0]
 }
 
-// mergeJoined makes one change of the endpoints that joined by the same source.
+// mergeJoined combines the EndpointJoined changes of each source into one.
 func mergeJoined(all []Change) []Change {
 	var out []Change
 	first := make(map[string]int) // by source
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -7,14 +7,13 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// ApplySnapshot takes all that the store published. A list that is older than
-// what is believed changes nothing.
+// ApplySnapshot replaces the state by a full read of the store. A list that is older than the
+// current one is ignored.
 func (s *State) ApplySnapshot(now time.Time, snapshot *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setDocument(sourceStore, snapshot.Document)
-	// The store gives nothing older than what anyone had from it before; what was heard
-	// of while it answered is heard of again.
+	// A full read is at least as new as every version announced so far.
 	s.announcements = nil
 	if !s.hasList || snapshot.Revision >= s.changed {
 		s.enterEra(now, sourceStore, snapshot.Revision)
@@ -25,8 +24,8 @@
 	s.publish()
 }
 
-// ApplyPeerState takes what a peer believes. What it dropped is gone: the peer has
-// given it its time to come back.
+// ApplyPeerState merges newer state fetched from a peer. Endpoints missing from a complete list
+// are dropped at once, since the peer has already waited for the grace period.
 func (s *State) ApplyPeerState(now time.Time, from string, v PeerState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +55,8 @@
 	s.publish()
 }
 
-// replaceList replaces the list. The revision of the last change is known only
-// from the entries that are there; a removal may be as new as the list itself.
+// replaceList replaces the endpoint list. The list's own revision may be newer than its last
+// change, so changed is advanced to it only if an entry was removed.
 func (s *State) replaceList(now time.Time, from string, revision routing.Revision, all []routing.Endpoint) {
 	seen := make(map[string]bool, len(all))
 	for _, e := range all {
@@ -87,8 +86,8 @@
 	s.hasList = true
 }
 
-// ApplyChanges takes what the store says has changed since the last view, and
-// gives the news of it for the peers, if there are any.
+// ApplyChanges merges changes from the store. It returns the update to send to peers, and false
+// if there is nothing to send.
 func (s *State) ApplyChanges(now time.Time, c *Changes) (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,9 +109,9 @@
 	return update, !update.isEmpty()
 }
 
-// ApplyUpdate takes changes that a peer hands on, and tells whether they were
-// new. News with a gap before them leave the view's age as it is; the next
-// greeting closes the gap.
+// ApplyUpdate merges an update from a peer and reports whether it was newer than the list. If
+// updates before it were missed, the list's revision and age stay as they are, and the missing
+// changes are fetched after the next gossip exchange.
 func (s *State) ApplyUpdate(now time.Time, from string, n Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +140,7 @@
 	}
 }
 
-// Confirm takes a peer's word that it knew of no later change than a revision,
-// some time ago.
+// Confirm records that a peer knew of no list change after the given revision, age ago.
 func (s *State) Confirm(now time.Time, changed routing.Revision, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,9 +150,8 @@
 	s.view.Store(&v)
 }
 
-// advanceConfirmed moves the time at which the list was last known to be whole, if this
-// box believes no less than who says so. Who has heard of no newer era of the store can't
-// tell.
+// advanceConfirmed updates the confirmation time if the peer that confirmed the list was not
+// ahead of this box. A peer in an older store era can't confirm the list.
 func (s *State) advanceConfirmed(now time.Time, changed routing.Revision, age time.Duration) {
 	at := now.Add(-age)
 	if age >= 0 && s.hasList && s.changed >= changed && s.changed.Era() == changed.Era() && at.After(s.confirmedAt) {
@@ -162,7 +159,7 @@
 	}
 }
 
-// ApplyDocument takes a configuration that a peer has in force.
+// ApplyDocument activates a configuration if it is newer than the active one.
 func (s *State) ApplyDocument(from string, d *routing.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,8 +167,8 @@
 	s.publish()
 }
 
-// NoteConfigVersion notes that a version of the configuration exists; how long it then takes
-// until one at least as new is in force is told with the change.
+// NoteConfigVersion records that a configuration version exists, to measure how long it takes to
+// become active here.
 func (s *State) NoteConfigVersion(now time.Time, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +184,8 @@
 	})
 }
 
-// ConfigLag gives how long this box has known of a newer configuration than its own, or
-// zero.
+// ConfigLag returns how long a newer configuration than the active one has been known to exist,
+// or zero.
 func (s *State) ConfigLag(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,8 +209,8 @@
 	})
 }
 
-// takeAnnouncement gives when anyone first told of a version or a newer one, and forgets
-// those that are not newer.
+// takeAnnouncement returns when this version or a newer one was first announced, and removes the
+// announcements up to this version.
 func (s *State) takeAnnouncement(version uint64) time.Time {
 	var at time.Time
 	if i := slices.IndexFunc(s.announcements, func(h versionAnnouncement) bool { return h.version >= version }); i >= 0 {
--- a/fleet/state_endpoints.go
+++ b/fleet/state_endpoints.go
@@ -6,12 +6,12 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// maxRemovals is how many removals a box remembers for partial lists; a fleet
-// of thousands of servers replaces some hundreds at once.
+// maxRemovals is how many removals are kept for partial lists. A fleet of thousands of servers
+// may replace several hundred at once.
 const maxRemovals = 4096
 
-// ChangesSince gives what changed after a revision, or tells that the whole list is
-// needed.
+// ChangesSince returns the changes after a revision. It returns false if they are not known
+// completely and the whole list is needed.
 func (s *State) ChangesSince(after routing.Revision) (updated []routing.Endpoint, removals []Removal, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,8 +31,8 @@
 	return updated, removals, true
 }
 
-// updateEndpoint takes an entry, unless it is older than what is believed: by the store's
-// revision, or because the server has started again since.
+// updateEndpoint replaces an entry, unless the new one has an older revision or belongs to an
+// earlier start of the server.
 func (s *State) updateEndpoint(now time.Time, from string, e routing.Endpoint) {
 	name := e.Name()
 	old := s.entries[name]
@@ -54,12 +54,12 @@
 	s.recordEndpointChange(from, old, e)
 }
 
-// coldUntil gives until when an endpoint is cold. An entry that is read again tells nothing
-// new: what is left was told when it was written.
+// coldUntil returns when an endpoint's cold phase ends. The remaining time in an entry counts
+// from when the entry was written, so reading the same entry again doesn't extend the phase.
 func coldUntil(now time.Time, old *endpointEntry, e routing.Endpoint) time.Time {
 	known := old != nil && old.ID == e.ID
 	if known && old.Revision.Number() == e.Revision.Number() && old.Cold == e.Cold {
-		return old.ColdUntil // it may be read again in a later era of the store
+		return old.ColdUntil // the same entry, possibly read in a later store era
 	}
 	var until time.Time
 	if e.Cold > 0 {
@@ -75,11 +75,11 @@
 	known := old != nil && old.Usable()
 	switch {
 	case !known && !s.hasList:
-		// One line for the first list, and not thousands.
+		// The first list is logged as a whole.
 	case !known && e.Usable():
 		s.recordChange(EndpointJoined, from, e)
 	case !known:
-		// The source logs an entry that can't be used.
+		// The store's client logs unusable entries.
 	case !e.Usable():
 		s.recordChange(EndpointUnusable, from, old.Endpoint)
 	case old.ID != e.ID:
@@ -90,9 +90,9 @@
 	}
 }
 
-// MarkRestarted takes a server's own word, by way of who told it, that it has started
-// again since its entry was written. The former incarnation and all that was known of
-// it are gone; the new one is at the same place until the store says otherwise.
+// MarkRestarted replaces an endpoint by a new incarnation after the server reported a later
+// start than its store entry. The new incarnation keeps the entry's address until the store
+// has a newer entry.
 func (s *State) MarkRestarted(from string, former routing.Endpoint, started int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,8 +112,8 @@
 	s.publish()
 }
 
-// MarkLeaving takes an endpoint's own word, by way of who told it, that it is on its
-// way out; true says that this was news.
+// MarkLeaving marks an endpoint as leaving after it announced so itself. It reports whether the
+// endpoint is known and was not marked yet.
 func (s *State) MarkLeaving(now time.Time, from, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,8 +133,8 @@
 	return true
 }
 
-// removeEndpoint takes an entry that went. One that went with the store away has its
-// time to come back; any other is leaving for good.
+// removeEndpoint drops an entry that was removed from the store. An entry that went missing
+// during a store outage is kept for the grace period, unless it was leaving.
 func (s *State) removeEndpoint(now time.Time, from string, e *endpointEntry, revision routing.Revision) {
 	if e.missing {
 		return
@@ -148,7 +148,7 @@
 	s.dropEndpoint(from, e, revision)
 }
 
-// markMissing notes that an entry isn't there, and may come back.
+// markMissing starts the grace period of an entry that is absent from the list.
 func (s *State) markMissing(from string, e *endpointEntry) {
 	if e.missing {
 		return
--- a/fleet/state_era.go
+++ b/fleet/state_era.go
@@ -6,16 +6,16 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// enterEra takes that the store has come back from an older copy, when a whole list of a
-// newer era comes. What the copy lacks may be written again within the next moments:
-// endpoints and drained zones stay until then. What changed since a revision of an older
-// era can't be told any more, so that the list is handed on as a whole.
+// enterEra handles the first complete list of a newer store era, which starts when the store is
+// restored from an older backup. Endpoints and zone drains that the backup lacks are kept for
+// the grace period, since they may be written again. Changes relative to a revision of an older
+// era are unknown, so peers get the complete list.
 func (s *State) enterEra(now time.Time, from string, revision routing.Revision) {
 	if revision.Era() <= s.changed.Era() {
 		return
 	}
 	before := s.changed
-	// A list without entries of this era would look older than those of the era before.
+	// A list without entries of this era would otherwise look older than the previous era's.
 	s.changed = revision
 	if !s.hasList {
 		return
@@ -32,8 +32,9 @@
 	})
 }
 
-// markOlderErasMissing notes what a whole list of a peer has from an older era of the store: the
-// peer awaits it, too, and nobody tells when its time is over.
+// markOlderErasMissing marks everything in a peer's complete list that stems from an older store
+// era as missing. The peer waits for it to reappear and doesn't announce when the grace period
+// ends, so this box applies its own.
 func (s *State) markOlderErasMissing(now time.Time, from string, revision routing.Revision) {
 	awaits := false
 	for _, e := range s.entries {
@@ -53,7 +54,7 @@
 	}
 }
 
-// markZoneMissing notes that a drained zone isn't one in the store's copy.
+// markZoneMissing records that a drained zone is not drained in the restored store.
 func (s *State) markZoneMissing(zone string, revision routing.Revision) {
 	s.missingZones[zone] = routing.ZoneDrain{
 		Zone:     zone,
@@ -61,8 +62,7 @@
 	}
 }
 
-// endMissingDrains takes back the drained zones that the store's copy doesn't have as drained
-// and whose drain was not written again.
+// endMissingDrains ends the drains that the restored store lacks and that were not written again.
 func (s *State) endMissingDrains(now time.Time) {
 	for zone, z := range s.missingZones {
 		delete(s.missingZones, zone)
--- a/fleet/state_fetcher.go
+++ b/fleet/state_fetcher.go
@@ -12,19 +12,19 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// chunkTimeout bounds the wait for one part of newer views. A part's 16 KB take 13 ms of
-// a link of 10 Mbit/s, and a lost packet is sent again within some hundred ms.
+// chunkTimeout bounds the wait for one chunk. At 10 Mbit/s a chunk takes 13 ms, and a lost
+// packet is retransmitted within a few hundred milliseconds.
 const chunkTimeout = 800 * time.Millisecond
 
-// These are a giver's ways to say no.
+// Reasons why a sender doesn't deliver its state.
 var (
-	errBusy     = errors.New("the box gives to others; ask again soon")
-	errEvicted  = errors.New("the box has dropped what it gave parts of; ask for its newest")
-	errNotNewer = errors.New("the box has nothing newer after all; ask another")
+	errBusy     = errors.New("box is busy with other transfers")
+	errEvicted  = errors.New("box no longer has the version whose transfer began")
+	errNotNewer = errors.New("box has no newer state")
 )
 
-// handleAdvertisement takes a box's word that it has newer views, and asks for them unless that is
-// under way.
+// handleAdvertisement records that a box has newer state, and starts or wakes the fetching
+// goroutine.
 func (p *Peers) handleAdvertisement(c *wire.Conn, o core.Advertisement) {
 	now := time.Now()
 	p.state.NoteConfigVersion(now, o.ConfigVersion)
@@ -41,12 +41,12 @@
 	}
 	select {
 	case p.wake <- struct{}{}:
-	default: // it is awake, or will be
+	default: // a wake-up is already pending
 	}
 }
 
-// fetchAll asks until this box has the newest views that anyone offered. It asks one
-// box at a time: copies are large against the links of small boxes.
+// fetchAll fetches until this box has the newest advertised state. It fetches from one box at a
+// time, since transfers are large compared to the links of small boxes.
 func (p *Peers) fetchAll() {
 	for {
 		c, o, wait := p.nextSource()
@@ -66,7 +66,7 @@
 	}
 }
 
-// nextSource gives whom to ask, or how long to wait; neither ends the asking.
+// nextSource returns the box to fetch from, or how long to wait. With neither, fetching ends.
 func (p *Peers) nextSource() (*wire.Conn, core.Advertisement, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// fetchFrom takes the newer views of one box, and tells the others of them.
+// fetchFrom fetches and applies newer state of one box, then announces it to the partners.
 func (p *Peers) fetchFrom(c *wire.Conn, o core.Advertisement) {
 	v := p.state.View()
 	request := StateRequest{
@@ -110,7 +110,7 @@
 	p.announceFetched(v, p.state.View())
 }
 
-// announceFetched tells the partners of what this box can give since it has taken it.
+// announceFetched announces to the partners what this box has fetched and can now send.
 func (p *Peers) announceFetched(before, now *View) {
 	if now.ConfigVersion() > before.ConfigVersion() {
 		p.BroadcastUpdate(Update{Version: now.ConfigVersion()})
@@ -124,7 +124,7 @@
 	}
 }
 
-// handleFetchError notes that a box didn't give what it offered.
+// handleFetchError records a failed fetch, which delays the next attempt at that box.
 func (p *Peers) handleFetchError(c *wire.Conn, o core.Advertisement, began time.Time, err error) {
 	now := time.Now()
 	p.mu.Lock()
@@ -135,10 +135,10 @@
 		return
 	}
 	p.sources.Failed(now, c)
-	p.log.Info("newer views didn't come", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", o.ConfigVersion), zap.Duration("took", now.Sub(began)), zap.Error(err))
+	p.log.Info("fetching newer state from box failed", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", o.ConfigVersion), zap.Duration("took", now.Sub(began)), zap.Error(err))
 }
 
-// fetchState gives a box's newer views, and their bytes as they came.
+// fetchState fetches a box's newer state. It also returns the state's encoding as received.
 func fetchState(c *wire.Conn, request StateRequest) (PeerState, []byte, error) {
 	asked := time.Now()
 	first, err := requestChunk(c, request)
@@ -170,8 +170,8 @@
 	return newer, data, err
 }
 
-// requestChunk asks for one part. A box that doesn't answer is connected to anew: a stalled
-// link doesn't break by itself.
+// requestChunk requests one chunk. On a timeout it closes the connection, since a stalled link
+// is not detected otherwise.
 func requestChunk(c *wire.Conn, q wire.Message) (Chunk, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), chunkTimeout)
 	defer cancel()
--- a/fleet/state_sender.go
+++ b/fleet/state_sender.go
@@ -17,52 +17,51 @@
 )
 
 const (
-	// chunkBytes is what one answer holds of packed views: 13 ms of a link of
-	// 10 Mbit/s, so that greetings and news on the same connection don't wait for a whole
-	// copy, and a part comes or doesn't within partTime.
+	// chunkBytes is the size of a chunk. At 10 Mbit/s a chunk takes 13 ms, so that gossip and
+	// updates on the same connection are not delayed by a whole transfer.
 	chunkBytes = 16 << 10
-	// maxCachedStates is how many packed views a box keeps for those that take parts of
-	// them: of the last versions, for takers with some different ones.
+	// maxCachedStates is how many encoded states are kept, for receivers that fetch different
+	// versions at the same time.
 	maxCachedStates = 4
 )
 
-// Chunk is a piece of packed views.
+// Chunk is a part of an encoded PeerState.
 type Chunk struct {
-	Digest uint64        `cbor:"1,keyasint,omitempty"` // of the whole, to ask for more of it
-	Size   int           `cbor:"2,keyasint,omitempty"` // of the whole; 0 when there is nothing newer, or no such digest
+	Digest uint64        `cbor:"1,keyasint,omitempty"` // digest of the whole encoding, for requests of further chunks
+	Size   int           `cbor:"2,keyasint,omitempty"` // size of the whole encoding; 0 if there is nothing newer or the digest is unknown
 	Data   []byte        `cbor:"3,keyasint,omitempty"`
-	Busy   bool          `cbor:"4,keyasint,omitempty"` // the box gives to others; ask again, or another
-	Age    time.Duration `cbor:"5,keyasint"`           // since the list in it was confirmed; below 0 when that isn't known
+	Busy   bool          `cbor:"4,keyasint,omitempty"` // the sender serves other receivers; retry, or ask another box
+	Age    time.Duration `cbor:"5,keyasint"`           // time since the list was confirmed; negative if unknown
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (Chunk) Kind() string { return "part" }
 
-// ChunkRequest asks for more of packed views.
+// ChunkRequest requests a further chunk of an encoded PeerState.
 type ChunkRequest struct {
 	Digest uint64 `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind.
 func (ChunkRequest) Kind() string { return "want-part" }
 
-// configOnly in a Want says that only a configuration is asked for.
+// configOnly as the list revision of a StateRequest requests only the configuration.
 const configOnly = math.MaxUint64
 
-// stateSender gives this box's views to others, in parts and to a few at a time.
+// stateSender sends this box's state to other boxes in chunks, to a few receivers at a time.
 type stateSender struct {
 	state   *State
 	log     *zap.Logger
 	mu      sync.Mutex
 	limiter *core.TransferLimiter[*wire.Conn]
-	cached  []encodedState // the last used at the end
+	cached  []encodedState // most recently used last
 }
 
-// encodedState is what answers one kind of question.
+// encodedState is the encoded answer to a StateRequest.
 type encodedState struct {
 	request       StateRequest
-	advertisement core.Advertisement // the view that it was made from
+	advertisement core.Advertisement // versions of the encoded state
 	digest        uint64
 	data          []byte
 }
@@ -75,7 +74,7 @@
 	}
 }
 
-// advertisementOf says how new a view is.
+// advertisementOf returns the versions that a view contains.
 func advertisementOf(v *View) core.Advertisement {
 	return core.Advertisement{
 		ConfigVersion: v.ConfigVersion(),
@@ -83,8 +82,8 @@
 	}
 }
 
-// handleStateRequest answers a box that asks for newer views: with all of them where they are
-// small, else with the first part or word that it must wait.
+// handleStateRequest answers a request for newer state with its first chunk, or with Busy if
+// the state is large and too many transfers are running.
 func (s *stateSender) handleStateRequest(_ context.Context, c *wire.Conn, w StateRequest) (Chunk, error) {
 	v := s.state.View()
 	out := Chunk{Age: -1}
@@ -112,7 +111,7 @@
 	return out, nil
 }
 
-// handleChunkRequest answers a box that takes the next part.
+// handleChunkRequest answers a request for a further chunk.
 func (s *stateSender) handleChunkRequest(_ context.Context, c *wire.Conn, w ChunkRequest) (Chunk, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +125,7 @@
 	end := min(w.Offset+chunkBytes, len(data))
 	if end == len(data) {
 		took := s.limiter.Finish(time.Now(), c)
-		s.log.Info("views given", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", k.advertisement.ConfigVersion), zap.Int("bytes", len(data)), zap.Duration("took", took))
+		s.log.Info("state sent to box", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", k.advertisement.ConfigVersion), zap.Int("bytes", len(data)), zap.Duration("took", took))
 	}
 	return Chunk{
 		Digest: w.Digest,
@@ -136,7 +135,7 @@
 	}, nil
 }
 
-// encode gives a view's answer to a question, made once for all that ask the same.
+// encode returns the encoded answer to a request, from the cache if it was requested before.
 func (s *stateSender) encode(w StateRequest, v *View) (encodedState, error) {
 	advertisement := advertisementOf(v)
 	if w.ListRevision == configOnly {
@@ -152,14 +151,14 @@
 	return s.cache(w, advertisement, data), nil
 }
 
-// configOnlyRequest gives the question for a configuration alone, whose answer is the same whatever
-// the asker has, and what that answer holds.
+// configOnlyRequest returns the cache key of a transfer of the configuration alone. It doesn't
+// depend on the receiver's versions.
 func configOnlyRequest(version uint64) (StateRequest, core.Advertisement) {
 	return StateRequest{ListRevision: configOnly}, core.Advertisement{ConfigVersion: version}
 }
 
-// cacheReceived keeps a configuration as another box packed it, to be given as it came: to pack
-// one of 2,850 routes anew takes 3.1 ms of a core.
+// cacheReceived caches a configuration as another box encoded it, so that it can be forwarded
+// without encoding it again.
 func (s *stateSender) cacheReceived(version uint64, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +166,8 @@
 	s.cache(request, advertisement, data)
 }
 
-// markUsed gives one of those that are kept, which is dropped after all others now: versions
-// that come close together must not push out what somebody is taking.
+// markUsed moves a cached state to the end of the eviction order and returns it, so that new
+// versions don't evict one that is being transferred.
 func (s *stateSender) markUsed(i int) encodedState {
 	k := s.cached[i]
 	s.cached = append(slices.Delete(s.cached, i, i+1), k)
@@ -189,7 +188,7 @@
 	return k
 }
 
-// newerState gives what is newer than somebody has.
+// newerState returns the part of a view that is newer than the receiver's versions.
 func (s *stateSender) newerState(w StateRequest, v *View) PeerState {
 	var out PeerState
 	if v.ConfigVersion() > w.ConfigVersion {
--- a/fleet/state_zones.go
+++ b/fleet/state_zones.go
@@ -8,9 +8,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// updateZones takes the states of zones, each unless a newer one is believed. Word of
-// them may come in any order, twice, or late from a box that was cut off: the store's
-// revision of a zone's last change decides.
+// updateZones applies zone states that are newer than the current ones. Updates may arrive in any
+// order, repeatedly or late; the store's revision of the zone's last change decides.
 func (s *State) updateZones(now time.Time, from string, all []routing.ZoneDrain) {
 	for _, z := range all {
 		old, known := s.zones[z.Zone]
@@ -26,8 +25,8 @@
 	}
 }
 
-// replaceDrainedZones takes all zones that the store told to be drained at a revision: any
-// other that was drained before is taken back.
+// replaceDrainedZones applies the store's complete list of drained zones at a revision, and ends
+// the drain of all others.
 func (s *State) replaceDrainedZones(now time.Time, revision routing.Revision, drained []routing.ZoneDrain) {
 	s.updateZones(now, sourceStore, drained)
 	for _, z := range drained {
@@ -52,12 +51,12 @@
 	}
 }
 
-// undrainedColdTime is how long the endpoints of a zone that was taken back are held to be
-// cold whatever their entries say: they may have turned cold meanwhile, and an entry tells
-// so two seconds late, a heartbeat of 1.2 s and the list's lag of 0.8 s.
+// undrainedColdTime is how long endpoints count as cold after their zone's drain ended. They may
+// have become cold meanwhile, and their entries show it only after a heartbeat of 1.2 s and
+// a list delay of 0.8 s.
 const undrainedColdTime = 2500 * time.Millisecond
 
-// refreshZone notes that the endpoints of a zone are to be sorted anew into the view.
+// refreshZone marks all endpoints of a zone as modified, so that the next view re-evaluates them.
 func (s *State) refreshZone(now time.Time, z routing.ZoneDrain) {
 	for name, e := range s.entries {
 		if e.Zone != z.Zone {
@@ -83,7 +82,7 @@
 	})
 }
 
-// zoneStates gives what is believed of zones, by name.
+// zoneStates returns the known zone states, sorted by zone.
 func (s *State) zoneStates() []routing.ZoneDrain {
 	var all []routing.ZoneDrain
 	for _, zone := range slices.Sorted(maps.Keys(s.zones)) {
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -10,56 +10,56 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Store is a store that publishes the configuration and the endpoints.
+// Store is the operators' store, which publishes the configuration and the endpoints.
 type Store interface {
-	// Read gives all that is published now.
+	// Read returns everything that is published now.
 	Read(ctx context.Context) (*Snapshot, error)
-	// Watch gives what changed after a revision, as soon as there is something
-	// or the wait is over.
+	// Watch returns the changes after a revision as soon as there are any, or none when
+	// wait is over.
 	Watch(ctx context.Context, after routing.Revision, wait time.Duration) (*Changes, error)
 }
 
-// Snapshot is all that the store published at a revision.
+// Snapshot is the store's complete content at a revision.
 type Snapshot struct {
 	Revision     routing.Revision
-	Document     *routing.Document // nil before the operator published one
+	Document     *routing.Document // nil before the operator published a configuration
 	Endpoints    []routing.Endpoint
-	DrainedZones []routing.ZoneDrain // all zones that the operator wants to be drained
+	DrainedZones []routing.ZoneDrain // all zones that the operator has drained
 }
 
-// Changes is what the store published since a revision.
+// Changes is what changed in the store after a revision.
 type Changes struct {
 	Revision routing.Revision
-	Document *routing.Document // the newest, or nil
+	Document *routing.Document // newest configuration; nil if unchanged
 	Updated  []routing.Endpoint
 	Removed  []Removal
-	Zones    []routing.ZoneDrain // that were drained or taken back
+	Zones    []routing.ZoneDrain // zones whose drain began or ended
 }
 
-// Removal is an endpoint's entry that went.
+// Removal is the removal of an endpoint's entry from the store.
 type Removal struct {
-	Name     string `cbor:"ID"` // that the server was published under
+	Name     string `cbor:"ID"` // the entry's name in the store
 	Revision routing.Revision
 }
 
-// ErrHistoryLost reports that the store no longer knows what changed since the
-// revision asked for; the remedy is to read everything again.
-var ErrHistoryLost = errors.New("the store dropped its history; read everything again")
+// ErrHistoryLost reports that the store has compacted the changes after the requested revision.
+// Everything must be read again.
+var ErrHistoryLost = errors.New("store history compacted; read everything again")
 
-// ErrChangesTooLarge reports that an answer about changes is larger than all that is published
-// now; the remedy is to read everything again.
-var ErrChangesTooLarge = errors.New("the changes are larger than all there is; read everything again")
+// ErrChangesTooLarge reports that the changes after the requested revision exceed the size of
+// everything published now. Everything must be read again.
+var ErrChangesTooLarge = errors.New("changes exceed the size of a full read; read everything again")
 
-// ErrStoreRestored reports that the store has come back from an older copy, or that an
-// answer is of an older copy than one before; the remedy is to read everything again.
-var ErrStoreRestored = errors.New("the store came back from an older copy; read everything again")
+// ErrStoreRestored reports that the store was restored from an older backup, or that an answer
+// stems from before the last restore. Everything must be read again.
+var ErrStoreRestored = errors.New("store restored from an older backup; read everything again")
 
-// RefusedError reports that the store answered and turned the call away.
+// RefusedError reports that the store answered a call with an error status.
 type RefusedError struct {
 	Status int
 }
 
-// Error names the status and the remedy.
+// Error implements the error interface.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("the store answered %d; try again later or ask a peer", e.Status)
+	return fmt.Sprintf("store refused the call with status %d", e.Status)
 }
--- a/fleet/store_watcher.go
+++ b/fleet/store_watcher.go
@@ -12,92 +12,90 @@
 )
 
 const (
-	// readerCount is how many boxes read the store for all: enough that some are
-	// left when a third of the boxes is cut off or turned away, few enough that the
-	// store's calls don't grow with the fleet.
+	// readerCount is how many boxes watch the store for all: enough that some remain
+	// when a third of the boxes can't reach it, and few enough that the store's load
+	// doesn't grow with the fleet.
 	readerCount = 5
-	// standbyCount is how many boxes come next when nothing comes from the readers. The
-	// others wait for those to have read: all boxes of a fleet of 295 asked the store at
-	// once for four seconds whenever it lost its history, some 1,700 calls each time.
+	// standbyCount is how many boxes, after the readers in rank, read the store first when
+	// no updates arrive, so that not all boxes read it at once.
 	standbyCount = 10
-	// watchInterval spaces the watches: each call to the store has a price, and
-	// a change may be known this much later than it could.
+	// watchInterval is the first reader's pause between watches. It bounds the number of
+	// store calls and delays changes by as much.
 	watchInterval = 150 * time.Millisecond
-	// discoveryDelay is how long a starting box waits before its first watch, in which it meets
-	// some tens of others: each of 295 boxes that started at once watched for a second.
+	// discoveryDelay is how long a starting box waits for its peers before its first watch,
+	// since it ranks first until it knows others.
 	discoveryDelay = 400 * time.Millisecond
-	// maxWatchPauseFraction bounds the rest of the readers, each of which rests twice as long as the
-	// one before it: a change ends all their watches at once, and what follows in the
-	// next moments is told to all by the first of them.
+	// maxWatchPauseFraction bounds the readers' pauses, each twice that of the reader before
+	// it in rank: a change ends all watches at once, and the first reader broadcasts what
+	// follows shortly after.
 	maxWatchPauseFraction = 0.25
-	// minRetryDelay and retryMost bound a reader's pause after a call that failed;
-	// a box that reads only because it heard nothing pauses up to helperMost.
+	// minRetryDelay and maxReaderRetryDelay bound a reader's delay after failed calls;
+	// maxFallbackRetryDelay bounds that of other boxes.
 	minRetryDelay         = 150 * time.Millisecond
 	maxReaderRetryDelay   = 1000 * time.Millisecond
 	maxFallbackRetryDelay = 3 * time.Second
-	// fallbackDuration is how long a box that heard nothing from the readers reads
-	// the store itself.
+	// fallbackDuration is how long a box that is no reader reads the store once it got no
+	// updates.
 	fallbackDuration = 4 * time.Second
-	// idlePollInterval is how often a box that doesn't read looks whether it must.
+	// idlePollInterval is how often a box that is no reader checks whether it must read.
 	idlePollInterval = 100 * time.Millisecond
-	// watchTimeoutFraction and stalePart divide the time in which a change must be in
-	// force: a reader's watch is answered within the first part, so that a view
-	// that is older than the second means that no reader reaches this box.
+	// The following are fractions of the propagation limit, the time in which a change
+	// must reach all boxes. A watch is answered within watchTimeoutFraction; a standby
+	// whose list is older than standbyStaleFraction reads the store itself.
 	watchTimeoutFraction = 0.25
 	standbyStaleFraction = 0.6
-	// staleFraction is the same for a box that is no standby: by then, word of what the
-	// standbys read has come round. What is left is enough to read the store.
+	// staleFraction is the limit for other boxes: it leaves time for the standbys' updates
+	// to arrive before, and for a read of the store after it.
 	staleFraction = 0.75
-	// configLagFraction is the part of that time after which a box that has heard of a newer
-	// configuration, and has it from nobody, reads the store itself. 73 boxes have one
-	// of 2,850 routes from each other within a tenth of it; half of what is left after
-	// this part is enough to read 0.77 MB over 10 Mbit/s.
+	// configLagFraction is when a box that could not fetch an announced configuration
+	// from its peers reads it from the store. Peers deliver a large one within a tenth of
+	// the limit.
 	configLagFraction = 0.3
 )
 
-// StoreWatcher keeps a belief up to date from the store: as one of the readers, or
-// when nothing comes from them.
+// StoreWatcher updates the state from the store if this box is one of the readers, or if no
+// updates arrive from them.
 type StoreWatcher struct {
 	store             Store
 	state             *State
-	propagationLimit  time.Duration // a change must be in force
-	readerRank        func() int    // this box's place among the readers, from 0
+	propagationLimit  time.Duration // time in which a change must reach all boxes
+	readerRank        func() int    // this box's rank among the readers, from 0
 	onUpdate          func(Update)
 	log               *zap.Logger
 	onCall            func(result string)
 	storeLost         bool
-	hasWaitedForPeers bool      // whether this box had time to meet others
-	lastReadAt        time.Time // when it last read everything
+	hasWaitedForPeers bool
+	lastReadAt        time.Time // last full read
 	retryDelay        time.Duration
-	fallbackUntil     time.Time // until when this box reads though it is no reader
+	fallbackUntil     time.Time // end of reading by a box that is no reader
 }
 
-// StoreWatcherOption changes how a follower is built.
+// StoreWatcherOption configures a StoreWatcher.
 type StoreWatcherOption func(*StoreWatcher)
 
-// WithStoreWatcherLog gives the log of a follower.
+// WithStoreWatcherLog sets the logger.
 func WithStoreWatcherLog(log *zap.Logger) StoreWatcherOption {
 	return func(w *StoreWatcher) { w.log = log }
 }
 
-// WithOnStoreCall is told the result of each call to the store.
+// WithOnStoreCall sets a function that is called with the result of each call to the store.
 func WithOnStoreCall(count func(result string)) StoreWatcherOption {
 	return func(w *StoreWatcher) { w.onCall = count }
 }
 
-// WithReaderRank tells this box's place, from 0, among those that read the store for all;
-// without it, it is the first.
+// WithReaderRank sets the function that returns this box's rank, from 0, among the boxes that
+// read the store. By default the rank is 0.
 func WithReaderRank(readerRank func() int) StoreWatcherOption {
 	return func(w *StoreWatcher) { w.readerRank = readerRank }
 }
 
-// WithOnUpdate is called with each change that the store told.
+// WithOnUpdate sets a function that is called with each change from the store.
 func WithOnUpdate(onUpdate func(Update)) StoreWatcherOption {
 	return func(w *StoreWatcher) { w.onUpdate = onUpdate }
 }
 
-// NewStoreWatcher builds a follower of a source. Within is the time in which a
-// change must be in force.
+// NewStoreWatcher returns a watcher of the store. The propagation limit is the time in which a
+// change must reach all boxes.
 func NewStoreWatcher(store Store, state *State, propagationLimit time.Duration, options ...StoreWatcherOption) *StoreWatcher {
 	w := &StoreWatcher{
 		store:            store,
@@ -118,7 +116,7 @@
 	return time.Duration(of * float64(w.propagationLimit))
 }
 
-// Run follows the source until the context ends.
+// Run watches the store until the context ends.
 func (w *StoreWatcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.waitUntilNeeded(ctx)
@@ -131,8 +129,8 @@
 	}
 }
 
-// waitForPeers lets a starting box meet others before it watches: as long as it knows nobody it
-// takes itself for the first reader.
+// waitForPeers delays the first watch so that the box can discover its peers: until then it
+// ranks as the first reader.
 func (w *StoreWatcher) waitForPeers(ctx context.Context) {
 	if !w.hasWaitedForPeers {
 		w.hasWaitedForPeers = true
@@ -140,16 +138,16 @@
 	}
 }
 
-// isReader tells whether this box reads the store for all.
+// isReader reports whether this box watches the store for all.
 func (w *StoreWatcher) isReader() bool { return w.readerRank() < readerCount }
 
-// shouldRead tells whether this box is to read the store now.
+// shouldRead reports whether this box should watch the store now.
 func (w *StoreWatcher) shouldRead() bool {
 	return w.isReader() || time.Now().Before(w.fallbackUntil)
 }
 
-// watchPause gives the pause before the next watch. A box that reads though it is no reader
-// hears nothing from others, and rests as the first.
+// watchPause returns the pause before the next watch. A box that reads without being a reader
+// gets no updates from others, so it pauses as briefly as the first reader.
 func (w *StoreWatcher) watchPause() time.Duration {
 	readerRank := w.readerRank()
 	if readerRank >= readerCount {
@@ -158,8 +156,8 @@
 	return min(watchInterval<<readerRank, w.fraction(maxWatchPauseFraction))
 }
 
-// waitUntilNeeded waits while others read: until this box is a reader, or what it believes
-// gets old.
+// waitUntilNeeded blocks until this box is a reader, its list is stale, or an announced
+// configuration has not arrived.
 func (w *StoreWatcher) waitUntilNeeded(ctx context.Context) {
 	for ctx.Err() == nil {
 		v := w.state.View()
@@ -168,7 +166,7 @@
 			return
 		}
 		if !v.HasEndpointList || v.Table == nil {
-			// Nothing was published yet when this box read, or the read failed.
+			// Nothing was published at the last read, or the read failed.
 			if now.Sub(w.lastReadAt) >= w.fraction(watchTimeoutFraction) {
 				return
 			}
@@ -177,7 +175,7 @@
 		}
 		age, awaited := now.Sub(v.ConfirmedAt), w.state.ConfigLag(now)
 		if age > w.maxListAge() || awaited > w.fraction(configLagFraction) {
-			w.log.Info("nothing from the readers, reading the store", zap.Duration("list_age", age), zap.Duration("configuration_awaited", awaited))
+			w.log.Info("no updates from the store readers, reading the store", zap.Duration("list_age", age), zap.Duration("configuration_awaited", awaited))
 			w.fallbackUntil = now.Add(fallbackDuration)
 			return
 		}
@@ -185,7 +183,7 @@
 	}
 }
 
-// maxListAge is how old what this box believes may get before it reads itself.
+// maxListAge returns the list age at which this box reads the store though it is no reader.
 func (w *StoreWatcher) maxListAge() time.Duration {
 	if w.readerRank() < readerCount+standbyCount {
 		return w.fraction(standbyStaleFraction)
@@ -205,25 +203,25 @@
 	return s.Revision, true
 }
 
-// watch asks for changes until history is lost; a call that failed is made
-// again from the same revision.
+// watch waits for changes after a revision and applies them. It returns the revision for the
+// next watch, and false if everything must be read again.
 func (w *StoreWatcher) watch(ctx context.Context, after routing.Revision) (routing.Revision, bool) {
 	c, err := w.store.Watch(ctx, after, w.fraction(watchTimeoutFraction))
 	if errors.Is(err, ErrHistoryLost) {
 		w.onCall("history lost")
-		w.log.Info("the store dropped its history, reading everything", zap.Uint64("after", after.Number()))
+		w.log.Info("store history compacted, reading everything again", zap.Uint64("after", after.Number()))
 		return 0, false
 	}
 	if errors.Is(err, ErrStoreRestored) {
 		w.onCall("store replaced")
-		w.log.Info("the store came back from an older copy, reading everything", zap.Uint64("era", after.Era()), zap.Uint64("after", after.Number()))
+		w.log.Info("store restored from an older backup, reading everything again", zap.Uint64("era", after.Era()), zap.Uint64("after", after.Number()))
 		return 0, false
 	}
 	if errors.Is(err, ErrChangesTooLarge) {
-		// The store holds each version that came since, and only the last is
-		// wanted; to ask for them again would bring still more.
+		// A watch returns every intermediate version, so retrying it from the same revision
+		// would return even more.
 		w.onCall("too much")
-		w.log.Info("the changes are larger than all there is, reading everything", zap.Uint64("after", after.Number()))
+		w.log.Info("store changes exceed the size of a full read, reading everything again", zap.Uint64("after", after.Number()))
 		return 0, false
 	}
 	if err != nil {
@@ -245,7 +243,7 @@
 	w.state.MarkStoreDown()
 	if !w.storeLost {
 		w.storeLost = true
-		w.log.Warn("lost the store", zap.String("call", call), zap.Error(err))
+		w.log.Warn("store unreachable, retrying", zap.String("call", call), zap.Error(err))
 	}
 	w.retryDelay = min(max(2*w.retryDelay, minRetryDelay), w.maxRetryDelay())
 	if w.readsLast() {
@@ -261,8 +259,8 @@
 	return maxFallbackRetryDelay
 }
 
-// readsLast tells whether this box only tries the store after the readers and the standbys
-// did. When the store is away from all, 295 boxes would ask it some times a second.
+// readsLast reports whether this box retries the store only after the readers and standbys, to
+// bound the number of calls while the store is down for all.
 func (w *StoreWatcher) readsLast() bool {
 	return w.state.View().HasEndpointList && w.readerRank() >= readerCount+standbyCount
 }
@@ -273,11 +271,11 @@
 	w.state.MarkStoreUp(time.Now())
 	if w.storeLost {
 		w.storeLost = false
-		w.log.Info("regained the store")
+		w.log.Info("store reachable again")
 	}
 }
 
-// Sleep waits for a time or the context's end.
+// Sleep waits for a duration or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/fleet/transfer_metrics.go
+++ b/fleet/transfer_metrics.go
@@ -17,7 +17,7 @@
 	busyAnswers    = metrics.NewCounter("dillsaddle_views_busy_total")
 )
 
-// recordSentChunk counts the views that this box gives, part by part.
+// recordSentChunk updates the metrics of sent state.
 func (p *Peers) recordSentChunk(a wire.Answered) {
 	if a.Kind != (Chunk{}).Kind() {
 		return
@@ -26,12 +26,12 @@
 	chunkSendTime.Update(a.Took.Seconds())
 }
 
-// recordFetchedState logs and counts the views that another box gave.
+// recordFetchedState updates the metrics of fetched state and logs fetched configurations.
 func (p *Peers) recordFetchedState(from netip.AddrPort, v PeerState, bytes int, asked time.Time) {
 	took := time.Since(asked)
 	stateFetchTime.Update(took.Seconds())
 	if v.Document == nil {
 		return
 	}
-	p.log.Info("views came", zap.Stringer("box_address", from), zap.Uint64("version", v.Document.Version), zap.Int("bytes", bytes), zap.Duration("took", took))
+	p.log.Info("state received from box", zap.Stringer("box_address", from), zap.Uint64("version", v.Document.Version), zap.Int("bytes", bytes), zap.Duration("took", took))
 }
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -14,21 +14,21 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// maxSeenUpdates is how many pieces of news a box remembers, to hand each on once;
-// they travel for some tens of milliseconds.
+// maxSeenUpdates is how many recent updates a box remembers in order to forward each once. An
+// update crosses the fleet in tens of milliseconds.
 const maxSeenUpdates = 128
 
-// ReaderRank gives this box's place, from 0, among those that read the store for all.
+// ReaderRank returns this box's rank, from 0, among the boxes that read the store for all.
 func (p *Peers) ReaderRank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return core.ReaderRank(p.roster.Self(), p.roster.Alive(time.Now()))
 }
 
-// Reader tells whether this box is among those that read the store for all.
+// Reader reports whether this box is among those that read the store for all.
 func (p *Peers) Reader() bool { return p.ReaderRank() < readerCount }
 
-// BroadcastUpdate tells the partners at once of what this box has learned.
+// BroadcastUpdate sends an update to all partners, unless it was sent before.
 func (p *Peers) BroadcastUpdate(n Update) {
 	if p.markSeen(n) {
 		p.forwardUpdate(n.truncate(), nil)
@@ -49,16 +49,16 @@
 	defer cancel()
 	c, err := p.pool.Get(ctx, address)
 	if err != nil || c == from {
-		// Whoever misses news sees it with the next greeting.
+		// A box that misses an update learns of it with the next gossip exchange.
 		return
 	}
 	if err := c.Push(ctx, n); err != nil {
-		p.log.Debug("news were not taken", zap.Stringer("address", address), zap.Error(err))
+		p.log.Debug("sending update to box failed", zap.Stringer("address", address), zap.Error(err))
 	}
 }
 
-// handleUpdate takes news from a peer, asks for what they leave out, and hands on what
-// is new. Word of what this box doesn't have to give goes on once it has.
+// handleUpdate applies an update from a peer, starts to fetch what it omits, and forwards it if
+// it is new. A configuration or omitted changes are announced only after they were fetched.
 func (p *Peers) handleUpdate(_ context.Context, c *wire.Conn, n Update) {
 	if n.Age < 0 {
 		n.Age = math.MaxInt64
@@ -77,15 +77,14 @@
 	}
 }
 
-// updateKey tells one piece of news from another.
+// updateKey identifies an update.
 type updateKey struct {
 	changed routing.Revision
 	version uint64
 }
 
-// markSeen tells whether news came for the first time, and remembers them.
-// What a box believes doesn't tell: after a gap, it takes the same news again
-// and again.
+// markSeen remembers an update and reports whether it is new. The state can't answer that: after
+// a missed update, it accepts the same later ones repeatedly.
 func (p *Peers) markSeen(n Update) bool {
 	key := updateKey{
 		changed: n.ListRevision,
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -11,46 +11,44 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// View is what the box believes at one moment; it doesn't change.
+// View is an immutable snapshot of the box's state.
 type View struct {
-	Table           *routing.Table                // nil before a configuration is known
-	HasEndpointList bool                          // whether the endpoints were ever read
-	ListRevision    routing.Revision              // the store's revision at the last change of the list
-	ConfirmedAt     time.Time                     // when the store last said that this is all
-	Zones           []routing.ZoneDrain           // what is known of zones, by name
+	Table           *routing.Table                // active configuration; nil before one is known
+	HasEndpointList bool                          // false until the first list arrived
+	ListRevision    routing.Revision              // store revision of the list's last change
+	ConfirmedAt     time.Time                     // when the list was last known to be complete
+	Zones           []routing.ZoneDrain           // known zone states, sorted by zone
 	byService       map[string][]routing.Endpoint // sorted by id
 	byID            [shardCount]map[string]routing.Endpoint
 }
 
-// shardCount is into how many parts a view's endpoints fall: the next view shares
-// all parts in which nothing changed. Of thousands of endpoints a part holds
-// some tens, so that a change of one copies no more; a whole view of 3,000 took
-// some milliseconds.
+// shardCount is the number of shards of a view's endpoint map. A new view shares all unmodified
+// shards with the one before, so that a change copies only a few dozen of thousands of entries.
 const shardCount = 64
 
 func shardOf(id string) uint64 { return xxhash.Sum64String(id) % shardCount }
 
-// Drained tells whether the operator wants a zone's endpoints to get no new requests.
+// Drained reports whether the operator has drained a zone, so that its endpoints get no new requests.
 func (v *View) Drained(zone string) bool {
 	return slices.ContainsFunc(v.Zones, func(z routing.ZoneDrain) bool { return z.Zone == zone && z.Drained })
 }
 
-// Serving gives the endpoints of a service that may get new requests, by id.
+// Serving returns the endpoints of a service that may get new requests, sorted by id.
 func (v *View) Serving(service string) []routing.Endpoint { return v.byService[service] }
 
-// Endpoint gives an endpoint by the id of its incarnation, while it is known.
+// Endpoint returns a known endpoint by the id of its incarnation.
 func (v *View) Endpoint(id string) (routing.Endpoint, bool) {
 	e, ok := v.byID[shardOf(id)][id]
 	return e, ok
 }
 
-// IsAvailable tells whether an endpoint may get a new request.
+// IsAvailable reports whether an endpoint may get new requests.
 func (v *View) IsAvailable(id string) bool {
 	e, ok := v.Endpoint(id)
 	return ok && !e.Leaving && !v.Drained(e.Zone)
 }
 
-// EngineCount counts the model engines that may get new requests.
+// EngineCount returns the number of model engines that may get new requests.
 func (v *View) EngineCount() int {
 	if v.Table == nil {
 		return 0
@@ -64,7 +62,7 @@
 	return n
 }
 
-// ConfigVersion gives the version in force, or 0.
+// ConfigVersion returns the active configuration's version, or 0.
 func (v *View) ConfigVersion() uint64 {
 	if v.Table == nil {
 		return 0
@@ -72,7 +70,7 @@
 	return v.Table.Version()
 }
 
-// endpoints gives every endpoint that is known, in no order.
+// endpoints returns all known endpoints in no particular order.
 func (v *View) endpoints() []routing.Endpoint {
 	var out []routing.Endpoint
 	for _, shard := range v.byID {
@@ -81,8 +79,7 @@
 	return out
 }
 
-// next gives a view with some entries as they are now; it shares the rest with
-// this one.
+// next returns a new view with the modified entries replaced; it shares all else with this one.
 func (v *View) next(zones []routing.ZoneDrain, modified map[string]string, lookup func(id string) (routing.Endpoint, bool)) *View {
 	n := &viewBuilder{
 		View:        *v,
@@ -120,14 +117,14 @@
 
 func compareIDs(a, b routing.Endpoint) int { return cmp.Compare(a.ID, b.ID) }
 
-// viewBuilder is a view in the making, with what it doesn't share any more.
+// viewBuilder is a view under construction. It records which parts are already copied.
 type viewBuilder struct {
 	View
 	ownServices map[string]bool
 	ownShards   map[uint64]bool
 }
 
-// shard gives the part of an id, to be changed.
+// shard returns the shard of an id as a copy that may be modified.
 func (n *viewBuilder) shard(id string) map[string]routing.Endpoint {
 	at := shardOf(id)
 	if !n.ownShards[at] {
@@ -140,7 +137,7 @@
 	return n.byID[at]
 }
 
-// ownService makes a service's endpoints this view's own.
+// ownService copies a service's endpoints so that they may be modified.
 func (n *viewBuilder) ownService(service string) {
 	if !n.ownServices[service] {
 		n.ownServices[service] = true
