--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -94,9 +94,9 @@
 func (p *Peers) compareVersions(c *wire.Conn, g Gossip) {
 	v := p.state.View()
 	p.state.Confirm(time.Now(), g.ListRevision, g.Age)
-	o := core.Advertisement{ConfigVersion: g.ConfigVersion}
+	ad := core.Advertisement{ConfigVersion: g.ConfigVersion}
 	if !v.HasEndpointList || time.Since(v.ConfirmedAt) > maxListLag {
-		o.ListRevision = g.ListRevision
+		ad.ListRevision = g.ListRevision
 	}
-	p.handleAdvertisement(c, o)
+	p.handleAdvertisement(c, ad)
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -68,15 +68,15 @@
 func (Update) Kind() string { return "news" }
 
 // newestRevision returns the highest revision of the update's changes.
-func (n Update) newestRevision() routing.Revision {
+func (u Update) newestRevision() routing.Revision {
 	var at routing.Revision
-	for _, e := range n.Updated {
+	for _, e := range u.Updated {
 		at = max(at, e.Revision)
 	}
-	for _, r := range n.Removed {
+	for _, r := range u.Removed {
 		at = max(at, r.Revision)
 	}
-	for _, z := range n.Zones {
+	for _, z := range u.Zones {
 		at = max(at, z.Revision)
 	}
 	return at
@@ -84,16 +84,16 @@
 
 // truncate omits the changes if there are many, since each box receives the update from several
 // partners.
-func (n Update) truncate() Update {
-	if len(n.Updated)+len(n.Removed)+len(n.Zones) > maxUpdateChanges {
-		n.Updated = nil
-		n.Removed = nil
-		n.Zones = nil
-		n.Truncated = true
+func (u Update) truncate() Update {
+	if len(u.Updated)+len(u.Removed)+len(u.Zones) > maxUpdateChanges {
+		u.Updated = nil
+		u.Removed = nil
+		u.Zones = nil
+		u.Truncated = true
 	}
-	return n
+	return u
 }
 
-func (n Update) isEmpty() bool {
-	return n.Version == 0 && len(n.Updated) == 0 && len(n.Removed) == 0 && len(n.Zones) == 0
+func (u Update) isEmpty() bool {
+	return u.Version == 0 && len(u.Updated) == 0 && len(u.Removed) == 0 && len(u.Zones) == 0
 }
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -112,28 +112,28 @@
 // ApplyUpdate merges an update from a peer and reports whether it was newer than the list. If
 // updates before it were missed, the list's revision and age stay as they are, and the missing
 // changes are fetched after the next gossip exchange.
-func (s *State) ApplyUpdate(now time.Time, from string, n Update) bool {
+func (s *State) ApplyUpdate(now time.Time, from string, u Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := n.ListRevision > s.changed
+	fresh := u.ListRevision > s.changed
 	if !fresh || !s.hasList {
 		return fresh
 	}
-	s.updateEntries(now, from, n)
-	if n.BaseRevision <= s.changed && n.ListRevision.Era() == s.changed.Era() {
-		s.changed = max(s.changed, n.ListRevision)
-		s.advanceConfirmed(now, n.ListRevision, n.Age)
+	s.updateEntries(now, from, u)
+	if u.BaseRevision <= s.changed && u.ListRevision.Era() == s.changed.Era() {
+		s.changed = max(s.changed, u.ListRevision)
+		s.advanceConfirmed(now, u.ListRevision, u.Age)
 	}
 	s.publish()
 	return true
 }
 
-func (s *State) updateEntries(now time.Time, from string, n Update) {
-	s.updateZones(now, from, n.Zones)
-	for _, e := range n.Updated {
+func (s *State) updateEntries(now time.Time, from string, u Update) {
+	s.updateZones(now, from, u.Zones)
+	for _, e := range u.Updated {
 		s.updateEndpoint(now, from, e)
 	}
-	for _, r := range n.Removed {
+	for _, r := range u.Removed {
 		if e := s.entries[r.Name]; e != nil && e.Revision < r.Revision {
 			s.removeEndpoint(now, from, e, r.Revision)
 		}
--- a/fleet/state_fetcher.go
+++ b/fleet/state_fetcher.go
@@ -25,15 +25,15 @@
 
 // handleAdvertisement records that a box has newer state, and starts or wakes the fetching
 // goroutine.
-func (p *Peers) handleAdvertisement(c *wire.Conn, o core.Advertisement) {
+func (p *Peers) handleAdvertisement(c *wire.Conn, ad core.Advertisement) {
 	now := time.Now()
-	p.state.NoteConfigVersion(now, o.ConfigVersion)
+	p.state.NoteConfigVersion(now, ad.ConfigVersion)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !o.NewerThan(advertisementOf(p.state.View())) {
+	if !ad.NewerThan(advertisementOf(p.state.View())) {
 		return
 	}
-	p.sources.RecordAdvertisement(now, c, o)
+	p.sources.RecordAdvertisement(now, c, ad)
 	if !p.fetching {
 		p.fetching = true
 		go p.fetchAll()
@@ -49,9 +49,9 @@
 // time, since transfers are large compared to the links of small boxes.
 func (p *Peers) fetchAll() {
 	for {
-		c, o, wait := p.nextSource()
+		c, ad, wait := p.nextSource()
 		if c != nil {
-			p.fetchFrom(c, o)
+			p.fetchFrom(c, ad)
 			continue
 		}
 		if wait == 0 {
@@ -71,32 +71,32 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		c, o, wait := p.sources.Next(time.Now(), advertisementOf(p.state.View()), rand.N)
+		c, ad, wait := p.sources.Next(time.Now(), advertisementOf(p.state.View()), rand.N)
 		if c == nil {
 			p.fetching = wait > 0
-			return nil, o, wait
+			return nil, ad, wait
 		}
 		if !c.IsClosed() {
-			return c, o, 0
+			return c, ad, 0
 		}
 		p.sources.Remove(c)
 	}
 }
 
 // fetchFrom fetches and applies newer state of one box, then announces it to the partners.
-func (p *Peers) fetchFrom(c *wire.Conn, o core.Advertisement) {
+func (p *Peers) fetchFrom(c *wire.Conn, ad core.Advertisement) {
 	v := p.state.View()
 	request := StateRequest{
 		ConfigVersion: v.ConfigVersion(),
 		ListRevision:  v.ListRevision,
 	}
-	if o.ListRevision <= v.ListRevision {
+	if ad.ListRevision <= v.ListRevision {
 		request.ListRevision = configOnly
 	}
 	began := time.Now()
 	newer, data, err := fetchState(c, request)
 	if err != nil {
-		p.handleFetchError(c, o, began, err)
+		p.handleFetchError(c, ad, began, err)
 		return
 	}
 	p.mu.Lock()
@@ -125,7 +125,7 @@
 }
 
 // handleFetchError records a failed fetch, which delays the next attempt at that box.
-func (p *Peers) handleFetchError(c *wire.Conn, o core.Advertisement, began time.Time, err error) {
+func (p *Peers) handleFetchError(c *wire.Conn, ad core.Advertisement, began time.Time, err error) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 		return
 	}
 	p.sources.Failed(now, c)
-	p.log.Info("fetching newer state from box failed", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", o.ConfigVersion), zap.Duration("took", now.Sub(began)), zap.Error(err))
+	p.log.Info("fetching newer state from box failed", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", ad.ConfigVersion), zap.Duration("took", now.Sub(began)), zap.Error(err))
 }
 
 // fetchState fetches a box's newer state. It also returns the state's encoding as received.
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -29,22 +29,22 @@
 func (p *Peers) Reader() bool { return p.ReaderRank() < readerCount }
 
 // BroadcastUpdate sends an update to all partners, unless it was sent before.
-func (p *Peers) BroadcastUpdate(n Update) {
-	if p.markSeen(n) {
-		p.forwardUpdate(n.truncate(), nil)
+func (p *Peers) BroadcastUpdate(u Update) {
+	if p.markSeen(u) {
+		p.forwardUpdate(u.truncate(), nil)
 	}
 }
 
-func (p *Peers) forwardUpdate(n Update, from *wire.Conn) {
+func (p *Peers) forwardUpdate(u Update, from *wire.Conn) {
 	p.mu.Lock()
 	partners := p.partners()
 	p.mu.Unlock()
 	for _, address := range partners {
-		go p.pushUpdate(address, n, from)
+		go p.pushUpdate(address, u, from)
 	}
 }
 
-func (p *Peers) pushUpdate(address netip.AddrPort, n Update, from *wire.Conn) {
+func (p *Peers) pushUpdate(address netip.AddrPort, u Update, from *wire.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 	defer cancel()
 	c, err := p.pool.Get(ctx, address)
@@ -52,28 +52,28 @@
 		// A box that misses an update learns of it with the next gossip exchange.
 		return
 	}
-	if err := c.Push(ctx, n); err != nil {
+	if err := c.Push(ctx, u); err != nil {
 		p.log.Debug("sending update to box failed", zap.Stringer("address", address), zap.Error(err))
 	}
 }
 
 // handleUpdate applies an update from a peer, starts to fetch what it omits, and forwards it if
 // it is new. A configuration or omitted changes are announced only after they were fetched.
-func (p *Peers) handleUpdate(_ context.Context, c *wire.Conn, n Update) {
-	if n.Age < 0 {
-		n.Age = math.MaxInt64
+func (p *Peers) handleUpdate(_ context.Context, c *wire.Conn, u Update) {
+	if u.Age < 0 {
+		u.Age = math.MaxInt64
 	}
-	if !n.Truncated {
-		p.state.ApplyUpdate(time.Now(), sourcePeer, n)
+	if !u.Truncated {
+		p.state.ApplyUpdate(time.Now(), sourcePeer, u)
 	}
-	o := core.Advertisement{ConfigVersion: n.Version}
-	if n.Truncated {
-		o.ListRevision = n.ListRevision
+	ad := core.Advertisement{ConfigVersion: u.Version}
+	if u.Truncated {
+		ad.ListRevision = u.ListRevision
 	}
-	p.handleAdvertisement(c, o)
-	n.Version = 0
-	if n.ListRevision > 0 && !n.Truncated && p.markSeen(n) {
-		p.forwardUpdate(n, c)
+	p.handleAdvertisement(c, ad)
+	u.Version = 0
+	if u.ListRevision > 0 && !u.Truncated && p.markSeen(u) {
+		p.forwardUpdate(u, c)
 	}
 }
 
@@ -85,10 +85,10 @@
 
 // markSeen remembers an update and reports whether it is new. The state can't answer that: after
 // a missed update, it accepts the same later ones repeatedly.
-func (p *Peers) markSeen(n Update) bool {
+func (p *Peers) markSeen(u Update) bool {
 	key := updateKey{
-		changed: n.ListRevision,
-		version: n.Version,
+		changed: u.ListRevision,
+		version: u.Version,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -81,38 +81,38 @@
 
 // next returns a new view with the modified entries replaced; it shares all else with this one.
 func (v *View) next(zones []routing.ZoneDrain, modified map[string]string, lookup func(id string) (routing.Endpoint, bool)) *View {
-	n := &viewBuilder{
+	b := &viewBuilder{
 		View:        *v,
 		ownServices: make(map[string]bool),
 		ownShards:   make(map[uint64]bool),
 	}
-	n.Zones = zones
-	n.byService = maps.Clone(v.byService)
-	if n.byService == nil {
-		n.byService = make(map[string][]routing.Endpoint)
+	b.Zones = zones
+	b.byService = maps.Clone(v.byService)
+	if b.byService == nil {
+		b.byService = make(map[string][]routing.Endpoint)
 	}
 	for id := range modified {
 		if e, had := v.Endpoint(id); had {
-			delete(n.shard(id), id)
-			n.ownService(e.Service)
+			delete(b.shard(id), id)
+			b.ownService(e.Service)
 		}
 	}
-	for service := range n.ownServices {
-		n.byService[service] = slices.DeleteFunc(n.byService[service], func(e routing.Endpoint) bool {
+	for service := range b.ownServices {
+		b.byService[service] = slices.DeleteFunc(b.byService[service], func(e routing.Endpoint) bool {
 			_, changed := modified[e.ID]
 			return changed
 		})
 	}
 	for id := range modified {
 		if e, has := lookup(id); has {
-			n.shard(id)[id] = e
-			n.add(e)
+			b.shard(id)[id] = e
+			b.add(e)
 		}
 	}
-	for service := range n.ownServices {
-		slices.SortFunc(n.byService[service], compareIDs)
+	for service := range b.ownServices {
+		slices.SortFunc(b.byService[service], compareIDs)
 	}
-	return &n.View
+	return &b.View
 }
 
 func compareIDs(a, b routing.Endpoint) int { return cmp.Compare(a.ID, b.ID) }
@@ -125,30 +125,30 @@
 }
 
 // shard returns the shard of an id as a copy that may be modified.
-func (n *viewBuilder) shard(id string) map[string]routing.Endpoint {
+func (b *viewBuilder) shard(id string) map[string]routing.Endpoint {
 	at := shardOf(id)
-	if !n.ownShards[at] {
-		n.ownShards[at] = true
-		n.byID[at] = maps.Clone(n.byID[at])
-		if n.byID[at] == nil {
-			n.byID[at] = make(map[string]routing.Endpoint)
+	if !b.ownShards[at] {
+		b.ownShards[at] = true
+		b.byID[at] = maps.Clone(b.byID[at])
+		if b.byID[at] == nil {
+			b.byID[at] = make(map[string]routing.Endpoint)
 		}
 	}
-	return n.byID[at]
+	return b.byID[at]
 }
 
 // ownService copies a service's endpoints so that they may be modified.
-func (n *viewBuilder) ownService(service string) {
-	if !n.ownServices[service] {
-		n.ownServices[service] = true
-		n.byService[service] = slices.Clone(n.byService[service])
+func (b *viewBuilder) ownService(service string) {
+	if !b.ownServices[service] {
+		b.ownServices[service] = true
+		b.byService[service] = slices.Clone(b.byService[service])
 	}
 }
 
-func (n *viewBuilder) add(e routing.Endpoint) {
-	if e.Leaving || !e.Usable() || n.Drained(e.Zone) {
+func (b *viewBuilder) add(e routing.Endpoint) {
+	if e.Leaving || !e.Usable() || b.Drained(e.Zone) {
 		return
 	}
-	n.ownService(e.Service)
-	n.byService[e.Service] = append(n.byService[e.Service], e)
+	b.ownService(e.Service)
+	b.byService[e.Service] = append(b.byService[e.Service], e)
 }
