--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -27,16 +27,16 @@
 	return r
 }
 
-func TestAllBoxesTakeTheListOfANewEraFromTheOneThatReadIt(t *testing.T) {
+func TestAllBoxesFetchTheListOfANewEraFromTheBoxThatReadIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, severalGroups, smallLink)
-		for _, b := range f.beliefs {
+		f := startFleet(t, severalGroupsBoxes, smallLinkBytesPerSecond)
+		for _, b := range f.states {
 			b.ApplySnapshot(time.Now(), snapshot(revision(0, 90), endpoint("i-1", revision(0, 90), false)))
 		}
-		f.beliefs[4].ApplySnapshot(time.Now(), snapshot(revision(1, 70), endpoint("i-2", revision(1, 65), false)))
+		f.states[4].ApplySnapshot(time.Now(), snapshot(revision(1, 70), endpoint("i-2", revision(1, 65), false)))
 		time.Sleep(1500 * time.Millisecond)
-		for _, b := range f.beliefs {
+		for _, b := range f.states {
 			g.Expect(b.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
 			g.Expect(b.View().IsAvailable("i-2")).To(gomega.BeTrue())
 			g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue(), "what the copy lacks has its time to come back")
@@ -46,15 +46,15 @@
 
 // A box that hears of the new era from a peer has no reader to tell it that the time of
 // what the copy lacks is over.
-func TestWhatACopyLacksIsGivenUpByBoxesThatHeardOfItFromOthers(t *testing.T) {
+func TestBoxesDropWhatARestoredStoreLacksWhenTheyLearnOfItFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	b := fleet.NewState()
-	b.ApplySnapshot(now, zoned(revision(0, 10), drain("zone-b", revision(0, 9))))
+	b.ApplySnapshot(now, zonedSnapshot(revision(0, 10), drainedZone("zone-b", revision(0, 9))))
 	b.ApplyPeerState(now, "peer", fleet.PeerState{
 		ListRevision: revision(1, 5),
 		Endpoints:    []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
-		Zones:        []routing.ZoneDrain{drain("zone-b", revision(0, 9))},
+		Zones:        []routing.ZoneDrain{drainedZone("zone-b", revision(0, 9))},
 	})
 	b.Tick(now.Add(time.Second))
 	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeTrue())
@@ -65,7 +65,7 @@
 	g.Expect(b.View().Drained("zone-b")).To(gomega.BeFalse())
 }
 
-func TestABoxThatKnowsANewerEraBelievesNothingOfAnOlderOne(t *testing.T) {
+func TestBoxInANewerEraIgnoresAnOlderOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	b := fleet.NewState()
@@ -79,7 +79,7 @@
 		ListRevision: revision(1, 900),
 		Updated:      []routing.Endpoint{old},
 		Removed:      []fleet.Removal{{Name: "i-1", Revision: revision(1, 900)}},
-		Zones:        []routing.ZoneDrain{drain("zone-a", revision(1, 900))},
+		Zones:        []routing.ZoneDrain{drainedZone("zone-a", revision(1, 900))},
 	})
 	b.ApplyPeerState(later, "peer", fleet.PeerState{
 		ListRevision: revision(1, 900),
@@ -91,7 +91,7 @@
 	g.Expect(b.View().ConfirmedAt).To(gomega.Equal(before))
 }
 
-func TestAnEndpointIsNotColdAgainBecauseItsEntryIsReadInALaterEra(t *testing.T) {
+func TestEndpointIsNotColdAgainWhenItsEntryIsReadInALaterEra(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	cold := func(era uint64) routing.Endpoint {
@@ -107,37 +107,37 @@
 	g.Expect(e.ColdAt(later)).To(gomega.BeFalse())
 }
 
-// drawnStore is a store with eras in a few lines.
-type drawnStore struct {
-	era     uint64
-	number  uint64
-	entries map[string]routing.Endpoint
-	kept    map[string]routing.Endpoint // the copy
-	keptAt  uint64
+// modelStore is a store with eras in a few lines.
+type modelStore struct {
+	era          uint64
+	number       uint64
+	entries      map[string]routing.Endpoint
+	backup       map[string]routing.Endpoint // the copy
+	backupNumber uint64
 }
 
-func (s *drawnStore) next() routing.Revision {
+func (s *modelStore) nextRevision() routing.Revision {
 	s.number++
 	return revision(s.era, s.number)
 }
 
-// comeBack returns from the copy, whose entries are read with the new era.
-func (s *drawnStore) comeBack() {
+// restoreBackup returns from the copy, whose entries are read with the new era.
+func (s *modelStore) restoreBackup() {
 	s.era++
-	s.number = s.keptAt
-	s.entries = maps.Clone(s.kept)
+	s.number = s.backupNumber
+	s.entries = maps.Clone(s.backup)
 	for name, e := range s.entries {
 		e.Revision = revision(s.era, e.Revision.Number())
 		s.entries[name] = e
 	}
 }
 
-func (s *drawnStore) snapshot() *fleet.Snapshot {
+func (s *modelStore) snapshot() *fleet.Snapshot {
 	return snapshot(revision(s.era, s.number), slices.Collect(maps.Values(s.entries))...)
 }
 
-// give tells a box what another one has that is newer.
-func give(now time.Time, from, to *fleet.State) {
+// transferState tells a box what another one has that is newer.
+func transferState(now time.Time, from, to *fleet.State) {
 	has := from.View()
 	wants := to.View()
 	if !has.HasEndpointList || has.ListRevision <= wants.ListRevision {
@@ -152,7 +152,7 @@
 		v.Partial = true
 		v.Endpoints, v.Removed = updated, removed
 	} else {
-		for _, name := range drawnNames {
+		for _, name := range endpointNames {
 			if e, ok := has.Endpoint(name); ok {
 				v.Endpoints = append(v.Endpoints, e)
 			}
@@ -161,28 +161,28 @@
 	to.ApplyPeerState(now, "peer", v)
 }
 
-var drawnNames = []string{"i-1", "i-2", "i-3", "i-4"}
+var endpointNames = []string{"i-1", "i-2", "i-3", "i-4"}
 
 func TestAllBoxesEndOnWhatTheStoreSaysInItsNewestEra(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		s := &drawnStore{entries: map[string]routing.Endpoint{}, kept: map[string]routing.Endpoint{}}
+		s := &modelStore{entries: map[string]routing.Endpoint{}, backup: map[string]routing.Endpoint{}}
 		boxes := []*fleet.State{fleet.NewState(), fleet.NewState(), fleet.NewState()}
 		any := func(what string) *fleet.State { return boxes[rapid.IntRange(0, 2).Draw(t, what)] }
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
-			name := rapid.SampledFrom(drawnNames).Draw(t, "name")
+			name := rapid.SampledFrom(endpointNames).Draw(t, "name")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
-				s.entries[name] = endpoint(name, s.next(), false)
+				s.entries[name] = endpoint(name, s.nextRevision(), false)
 			case 2:
-				s.kept, s.keptAt = maps.Clone(s.entries), s.number
+				s.backup, s.backupNumber = maps.Clone(s.entries), s.number
 			case 3:
-				s.comeBack()
+				s.restoreBackup()
 			case 4, 5:
 				any("reads").ApplySnapshot(now, s.snapshot())
 			default:
-				give(now, any("gives"), any("takes"))
+				transferState(now, any("gives"), any("takes"))
 			}
 			for _, b := range boxes {
 				b.Tick(now)
@@ -190,23 +190,23 @@
 		}
 		boxes[0].ApplySnapshot(now, s.snapshot())
 		for range 2 {
-			give(now, boxes[0], boxes[1])
-			give(now, boxes[1], boxes[2])
+			transferState(now, boxes[0], boxes[1])
+			transferState(now, boxes[1], boxes[2])
 			now = now.Add(5 * time.Second)
 			for _, b := range boxes {
 				b.Tick(now)
 			}
 			// The store's next change is told as it comes.
-			s.entries["i-4"] = endpoint("i-4", s.next(), false)
+			s.entries["i-4"] = endpoint("i-4", s.nextRevision(), false)
 			boxes[0].ApplyChanges(now, &fleet.Changes{
 				Revision: revision(s.era, s.number),
 				Updated:  []routing.Endpoint{s.entries["i-4"]},
 			})
 		}
-		give(now, boxes[0], boxes[1])
-		give(now, boxes[1], boxes[2])
+		transferState(now, boxes[0], boxes[1])
+		transferState(now, boxes[1], boxes[2])
 		for i, b := range boxes {
-			for _, name := range drawnNames {
+			for _, name := range endpointNames {
 				_, published := s.entries[name]
 				if b.View().IsAvailable(name) != published {
 					t.Fatal(fmt.Sprintf("box %d sends to %s: %t, published: %t", i, name, b.View().IsAvailable(name), published))
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -54,13 +54,13 @@
 		}
 		f.Add(uint8(i), body)
 	}
-	belief, at := fuzzedBox(f)
-	asked := wire.NewPool(wire.NewHandlers())
+	state, at := startFuzzedBox(f)
+	pool := wire.NewPool(wire.NewHandlers())
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
 		if cbor.Wellformed(body) != nil {
 			return
 		}
-		say(t, at, envelope{
+		sendMessage(t, at, envelope{
 			Protocol: 1,
 			ID:       uint64(kind) % 2, // a push, or a question
 			Kind:     kinds[int(kind)%len(kinds)],
@@ -68,10 +68,10 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if _, err := wire.Request[fleet.Gossip](ctx, asked, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
+		if _, err := wire.Request[fleet.Gossip](ctx, pool, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
 			t.Fatalf("no greeting is answered after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
 		}
-		for _, e := range belief.View().Serving("s") {
+		for _, e := range state.View().Serving("s") {
 			if !e.Address.IsValid() {
 				t.Fatalf("requests go to an endpoint without an address: %+v", e)
 			}
@@ -79,27 +79,27 @@
 	})
 }
 
-// fuzzedBox starts a box with a configuration and a list, and gives its address.
-func fuzzedBox(f *testing.F) (*fleet.State, netip.AddrPort) {
+// startFuzzedBox starts a box with a configuration and a list, and gives its address.
+func startFuzzedBox(f *testing.F) (*fleet.State, netip.AddrPort) {
 	texts, err := emulator.FreeAddresses(1)
 	if err != nil {
 		f.Fatal(err)
 	}
 	at := netip.MustParseAddrPort(texts[0])
-	belief := fleet.NewState()
-	belief.ApplySnapshot(time.Now(), snapshot(1))
+	state := fleet.NewState()
+	state.ApplySnapshot(time.Now(), snapshot(1))
 	_, err = fleet.NewPeers(core.Peer{
 		Box:     "listens",
 		Address: at,
-	}, nil, belief)
+	}, nil, state)
 	if err != nil {
 		f.Fatal(err)
 	}
-	return belief, at
+	return state, at
 }
 
-// say sends one message on a connection of its own.
-func say(t *testing.T, at netip.AddrPort, e envelope) {
+// sendMessage sends one message on a connection of its own.
+func sendMessage(t *testing.T, at netip.AddrPort, e envelope) {
 	data, err := cbor.Marshal(e)
 	if err != nil {
 		return // the fuzzer's body is no CBOR
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -15,68 +15,68 @@
 // it takes any number again.
 
 const (
-	strained = "e-strained"
-	// knownWithin is how long word of a limit may take to reach all boxes of a few groups.
-	knownWithin = 2 * time.Second
+	limitedEndpoint = "e-strained"
+	// limitPropagationTime is how long word of a limit may take to reach all boxes of a few groups.
+	limitPropagationTime = 2 * time.Second
 )
 
-// limitedAt counts the boxes that know of the endpoint's limit.
-func (f *smallFleet) limitedAt() int {
+// countLimited counts the boxes that know of the endpoint's limit.
+func (f *testFleet) countLimited() int {
 	n := 0
 	for _, l := range f.limits {
-		if _, limited := l.Lookup(time.Now(), strained); limited {
+		if _, limited := l.Lookup(time.Now(), limitedEndpoint); limited {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *smallFleet) answered(box int, limited bool) {
-	f.limits[box].RecordAnswer(time.Now(), strained, limited, 4.5)
+func (f *testFleet) recordAnswer(box int, limited bool) {
+	f.limits[box].RecordAnswer(time.Now(), limitedEndpoint, limited, 4.5)
 }
 
-func TestAllBoxesKnowALimitThatAnEndpointNamedToOne(t *testing.T) {
+func TestAllBoxesLearnALimitReportedToOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, severalGroups, smallLink)
-		f.answered(7, true)
-		time.Sleep(knownWithin)
-		g.Expect(f.limitedAt()).To(gomega.Equal(severalGroups))
-		perSecond, _ := f.limits[23].Lookup(time.Now(), strained)
+		f := startFleet(t, severalGroupsBoxes, smallLinkBytesPerSecond)
+		f.recordAnswer(7, true)
+		time.Sleep(limitPropagationTime)
+		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes))
+		perSecond, _ := f.limits[23].Lookup(time.Now(), limitedEndpoint)
 		g.Expect(perSecond).To(gomega.Equal(4.5))
-		f.answered(23, false)
-		time.Sleep(knownWithin)
-		g.Expect(f.limitedAt()).To(gomega.BeZero())
+		f.recordAnswer(23, false)
+		time.Sleep(limitPropagationTime)
+		g.Expect(f.countLimited()).To(gomega.BeZero())
 	})
 }
 
-func TestALimitHoldsAsLongAsAnyBoxIsToldOfIt(t *testing.T) {
+func TestLimitRemainsWhileAnyBoxObservesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, severalGroups, smallLink)
+		f := startFleet(t, severalGroupsBoxes, smallLinkBytesPerSecond)
 		for range 60 {
-			f.answered(7, true)
+			f.recordAnswer(7, true)
 			time.Sleep(time.Second)
 		}
-		g.Expect(f.limitedAt()).To(gomega.Equal(severalGroups))
-		f.start(severalGroups)
-		time.Sleep(knownWithin)
-		g.Expect(f.limitedAt()).To(gomega.Equal(severalGroups+1), "the box that starts later knows it too")
-		time.Sleep(core.DefaultLimitRules().Retention + knownWithin)
-		g.Expect(f.limitedAt()).To(gomega.BeZero())
+		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes))
+		f.start(severalGroupsBoxes)
+		time.Sleep(limitPropagationTime)
+		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes+1), "the box that starts later knows it too")
+		time.Sleep(core.DefaultLimitRules().Retention + limitPropagationTime)
+		g.Expect(f.countLimited()).To(gomega.BeZero())
 	})
 }
 
 // Answers to two boxes cross: one was made before the endpoint came under strain.
-func TestAnAnswerThatWasUnderWayDoesNotEndALimit(t *testing.T) {
+func TestAnswerInTransitDoesNotLiftALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, severalGroups, smallLink)
-		f.answered(7, true)
+		f := startFleet(t, severalGroupsBoxes, smallLinkBytesPerSecond)
+		f.recordAnswer(7, true)
 		time.Sleep(50 * time.Millisecond)
-		f.answered(7, false)
-		f.answered(8, false)
-		time.Sleep(knownWithin)
-		g.Expect(f.limitedAt()).To(gomega.Equal(severalGroups))
+		f.recordAnswer(7, false)
+		f.recordAnswer(8, false)
+		time.Sleep(limitPropagationTime)
+		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes))
 	})
 }
--- a/fleet/load_reports_test.go
+++ b/fleet/load_reports_test.go
@@ -13,13 +13,13 @@
 
 var _ = Describe("the reports that a box hands on", func() {
 	It("are all it has to its group, and its group's engines' to others", func() {
-		r := fleet.NewLoadReports(restartedEngine{}, fleet.NewState(), zap.NewNop(), func(time.Time, routing.Report) {})
+		r := fleet.NewLoadReports(restartedReporter{}, fleet.NewState(), zap.NewNop(), func(time.Time, routing.Report) {})
 		r.Merge(noon, []routing.Report{{Endpoint: "own"}, {Endpoint: "other"}})
 		later := noon.Add(time.Second)
 		Expect(r.Sample(later, nil)).To(HaveLen(2))
-		told := r.Sample(later, map[string]bool{"own": true})
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Endpoint).To(Equal("own"))
-		Expect(told[0].Age).To(Equal(time.Second))
+		sampled := r.Sample(later, map[string]bool{"own": true})
+		Expect(sampled).To(HaveLen(1))
+		Expect(sampled[0].Endpoint).To(Equal("own"))
+		Expect(sampled[0].Age).To(Equal(time.Second))
 	})
 })
--- a/fleet/paths_test.go
+++ b/fleet/paths_test.go
@@ -11,19 +11,19 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// startGroup starts boxes of two zones that are one group, since their engines are few.
-func startGroup(t *testing.T, boxes int) *smallFleet {
-	f := startFleet(t, boxes, 10*smallLink)
-	for _, b := range f.beliefs {
-		b.ApplySnapshot(time.Now(), engineList(20))
+// startSingleGroup starts boxes of two zones that are one group, since their engines are few.
+func startSingleGroup(t *testing.T, boxes int) *testFleet {
+	f := startFleet(t, boxes, 10*smallLinkBytesPerSecond)
+	for _, b := range f.states {
+		b.ApplySnapshot(time.Now(), engineSnapshot(20))
 	}
-	time.Sleep(settle)
+	time.Sleep(discoveryTime)
 	return f
 }
 
-func (f *smallFleet) heardOfPlacements() []int64 {
+func (f *testFleet) receivedPlacements() []int64 {
 	var out []int64
-	for _, n := range f.placed {
+	for _, n := range f.placements {
 		out = append(out, n.Load())
 	}
 	return out
@@ -32,26 +32,26 @@
 // Boxes that knew only what those of their own zone placed crowded other zones' engines: one
 // group of all boxes raised what requests were worth by 0.027 +- 0.010 (10 days in pairs),
 // at 0.0063 for bytes between zones, where each box told all others itself.
-func TestEachBoxOfALargeGroupHearsOfEachPlacementOnce(t *testing.T) {
+func TestEachBoxOfALargeGroupReceivesEachPlacementOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		const boxes = 36
-		f := startGroup(t, boxes)
+		f := startSingleGroup(t, boxes)
 		for i, p := range f.peers {
 			g.Expect(p.Group().Members).To(gomega.HaveLen(boxes-1), "box %d", i)
 		}
-		for teller := range 3 {
-			f.peers[teller].BroadcastPlacement(fleet.Placement{
+		for sender := range 3 {
+			f.peers[sender].BroadcastPlacement(fleet.Placement{
 				Endpoint: "e-00",
 				Tokens:   100,
 			})
 			time.Sleep(100 * time.Millisecond)
-			for i, n := range f.heardOfPlacements() {
-				told := teller + 1
-				if i <= teller {
-					told = teller // it doesn't hear of its own
+			for i, n := range f.receivedPlacements() {
+				expected := sender + 1
+				if i <= sender {
+					expected = sender // it doesn't hear of its own
 				}
-				g.Expect(n).To(gomega.BeEquivalentTo(told), "box %d", i)
+				g.Expect(n).To(gomega.BeEquivalentTo(expected), "box %d", i)
 			}
 		}
 	})
@@ -59,19 +59,19 @@
 
 // One change of the list reaches all boxes of a large group though each hands it on to few:
 // handed to all by all it was most of the bytes between zones.
-func TestNewsReachAllBoxesOfALargeGroup(t *testing.T) {
+func TestUpdateReachesAllBoxesOfALargeGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startGroup(t, 36)
+		f := startSingleGroup(t, 36)
 		e := endpoint("e-new", 9, false)
-		news, fresh := f.beliefs[7].ApplyChanges(time.Now(), &fleet.Changes{
+		update, changed := f.states[7].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 9,
 			Updated:  []routing.Endpoint{e},
 		})
-		g.Expect(fresh).To(gomega.BeTrue())
-		f.peers[7].BroadcastUpdate(news)
+		g.Expect(changed).To(gomega.BeTrue())
+		f.peers[7].BroadcastUpdate(update)
 		time.Sleep(50 * time.Millisecond)
-		for i, b := range f.beliefs {
+		for i, b := range f.states {
 			_, known := b.View().Endpoint("e-new")
 			g.Expect(known).To(gomega.BeTrue(), "box %d", i)
 		}
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -16,8 +16,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// fleetOf starts boxes' peers that know only the first one's address.
-func fleetOf(n int) (all []*fleet.Peers, beliefs []*fleet.State) {
+// startPeers starts boxes' peers that know only the first one's address.
+func startPeers(n int) (all []*fleet.Peers, states []*fleet.State) {
 	texts, err := emulator.FreeAddresses(n)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -33,18 +33,18 @@
 		Expect(err).NotTo(HaveOccurred())
 		go p.Run(ctx)
 		all = append(all, p)
-		beliefs = append(beliefs, b)
+		states = append(states, b)
 	}
-	return all, beliefs
+	return all, states
 }
 
-// purse is a box's part of a budget, counted in sends.
-type purse struct {
+// fakeBudget is a box's part of a budget, counted in sends.
+type fakeBudget struct {
 	mu    sync.Mutex
 	sends int
 }
 
-func (p *purse) TransferOut(_ time.Time, _ string, sends int) int {
+func (p *fakeBudget) TransferOut(_ time.Time, _ string, sends int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	given := min(sends, p.sends)
@@ -52,42 +52,42 @@
 	return given
 }
 
-func (p *purse) ReceiveTransfer(_ time.Time, _ string, sends int) { p.set(p.has() + sends) }
+func (p *fakeBudget) ReceiveTransfer(_ time.Time, _ string, sends int) { p.set(p.remaining() + sends) }
 
-func (p *purse) has() int {
+func (p *fakeBudget) remaining() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sends
 }
 
-func (p *purse) set(sends int) {
+func (p *fakeBudget) set(sends int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sends = sends
 }
 
 var _ = Describe("peers", func() {
-	const patience = 20 * time.Second
+	const timeout = 20 * time.Second
 
 	It("find each other from one seed, and share what one of them learned", func() {
-		all, beliefs := fleetOf(5)
+		all, states := startPeers(5)
 		for _, p := range all {
-			Eventually(p.Sharers).WithTimeout(patience).Should(Equal(5))
+			Eventually(p.Sharers).WithTimeout(timeout).Should(Equal(5))
 		}
-		beliefs[3].ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
-		for _, b := range beliefs {
-			Eventually(func() []string { return serving(b) }).WithTimeout(patience).Should(Equal([]string{"x"}))
+		states[3].ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
+		for _, b := range states {
+			Eventually(func() []string { return serving(b) }).WithTimeout(timeout).Should(Equal([]string{"x"}))
 		}
-		news, any := beliefs[1].ApplyChanges(time.Now(), &fleet.Changes{
+		update, any := states[1].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 20,
 			Document: document(6),
 			Updated:  []routing.Endpoint{endpoint("x", 20, true)},
 		})
 		Expect(any).To(BeTrue())
-		all[1].BroadcastUpdate(news)
-		for _, b := range beliefs {
-			Eventually(func() []string { return serving(b) }).WithTimeout(patience).Should(BeEmpty())
-			Eventually(func() uint64 { return b.View().ConfigVersion() }).WithTimeout(patience).Should(BeEquivalentTo(6))
+		all[1].BroadcastUpdate(update)
+		for _, b := range states {
+			Eventually(func() []string { return serving(b) }).WithTimeout(timeout).Should(BeEmpty())
+			Eventually(func() uint64 { return b.View().ConfigVersion() }).WithTimeout(timeout).Should(BeEquivalentTo(6))
 		}
 	})
 
@@ -104,40 +104,40 @@
 	})
 
 	It("lend a part of a budget to one that needs it now", func() {
-		all, _ := fleetOf(3)
-		purses := make([]*purse, len(all))
+		all, _ := startPeers(3)
+		budgets := make([]*fakeBudget, len(all))
 		for i, p := range all {
-			purses[i] = &purse{}
-			p.SetRetryBudgets(purses[i])
+			budgets[i] = &fakeBudget{}
+			p.SetRetryBudgets(budgets[i])
 		}
 		for _, p := range all {
-			Eventually(func() []string { return p.Group().Members }).WithTimeout(patience).Should(HaveLen(2))
+			Eventually(func() []string { return p.Group().Members }).WithTimeout(timeout).Should(HaveLen(2))
 		}
-		purses[2].set(3)
+		budgets[2].set(3)
 		Eventually(func() int {
 			all[0].BorrowRetries(context.Background(), "model")
-			return purses[0].has()
-		}).WithTimeout(patience).Should(Equal(1))
-		Expect(purses[2].has()).To(Equal(2))
+			return budgets[0].remaining()
+		}).WithTimeout(timeout).Should(Equal(1))
+		Expect(budgets[2].remaining()).To(Equal(2))
 	})
 
 	It("tell each other at once of an engine that leaves by its own word", func() {
-		all, beliefs := fleetOf(3)
+		all, states := startPeers(3)
 		for i, p := range all {
-			Eventually(func() []string { return p.Group().Members }).WithTimeout(patience).Should(HaveLen(2))
-			beliefs[i].ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
+			Eventually(func() []string { return p.Group().Members }).WithTimeout(timeout).Should(HaveLen(2))
+			states[i].ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
-		beliefs[0].MarkLeaving(time.Now(), "engine", "x")
+		states[0].MarkLeaving(time.Now(), "engine", "x")
 		all[0].BroadcastEvacuating(fleet.Evacuating{Endpoint: "x"})
-		for _, b := range beliefs {
-			Eventually(func() []string { return serving(b) }).WithTimeout(patience).Should(BeEmpty())
+		for _, b := range states {
+			Eventually(func() []string { return serving(b) }).WithTimeout(timeout).Should(BeEmpty())
 		}
 	})
 
 	It("agree on a few readers among many, and replace one that leaves", func() {
-		all, _ := fleetOf(9)
+		all, _ := startPeers(9)
 		for _, p := range all {
-			Eventually(p.Sharers).WithTimeout(patience).Should(Equal(9))
+			Eventually(p.Sharers).WithTimeout(timeout).Should(Equal(9))
 		}
 		readers := func() int {
 			n := 0
@@ -148,7 +148,7 @@
 			}
 			return n
 		}
-		Eventually(readers).WithTimeout(patience).Should(Equal(5))
+		Eventually(readers).WithTimeout(timeout).Should(Equal(5))
 	})
 })
 
@@ -156,13 +156,13 @@
 	// Boxes that missed a change took each copy of later news as new and handed
 	// it on again: a storm on the grown deployment's scale-2.
 	It("are handed on once, however often they come", func() {
-		all, beliefs := fleetOf(4)
+		all, states := startPeers(4)
 		// Partners follow the roster at the next greeting; news that go out before
 		// reach fewer, and nothing repairs these: their gap has no list behind it.
 		for _, p := range all {
 			Eventually(func() []string { return p.Group().Members }).WithTimeout(20 * time.Second).Should(HaveLen(3))
 		}
-		for _, b := range beliefs {
+		for _, b := range states {
 			b.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
 		before := all[0].Traffic()
@@ -171,7 +171,7 @@
 			ListRevision: 16,
 			Updated:      []routing.Endpoint{endpoint("y", 16, false)},
 		})
-		Eventually(func() []string { return serving(beliefs[3]) }).WithTimeout(20 * time.Second).Should(ContainElement("y"))
+		Eventually(func() []string { return serving(states[3]) }).WithTimeout(20 * time.Second).Should(ContainElement("y"))
 		Consistently(func() uint64 { return all[0].Traffic() - before }).Should(BeNumerically("<", 200))
 	})
 })
@@ -180,23 +180,23 @@
 	// Announcements without the changes counted as the changes themselves, so
 	// that lists went stale: sweep-30 refused a quarter of its requests.
 	It("are announced, and asked for by each box", func() {
-		all, beliefs := fleetOf(4)
+		all, states := startPeers(4)
 		for _, p := range all {
 			Eventually(p.Sharers).WithTimeout(20 * time.Second).Should(Equal(4))
 		}
-		for _, b := range beliefs {
+		for _, b := range states {
 			b.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
 		var many []routing.Endpoint
 		for i := range 40 {
 			many = append(many, endpoint(fmt.Sprintf("y%02d", i), routing.Revision(20+i), false))
 		}
-		news, _ := beliefs[0].ApplyChanges(time.Now(), &fleet.Changes{
+		update, _ := states[0].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 60,
 			Updated:  many,
 		})
-		all[0].BroadcastUpdate(news)
-		for _, b := range beliefs {
+		all[0].BroadcastUpdate(update)
+		for _, b := range states {
 			Eventually(func() int { return len(serving(b)) }).WithTimeout(20 * time.Second).Should(Equal(41))
 		}
 	})
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -15,8 +15,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// started gives an endpoint of a server that tells when it started.
-func started(name string, start int64, revision routing.Revision, leaving bool) routing.Endpoint {
+// startedEndpoint gives an endpoint of a server that tells when it started.
+func startedEndpoint(name string, start int64, revision routing.Revision, leaving bool) routing.Endpoint {
 	e := endpoint(routing.IncarnationID(name, start), revision, leaving)
 	e.Started = start
 	return e
@@ -35,13 +35,13 @@
 	BeforeEach(func() {
 		changes = nil
 		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c) }))
-		b.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
+		b.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		changes = nil
 	})
 	restart := func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
-			Updated:  []routing.Endpoint{started("a", 5000, 11, false)},
+			Updated:  []routing.Endpoint{startedEndpoint("a", 5000, 11, false)},
 		})
 	}
 
@@ -57,12 +57,12 @@
 	It("serves though its former life was leaving", func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
-			Updated:  []routing.Endpoint{started("a", 1000, 11, true)},
+			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 11, true)},
 		})
 		Expect(serving(b)).To(Equal([]string{"b@1000"}))
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
-			Updated:  []routing.Endpoint{started("a", 5000, 12, false)},
+			Updated:  []routing.Endpoint{startedEndpoint("a", 5000, 12, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
@@ -71,7 +71,7 @@
 		restart()
 		b.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 20,
-			Endpoints:    []routing.Endpoint{started("a", 1000, 20, false), started("b", 1000, 2, false)},
+			Endpoints:    []routing.Endpoint{startedEndpoint("a", 1000, 20, false), startedEndpoint("b", 1000, 2, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
@@ -97,7 +97,7 @@
 		b.MarkRestarted("engine", former, 900)
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
-			Updated:  []routing.Endpoint{started("a", 1000, 11, false)},
+			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 11, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 		restart()
@@ -106,7 +106,7 @@
 
 	It("brings a box that is behind to the same list", func() {
 		behind := fleet.NewState()
-		behind.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
+		behind.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		restart()
 		updated, removed, ok := b.ChangesSince(behind.View().ListRevision)
 		Expect(ok).To(BeTrue())
@@ -125,10 +125,10 @@
 	var kinds []fleet.ChangeKind
 	BeforeEach(func() {
 		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { kinds = append(kinds, c.Kind) }))
-		b.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
+		b.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		kinds = nil
 	})
-	spoil := func(name string, revision routing.Revision) {
+	writeUnusable := func(name string, revision routing.Revision) {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: revision,
 			Updated:  []routing.Endpoint{routing.UnusableEndpoint(name, revision)},
@@ -136,23 +136,23 @@
 	}
 
 	It("takes its server out, and the others hold", func() {
-		spoil("a", 11)
+		writeUnusable("a", 11)
 		Expect(serving(b)).To(Equal([]string{"b@1000"}))
 		Expect(kinds).To(Equal([]fleet.ChangeKind{fleet.EndpointUnusable}))
 	})
 
 	It("gives the server back when its own entry is there again", func() {
-		spoil("a", 11)
+		writeUnusable("a", 11)
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
-			Updated:  []routing.Endpoint{started("a", 1000, 12, false)},
+			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 12, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"a@1000", "b@1000"}))
 	})
 
 	It("tells nothing when it was never a server's, however often it is written", func() {
 		for revision := routing.Revision(11); revision < 100; revision++ {
-			spoil("x", revision)
+			writeUnusable("x", revision)
 		}
 		Expect(kinds).To(BeEmpty())
 		Expect(serving(b)).To(Equal([]string{"a@1000", "b@1000"}))
@@ -160,8 +160,8 @@
 
 	It("reaches a box that has the list from a peer", func() {
 		behind := fleet.NewState()
-		behind.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
-		spoil("a", 11)
+		behind.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
+		writeUnusable("a", 11)
 		updated, removed, _ := b.ChangesSince(10)
 		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: b.View().ListRevision,
@@ -173,10 +173,10 @@
 	})
 })
 
-// restartedEngine answers for another incarnation than the one that is asked.
-type restartedEngine struct{}
+// restartedReporter answers for another incarnation than the one that is asked.
+type restartedReporter struct{}
 
-func (restartedEngine) Report(context.Context, routing.Endpoint) (routing.Report, error) {
+func (restartedReporter) Report(context.Context, routing.Endpoint) (routing.Report, error) {
 	return routing.Report{}, &fleet.RestartedError{Started: 5000}
 }
 
@@ -192,9 +192,9 @@
 					Engine: &routing.Engine{Slots: 8},
 				}},
 			},
-			Endpoints: []routing.Endpoint{started("a", 1000, 1, false)},
+			Endpoints: []routing.Endpoint{startedEndpoint("a", 1000, 1, false)},
 		})
-		reports := fleet.NewLoadReports(restartedEngine{}, b, zap.NewNop(), func(time.Time, routing.Report) {})
+		reports := fleet.NewLoadReports(restartedReporter{}, b, zap.NewNop(), func(time.Time, routing.Report) {})
 		addresses, err := emulator.FreeAddresses(1)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
--- a/fleet/startup_test.go
+++ b/fleet/startup_test.go
@@ -16,19 +16,19 @@
 )
 
 // countingReporter counts the questions to engines, which all are empty.
-type countingReporter struct{ asked atomic.Int64 }
+type countingReporter struct{ queries atomic.Int64 }
 
 func (r *countingReporter) Report(_ context.Context, e routing.Endpoint) (routing.Report, error) {
-	r.asked.Add(1)
+	r.queries.Add(1)
 	return routing.Report{
 		Endpoint: e.ID,
 		Total:    30000,
 	}, nil
 }
 
-// engineList gives a configuration with one service of engines and a list of them, in
+// engineSnapshot gives a configuration with one service of engines and a list of them, in
 // the zones of startFleet's boxes.
-func engineList(engines int) *fleet.Snapshot {
+func engineSnapshot(engines int) *fleet.Snapshot {
 	s := &fleet.Snapshot{
 		Revision: 2,
 		Document: &routing.Document{
@@ -52,7 +52,7 @@
 // knows nobody yet takes itself for the one that asks all. With 72 boxes and 24 engines in
 // virtual time: 2,658 questions in the first eight seconds without the wait for the others,
 // 776 with it; five a second and engine, as of a list that nobody confirms, are 960.
-func TestBoxesThatStartTogetherAskEachEngineOnce(t *testing.T) {
+func TestBoxesThatStartTogetherQueryEachEngineOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		const engines = 24
@@ -60,8 +60,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var all []*fleet.LoadReports
-		beginFleet(t, 72, 20*smallLink, func(b *fleet.State) *fleet.LoadReports {
-			b.ApplySnapshot(time.Now(), engineList(engines))
+		launchFleet(t, 72, 20*smallLinkBytesPerSecond, func(b *fleet.State) *fleet.LoadReports {
+			b.ApplySnapshot(time.Now(), engineSnapshot(engines))
 			r := fleet.NewLoadReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
 			all = append(all, r)
 			return r
@@ -72,10 +72,10 @@
 		const looked = 8 * time.Second
 		usual := 5 * engines * looked.Seconds()
 		time.Sleep(looked)
-		g.Expect(reporter.asked.Load()).To(gomega.BeNumerically("<", usual))
-		before := reporter.asked.Load()
+		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically("<", usual))
+		before := reporter.queries.Load()
 		time.Sleep(looked)
-		g.Expect(reporter.asked.Load()-before).To(gomega.BeNumerically("~", usual, usual/10), "in calm times")
+		g.Expect(reporter.queries.Load()-before).To(gomega.BeNumerically("~", usual, usual/10), "in calm times")
 		cancel()
 		time.Sleep(time.Second)
 	})
@@ -83,7 +83,7 @@
 
 // Boxes whose seeds come up last know nobody for seconds, and took themselves for alone
 // after the first: each asked every engine for its load.
-func TestBoxesThatWaitForTheirSeedAskNoEngine(t *testing.T) {
+func TestBoxesThatWaitForTheirSeedQueryNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		const engines, boxes = 24, 12
@@ -91,8 +91,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var all []*fleet.LoadReports
-		f := beginFleet(t, 0, 20*smallLink, func(b *fleet.State) *fleet.LoadReports {
-			b.ApplySnapshot(time.Now(), engineList(engines))
+		f := launchFleet(t, 0, 20*smallLinkBytesPerSecond, func(b *fleet.State) *fleet.LoadReports {
+			b.ApplySnapshot(time.Now(), engineSnapshot(engines))
 			r := fleet.NewLoadReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
 			all = append(all, r)
 			return r
@@ -102,11 +102,11 @@
 			go all[box-1].Run(ctx)
 		}
 		time.Sleep(3 * time.Second)
-		g.Expect(reporter.asked.Load()).To(gomega.BeZero())
+		g.Expect(reporter.queries.Load()).To(gomega.BeZero())
 		f.start(0)
 		go all[boxes-1].Run(ctx)
 		time.Sleep(3 * time.Second)
-		g.Expect(reporter.asked.Load()).To(gomega.BeNumerically(">", 0))
+		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically(">", 0))
 		cancel()
 		time.Sleep(time.Second)
 	})
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -75,15 +75,15 @@
 
 	It("tells of a change when its view holds it, and all that came with it", func() {
 		seen := 0
-		var told *fleet.State
-		told = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
+		var observed *fleet.State
+		observed = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 			if c.Kind == fleet.EndpointLeaving {
 				seen++
-				Expect(serving(told)).To(Equal([]string{"c"}))
+				Expect(serving(observed)).To(Equal([]string{"c"}))
 			}
 		}))
-		told.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false), endpoint("c", 3, false)))
-		told.ApplyChanges(noon, &fleet.Changes{
+		observed.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false), endpoint("c", 3, false)))
+		observed.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Updated:  []routing.Endpoint{endpoint("a", 11, true), endpoint("b", 12, true)},
 		})
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -31,49 +31,49 @@
 // processors at 6% of a core.
 
 const (
-	// smallLink is 10 Mbit/s, in bytes a second.
-	smallLink = 10e6 / 8
-	// hop is the way of a byte between two boxes.
-	hop = 900 * time.Microsecond
-	// inForce is the time in which a change must be in force.
-	inForce = 3 * time.Second
-	// settle is how long boxes that start together need to know each other.
-	settle = 10 * time.Second
+	// smallLinkBytesPerSecond is 10 Mbit/s, in bytes a second.
+	smallLinkBytesPerSecond = 10e6 / 8
+	// linkDelay is the way of a byte between two boxes.
+	linkDelay = 900 * time.Microsecond
+	// propagationLimit is the time in which a change must be in force.
+	propagationLimit = 3 * time.Second
+	// discoveryTime is how long boxes that start together need to know each other.
+	discoveryTime = 10 * time.Second
 )
 
-// smallFleet is boxes in memory, each with its link.
-type smallFleet struct {
-	network *emulator.Network
-	peers   []*fleet.Peers
-	beliefs []*fleet.State
-	held    []*fleet.Quarantine
-	limits  []*fleet.Limits
-	placed  []*atomic.Int64 // placements that each box heard of
-	start   func(box int)
+// testFleet is boxes in memory, each with its link.
+type testFleet struct {
+	network     *emulator.Network
+	peers       []*fleet.Peers
+	states      []*fleet.State
+	quarantined []*fleet.Quarantine
+	limits      []*fleet.Limits
+	placements  []*atomic.Int64 // placements that each box heard of
+	start       func(box int)
 }
 
 // startFleet starts boxes on links of one speed, each with a configuration and an
 // empty list; the first one's address is all that they know. They have met when it
 // returns.
-func startFleet(t *testing.T, boxes int, bytesPerSecond float64) *smallFleet {
-	f := beginFleet(t, boxes, bytesPerSecond, func(*fleet.State) *fleet.LoadReports { return nil })
-	time.Sleep(settle)
+func startFleet(t *testing.T, boxes int, bytesPerSecond float64) *testFleet {
+	f := launchFleet(t, boxes, bytesPerSecond, func(*fleet.State) *fleet.LoadReports { return nil })
+	time.Sleep(discoveryTime)
 	return f
 }
 
-// beginFleet starts boxes as startFleet does, with what asks their engines.
-func beginFleet(t *testing.T, boxes int, bytesPerSecond float64, reports func(*fleet.State) *fleet.LoadReports) *smallFleet {
-	n := emulator.NewNetwork(hop)
+// launchFleet starts boxes as startFleet does, with what asks their engines.
+func launchFleet(t *testing.T, boxes int, bytesPerSecond float64, reports func(*fleet.State) *fleet.LoadReports) *testFleet {
+	n := emulator.NewNetwork(linkDelay)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
 		// Whatever is still under way ends within this: time stops with the test.
-		time.Sleep(settle)
+		time.Sleep(discoveryTime)
 	})
-	f := &smallFleet{network: n}
-	seed := netip.AddrPortFrom(hostOf(0), 8000)
+	f := &testFleet{network: n}
+	seed := netip.AddrPortFrom(boxAddr(0), 8000)
 	f.start = func(i int) {
-		n.Join(hostOf(i), bytesPerSecond)
+		n.Join(boxAddr(i), bytesPerSecond)
 		b := fleet.NewState()
 		b.ApplySnapshot(time.Now(), snapshot(1))
 		q := fleet.NewQuarantine(zap.NewNop())
@@ -81,20 +81,20 @@
 		heard := new(atomic.Int64)
 		p, err := fleet.NewPeers(core.Peer{
 			Box:        fmt.Sprintf("box-%02d", i),
-			Address:    netip.AddrPortFrom(hostOf(i), 8000),
+			Address:    netip.AddrPortFrom(boxAddr(i), 8000),
 			Zone:       fmt.Sprintf("zone-%d", i%2),
 			InstanceID: uint64(i + 1),
-		}, []netip.AddrPort{seed}, b, append(reporting(reports(b)), fleet.WithNetwork(n.At(hostOf(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
+		}, []netip.AddrPort{seed}, b, append(loadReportsOptions(reports(b)), fleet.WithNetwork(n.At(boxAddr(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
 			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
 		if err != nil {
 			t.Fatal(err)
 		}
 		go p.Run(ctx)
 		f.peers = append(f.peers, p)
-		f.beliefs = append(f.beliefs, b)
-		f.held = append(f.held, q)
+		f.states = append(f.states, b)
+		f.quarantined = append(f.quarantined, q)
 		f.limits = append(f.limits, limits)
-		f.placed = append(f.placed, heard)
+		f.placements = append(f.placements, heard)
 	}
 	for i := range boxes {
 		f.start(i)
@@ -102,30 +102,30 @@
 	return f
 }
 
-func reporting(r *fleet.LoadReports) []fleet.PeersOption {
+func loadReportsOptions(r *fleet.LoadReports) []fleet.PeersOption {
 	if r == nil {
 		return nil
 	}
 	return []fleet.PeersOption{fleet.WithLoadReports(r)}
 }
 
-func hostOf(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}) }
+func boxAddr(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}) }
 
-// learn lets one box have a configuration from the store, and changes of endpoints
+// applyFromStore lets one box have a configuration from the store, and changes of endpoints
 // that came with it.
-func (f *smallFleet) learn(box int, d *routing.Document, changed ...routing.Endpoint) {
-	news, _ := f.beliefs[box].ApplyChanges(time.Now(), &fleet.Changes{
+func (f *testFleet) applyFromStore(box int, d *routing.Document, changed ...routing.Endpoint) {
+	update, _ := f.states[box].ApplyChanges(time.Now(), &fleet.Changes{
 		Revision: routing.Revision(d.Version),
 		Document: d,
 		Updated:  changed,
 	})
-	f.peers[box].BroadcastUpdate(news)
+	f.peers[box].BroadcastUpdate(update)
 }
 
-// without counts the boxes that don't have a version or a newer one.
-func (f *smallFleet) without(version uint64) int {
+// countWithoutVersion counts the boxes that don't have a version or a newer one.
+func (f *testFleet) countWithoutVersion(version uint64) int {
 	n := 0
-	for _, b := range f.beliefs {
+	for _, b := range f.states {
 		if b.View().ConfigVersion() < version {
 			n++
 		}
@@ -133,9 +133,9 @@
 	return n
 }
 
-// largeDocument gives a configuration with many routes; names and paths are as
+// randomDocument gives a configuration with many routes; names and paths are as
 // random as those of operators, and its copies as large.
-func largeDocument(version uint64, routes int) *routing.Document {
+func randomDocument(version uint64, routes int) *routing.Document {
 	random := rand.New(rand.NewPCG(1, uint64(routes)))
 	word := func(n int) string {
 		const letters = "abcdefghijklmnopqrstuvwxyz0123456789"
@@ -165,56 +165,56 @@
 	return d
 }
 
-func TestLargeConfigurationIsInForceInTimeOverSmallLinks(t *testing.T) {
+func TestLargeConfigurationReachesAllBoxesInTimeOverSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 18, smallLink)
-		f.learn(0, largeDocument(7, 2850))
-		time.Sleep(inForce)
-		g.Expect(f.without(7)).To(gomega.BeZero(), "boxes without the configuration after %v", inForce)
+		f := startFleet(t, 18, smallLinkBytesPerSecond)
+		f.applyFromStore(0, randomDocument(7, 2850))
+		time.Sleep(propagationLimit)
+		g.Expect(f.countWithoutVersion(7)).To(gomega.BeZero(), "boxes without the configuration after %v", propagationLimit)
 	})
 }
 
-func TestConfigurationsCloseTogetherAreInForceInTime(t *testing.T) {
+func TestLastOfSeveralConfigurationsReachesAllBoxesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 18, smallLink)
+		f := startFleet(t, 18, smallLinkBytesPerSecond)
 		const apart = 400 * time.Millisecond
 		for version := uint64(7); version < 13; version++ {
-			f.learn(int(version)%3, largeDocument(version, 2850))
+			f.applyFromStore(int(version)%3, randomDocument(version, 2850))
 			time.Sleep(apart)
 		}
-		time.Sleep(inForce - apart)
-		g.Expect(f.without(12)).To(gomega.BeZero(), "boxes without the last configuration after %v", inForce)
+		time.Sleep(propagationLimit - apart)
+		g.Expect(f.countWithoutVersion(12)).To(gomega.BeZero(), "boxes without the last configuration after %v", propagationLimit)
 	})
 }
 
 // A box that falls silent while it gives keeps its takers for one part's time, and no
 // longer: others have the version by then.
-func TestConfigurationIsInForceInTimeThoughItsFirstGiverFallsSilent(t *testing.T) {
+func TestConfigurationReachesAllBoxesInTimeWhenFirstSenderHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 18, smallLink)
-		f.learn(0, largeDocument(7, 2850))
+		f := startFleet(t, 18, smallLinkBytesPerSecond)
+		f.applyFromStore(0, randomDocument(7, 2850))
 		time.Sleep(30 * time.Millisecond)
-		f.network.Silence(hostOf(0))
-		f.learn(1, largeDocument(7, 2850))
-		time.Sleep(inForce - 30*time.Millisecond)
-		g.Expect(f.without(7)).To(gomega.BeZero(), "boxes without the configuration after %v", inForce)
+		f.network.Silence(boxAddr(0))
+		f.applyFromStore(1, randomDocument(7, 2850))
+		time.Sleep(propagationLimit - 30*time.Millisecond)
+		g.Expect(f.countWithoutVersion(7)).To(gomega.BeZero(), "boxes without the configuration after %v", propagationLimit)
 	})
 }
 
 // Word of a leaving endpoint that came with a configuration waited at each box until
 // that had taken the configuration, and crossed the fleet at the speed of the copies.
-func TestEndpointsDoNotWaitForTheConfigurationTheyCameWith(t *testing.T) {
+func TestEndpointChangesDoNotWaitForTheConfigurationInTheSameUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 30, smallLink)
-		f.learn(0, document(2), endpoint("x", 3, false))
-		time.Sleep(inForce)
-		f.learn(0, largeDocument(7, 2850), endpoint("x", 8, true))
+		f := startFleet(t, 30, smallLinkBytesPerSecond)
+		f.applyFromStore(0, document(2), endpoint("x", 3, false))
+		time.Sleep(propagationLimit)
+		f.applyFromStore(0, randomDocument(7, 2850), endpoint("x", 8, true))
 		time.Sleep(60 * time.Millisecond)
-		for i, b := range f.beliefs {
+		for i, b := range f.states {
 			g.Expect(serving(b)).To(gomega.BeEmpty(), "box %d still sends to an endpoint that leaves", i)
 		}
 	})
@@ -222,12 +222,12 @@
 
 // Greetings waited behind copies on the same links until they were given up: 185
 // times a box that was well was suspected, and others took its place as readers.
-func TestNobodyIsSuspectedWhileConfigurationsGoRound(t *testing.T) {
+func TestNoBoxIsSuspectedDuringConfigurationTransfers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 18, smallLink)
+		f := startFleet(t, 18, smallLinkBytesPerSecond)
 		for version := uint64(7); version < 19; version++ {
-			f.learn(int(version)%3, largeDocument(version, 2850))
+			f.applyFromStore(int(version)%3, randomDocument(version, 2850))
 			for range 4 {
 				time.Sleep(100 * time.Millisecond)
 				for i, p := range f.peers {
@@ -240,24 +240,24 @@
 
 // A box that took a configuration alone also took the giver's word that its list was
 // whole, without having the list: it then believed an old one to be fresh.
-func TestAConfigurationAloneSaysNothingOfTheList(t *testing.T) {
+func TestConfigurationTransferDoesNotConfirmTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 2, smallLink)
-		f.learn(0, document(2), endpoint("x", 3, false))
-		time.Sleep(inForce)
+		f := startFleet(t, 2, smallLinkBytesPerSecond)
+		f.applyFromStore(0, document(2), endpoint("x", 3, false))
+		time.Sleep(propagationLimit)
 		// Its list was whole just now, so that no greeting asks for another one.
-		f.beliefs[1].Confirm(time.Now(), 3, 0)
-		before := f.beliefs[1].View()
+		f.states[1].Confirm(time.Now(), 3, 0)
+		before := f.states[1].View()
 		g.Expect(before.ListRevision).To(gomega.BeEquivalentTo(3))
 		// A change of the list that the other box doesn't hear of, and then a configuration.
-		f.beliefs[0].ApplyChanges(time.Now(), &fleet.Changes{
+		f.states[0].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 9,
 			Updated:  []routing.Endpoint{endpoint("x", 9, true)},
 		})
-		f.learn(0, document(10))
+		f.applyFromStore(0, document(10))
 		time.Sleep(10 * time.Millisecond)
-		after := f.beliefs[1].View()
+		after := f.states[1].View()
 		g.Expect(after.ConfigVersion()).To(gomega.BeEquivalentTo(10))
 		g.Expect(after.ListRevision).To(gomega.BeEquivalentTo(3))
 		g.Expect(after.ConfirmedAt).To(gomega.Equal(before.ConfirmedAt))
@@ -266,15 +266,15 @@
 
 // A box whose machine was suspended took its list for as fresh as before, and told others so,
 // who then believed that nothing had changed meanwhile.
-func TestASuspendedBoxTellsNobodyThatItsListIsFresh(t *testing.T) {
+func TestSuspendedBoxDoesNotGossipItsListAsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, 2, smallLink)
-		f.beliefs[0].Confirm(time.Now(), f.beliefs[0].View().ListRevision, 0)
+		f := startFleet(t, 2, smallLinkBytesPerSecond)
+		f.states[0].Confirm(time.Now(), f.states[0].View().ListRevision, 0)
 		f.peers[0].HandleSuspension(time.Minute)
 		time.Sleep(2 * time.Second)
-		for i, b := range f.beliefs {
-			g.Expect(time.Since(b.View().ConfirmedAt)).To(gomega.BeNumerically(">=", settle), "box %d", i)
+		for i, b := range f.states {
+			g.Expect(time.Since(b.View().ConfirmedAt)).To(gomega.BeNumerically(">=", discoveryTime), "box %d", i)
 		}
 	})
 }
@@ -282,7 +282,7 @@
 // BenchmarkPackedConfiguration measures what a box saves that gives a configuration on as
 // it came, for 2,850 routes: 3.1 ms of a core for each version before, none now.
 func BenchmarkPackedConfiguration(b *testing.B) {
-	views := fleet.PeerState{Document: largeDocument(7, 2850)}
+	views := fleet.PeerState{Document: randomDocument(7, 2850)}
 	for b.Loop() {
 		if _, err := wire.Pack(views); err != nil {
 			b.Fatal(err)
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -79,16 +79,16 @@
 
 // updateKey identifies an update.
 type updateKey struct {
-	changed routing.Revision
-	version uint64
+	listRevision routing.Revision
+	version      uint64
 }
 
 // markSeen remembers an update and reports whether it is new. The state can't answer that: after
 // a missed update, it accepts the same later ones repeatedly.
 func (p *Peers) markSeen(u Update) bool {
 	key := updateKey{
-		changed: u.ListRevision,
-		version: u.Version,
+		listRevision: u.ListRevision,
+		version:      u.Version,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -83,14 +83,14 @@
 
 // BenchmarkNews measures one change in a list of 3,000 endpoints.
 func BenchmarkNews(b *testing.B) {
-	belief := fleet.NewState()
+	state := fleet.NewState()
 	var all []routing.Endpoint
 	for i := range 3000 {
 		all = append(all, endpoint(fmt.Sprintf("i-%05x", i*7919%65536), routing.Revision(i+1), false))
 	}
-	belief.ApplySnapshot(time.Now(), snapshot(4000, all...))
+	state.ApplySnapshot(time.Now(), snapshot(4000, all...))
 	for i := range b.N {
-		belief.ApplyUpdate(time.Now(), "peer", fleet.Update{
+		state.ApplyUpdate(time.Now(), "peer", fleet.Update{
 			BaseRevision: routing.Revision(4000 + i),
 			ListRevision: routing.Revision(4001 + i),
 			Updated:      []routing.Endpoint{endpoint("i-00000", routing.Revision(4001+i), false)},
