--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -15,9 +15,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// The boxes' part of the story that box/era_test.go tells: all boxes must end on what the
-// store says in its newest era, whichever of them reads it, and in whatever order word of
-// older eras comes.
+// All boxes must converge on the store's content in its newest era, whichever box reads it and in
+// whatever order they learn of older eras. box/era_test.go tests the same with whole boxes.
 
 func revision(era, number uint64) routing.Revision {
 	r, err := routing.NewRevision(era, number)
@@ -39,13 +38,13 @@
 		for _, b := range f.states {
 			g.Expect(b.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
 			g.Expect(b.View().IsAvailable("i-2")).To(gomega.BeTrue())
-			g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue(), "what the copy lacks has its time to come back")
+			g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue(), "the grace period has not ended")
 		}
 	})
 }
 
-// A box that hears of the new era from a peer has no reader to tell it that the time of
-// what the copy lacks is over.
+// A box that learns of a new era from a peer isn't told when the grace period ends, so it must
+// apply its own.
 func TestBoxesDropWhatARestoredStoreLacksWhenTheyLearnOfItFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
@@ -107,12 +106,12 @@
 	g.Expect(e.ColdAt(later)).To(gomega.BeFalse())
 }
 
-// modelStore is a store with eras in a few lines.
+// modelStore is a minimal model of a store with eras.
 type modelStore struct {
 	era          uint64
 	number       uint64
 	entries      map[string]routing.Endpoint
-	backup       map[string]routing.Endpoint // the copy
+	backup       map[string]routing.Endpoint
 	backupNumber uint64
 }
 
@@ -121,7 +120,7 @@
 	return revision(s.era, s.number)
 }
 
-// restoreBackup returns from the copy, whose entries are read with the new era.
+// restoreBackup restores the backup, whose entries belong to the new era.
 func (s *modelStore) restoreBackup() {
 	s.era++
 	s.number = s.backupNumber
@@ -136,7 +135,7 @@
 	return snapshot(revision(s.era, s.number), slices.Collect(maps.Values(s.entries))...)
 }
 
-// transferState tells a box what another one has that is newer.
+// transferState sends one box's newer state to another.
 func transferState(now time.Time, from, to *fleet.State) {
 	has := from.View()
 	wants := to.View()
@@ -196,7 +195,7 @@
 			for _, b := range boxes {
 				b.Tick(now)
 			}
-			// The store's next change is told as it comes.
+			// The store's next change arrives by watch.
 			s.entries["i-4"] = endpoint("i-4", s.nextRevision(), false)
 			boxes[0].ApplyChanges(now, &fleet.Changes{
 				Revision: revision(s.era, s.number),
@@ -209,11 +208,11 @@
 			for _, name := range endpointNames {
 				_, published := s.entries[name]
 				if b.View().IsAvailable(name) != published {
-					t.Fatal(fmt.Sprintf("box %d sends to %s: %t, published: %t", i, name, b.View().IsAvailable(name), published))
+					t.Fatal(fmt.Sprintf("box %d: %s is available: %t, published: %t", i, name, b.View().IsAvailable(name), published))
 				}
 			}
 			if b.View().ListRevision.Era() != s.era {
-				t.Fatalf("box %d is in era %d of %d", i, b.View().ListRevision.Era(), s.era)
+				t.Fatalf("box %d is in era %d, want %d", i, b.View().ListRevision.Era(), s.era)
 			}
 		}
 	})
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -16,7 +16,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// envelope is a message as boxes frame it; the body is the fuzzer's.
+// envelope is the frame of a message between boxes, with a fuzzed body.
 type envelope struct {
 	Protocol uint8           `cbor:"1,keyasint"`
 	ID       uint64          `cbor:"2,keyasint,omitempty"`
@@ -25,8 +25,8 @@
 	Body     cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// FuzzMessage lets a box say anything to another one, as each kind of message: the other
-// must go on, answer a greeting, and give new requests to no endpoint without an address.
+// FuzzMessage sends a box arbitrary bodies as each kind of message. The box must survive, still
+// answer gossip, and send no requests to an endpoint without an address.
 func FuzzMessage(f *testing.F) {
 	kinds := []string{
 		fleet.Gossip{}.Kind(), fleet.Update{}.Kind(), fleet.CrashRecords{}.Kind(), fleet.Placements{}.Kind(),
@@ -62,24 +62,24 @@
 		}
 		sendMessage(t, at, envelope{
 			Protocol: 1,
-			ID:       uint64(kind) % 2, // a push, or a question
+			ID:       uint64(kind) % 2, // 0 for a push, 1 for a request
 			Kind:     kinds[int(kind)%len(kinds)],
 			Body:     body,
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		if _, err := wire.Request[fleet.Gossip](ctx, pool, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
-			t.Fatalf("no greeting is answered after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
+			t.Fatalf("no gossip answer after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
 		}
 		for _, e := range state.View().Serving("s") {
 			if !e.Address.IsValid() {
-				t.Fatalf("requests go to an endpoint without an address: %+v", e)
+				t.Fatalf("view serves an endpoint without an address: %+v", e)
 			}
 		}
 	})
 }
 
-// startFuzzedBox starts a box with a configuration and a list, and gives its address.
+// startFuzzedBox starts a box with a configuration and a list and returns its state and address.
 func startFuzzedBox(f *testing.F) (*fleet.State, netip.AddrPort) {
 	texts, err := emulator.FreeAddresses(1)
 	if err != nil {
@@ -98,11 +98,11 @@
 	return state, at
 }
 
-// sendMessage sends one message on a connection of its own.
+// sendMessage sends one message on a new connection.
 func sendMessage(t *testing.T, at netip.AddrPort, e envelope) {
 	data, err := cbor.Marshal(e)
 	if err != nil {
-		return // the fuzzer's body is no CBOR
+		return // the body is not valid CBOR
 	}
 	c, _, err := websocket.Dial(t.Context(), "ws://"+at.String()+wire.Path, nil)
 	if err != nil {
@@ -112,7 +112,7 @@
 	if err := c.Write(t.Context(), websocket.MessageBinary, data); err != nil {
 		t.Fatal(err)
 	}
-	// It is handled before the next answer, or the connection is closed for it.
+	// The box handles the message, or closes the connection, before it answers the next request.
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Millisecond)
 	defer cancel()
 	_, _, _ = c.Read(ctx)
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -10,17 +10,16 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The boxes' part of the story that box/limit_test.go tells: each box keeps its share of
-// what an endpoint takes from all of them, so that all must know what it takes, and when
-// it takes any number again.
+// Each box limits its sends to its share of an endpoint's rate limit, so all boxes must learn of
+// the limit, and when it is lifted. box/limit_test.go tests the same with whole boxes.
 
 const (
 	limitedEndpoint = "e-strained"
-	// limitPropagationTime is how long word of a limit may take to reach all boxes of a few groups.
+	// limitPropagationTime is how long a limit may take to reach all boxes of a few groups.
 	limitPropagationTime = 2 * time.Second
 )
 
-// countLimited counts the boxes that know of the endpoint's limit.
+// countLimited counts the boxes that know the endpoint's limit.
 func (f *testFleet) countLimited() int {
 	n := 0
 	for _, l := range f.limits {
@@ -61,13 +60,13 @@
 		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes))
 		f.start(severalGroupsBoxes)
 		time.Sleep(limitPropagationTime)
-		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes+1), "the box that starts later knows it too")
+		g.Expect(f.countLimited()).To(gomega.Equal(severalGroupsBoxes+1), "a box that starts later learns it too")
 		time.Sleep(core.DefaultLimitRules().Retention + limitPropagationTime)
 		g.Expect(f.countLimited()).To(gomega.BeZero())
 	})
 }
 
-// Answers to two boxes cross: one was made before the endpoint came under strain.
+// Answers without a limit may arrive late, sent before the endpoint became limited.
 func TestAnswerInTransitDoesNotLiftALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/fleet/load_reports_test.go
+++ b/fleet/load_reports_test.go
@@ -11,8 +11,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-var _ = Describe("the reports that a box hands on", func() {
-	It("are all it has to its group, and its group's engines' to others", func() {
+var _ = Describe("the load reports in gossip", func() {
+	It("are all known ones within the group, and those of preferred endpoints to other groups", func() {
 		r := fleet.NewLoadReports(restartedReporter{}, fleet.NewState(), zap.NewNop(), func(time.Time, routing.Report) {})
 		r.Merge(noon, []routing.Report{{Endpoint: "own"}, {Endpoint: "other"}})
 		later := noon.Add(time.Second)
--- a/fleet/paths_test.go
+++ b/fleet/paths_test.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// startSingleGroup starts boxes of two zones that are one group, since their engines are few.
+// startSingleGroup starts boxes in two zones that form one group, since there are few engines.
 func startSingleGroup(t *testing.T, boxes int) *testFleet {
 	f := startFleet(t, boxes, 10*smallLinkBytesPerSecond)
 	for _, b := range f.states {
@@ -29,9 +29,8 @@
 	return out
 }
 
-// Boxes that knew only what those of their own zone placed crowded other zones' engines: one
-// group of all boxes raised what requests were worth by 0.027 +- 0.010 (10 days in pairs),
-// at 0.0063 for bytes between zones, where each box told all others itself.
+// Boxes need the placements of all zones, or they overload engines in other zones. In a large
+// group they are relayed, so that each box must get each placement exactly once.
 func TestEachBoxOfALargeGroupReceivesEachPlacementOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -49,7 +48,7 @@
 			for i, n := range f.receivedPlacements() {
 				expected := sender + 1
 				if i <= sender {
-					expected = sender // it doesn't hear of its own
+					expected = sender // a box doesn't receive its own
 				}
 				g.Expect(n).To(gomega.BeEquivalentTo(expected), "box %d", i)
 			}
@@ -57,8 +56,7 @@
 	})
 }
 
-// One change of the list reaches all boxes of a large group though each hands it on to few:
-// handed to all by all it was most of the bytes between zones.
+// In a large group each box forwards an update to a few others only; it must still reach all.
 func TestUpdateReachesAllBoxesOfALargeGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -16,7 +16,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// startPeers starts boxes' peers that know only the first one's address.
+// startPeers starts boxes whose only seed is the first one.
 func startPeers(n int) (all []*fleet.Peers, states []*fleet.State) {
 	texts, err := emulator.FreeAddresses(n)
 	Expect(err).NotTo(HaveOccurred())
@@ -38,7 +38,7 @@
 	return all, states
 }
 
-// fakeBudget is a box's part of a budget, counted in sends.
+// fakeBudget is a box's part of a retry budget, counted in sends.
 type fakeBudget struct {
 	mu    sync.Mutex
 	sends int
@@ -69,7 +69,7 @@
 var _ = Describe("peers", func() {
 	const timeout = 20 * time.Second
 
-	It("find each other from one seed, and share what one of them learned", func() {
+	It("discover each other from one seed, and forward an update that one of them received", func() {
 		all, states := startPeers(5)
 		for _, p := range all {
 			Eventually(p.Sharers).WithTimeout(timeout).Should(Equal(5))
@@ -91,7 +91,7 @@
 		}
 	})
 
-	It("count as few as can be before any other box was met", func() {
+	It("report a huge number of sharers before another box was contacted", func() {
 		texts, err := emulator.FreeAddresses(2)
 		Expect(err).NotTo(HaveOccurred())
 		own := netip.MustParseAddrPort(texts[0])
@@ -103,7 +103,7 @@
 		Expect(p.Sharers()).To(BeNumerically(">", 1_000_000))
 	})
 
-	It("lend a part of a budget to one that needs it now", func() {
+	It("lend a part of a retry budget to a box that needs it", func() {
 		all, _ := startPeers(3)
 		budgets := make([]*fakeBudget, len(all))
 		for i, p := range all {
@@ -121,7 +121,7 @@
 		Expect(budgets[2].remaining()).To(Equal(2))
 	})
 
-	It("tell each other at once of an engine that leaves by its own word", func() {
+	It("broadcast that an engine announced to be leaving", func() {
 		all, states := startPeers(3)
 		for i, p := range all {
 			Eventually(func() []string { return p.Group().Members }).WithTimeout(timeout).Should(HaveLen(2))
@@ -134,7 +134,7 @@
 		}
 	})
 
-	It("agree on a few readers among many, and replace one that leaves", func() {
+	It("agree on few readers", func() {
 		all, _ := startPeers(9)
 		for _, p := range all {
 			Eventually(p.Sharers).WithTimeout(timeout).Should(Equal(9))
@@ -152,13 +152,13 @@
 	})
 })
 
-var _ = Describe("news after a gap", func() {
-	// Boxes that missed a change took each copy of later news as new and handed
-	// it on again: a storm on the grown deployment's scale-2.
-	It("are handed on once, however often they come", func() {
+var _ = Describe("an update after a missed one", func() {
+	// Boxes that miss an update accept later ones repeatedly; they must not forward them
+	// each time.
+	It("is forwarded once, however often it arrives", func() {
 		all, states := startPeers(4)
-		// Partners follow the roster at the next greeting; news that go out before
-		// reach fewer, and nothing repairs these: their gap has no list behind it.
+		// Partners are chosen at the next gossip exchange. An update sent earlier reaches
+		// fewer, and is not repaired here since no box has the list before it.
 		for _, p := range all {
 			Eventually(func() []string { return p.Group().Members }).WithTimeout(20 * time.Second).Should(HaveLen(3))
 		}
@@ -167,7 +167,7 @@
 		}
 		before := all[0].Traffic()
 		all[0].BroadcastUpdate(fleet.Update{
-			BaseRevision: 15, // nobody has this
+			BaseRevision: 15, // unknown to all boxes
 			ListRevision: 16,
 			Updated:      []routing.Endpoint{endpoint("y", 16, false)},
 		})
@@ -176,10 +176,10 @@
 	})
 })
 
-var _ = Describe("many changes at once", func() {
-	// Announcements without the changes counted as the changes themselves, so
-	// that lists went stale: sweep-30 refused a quarter of its requests.
-	It("are announced, and asked for by each box", func() {
+var _ = Describe("an update with many changes", func() {
+	// An announcement that omits the changes must not count as the changes themselves, or
+	// the list is outdated but taken for confirmed.
+	It("is announced without them, and each box fetches them", func() {
 		all, states := startPeers(4)
 		for _, p := range all {
 			Eventually(p.Sharers).WithTimeout(20 * time.Second).Should(Equal(4))
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -11,23 +11,22 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The boxes' part of the story that box/crash_test.go tells: whichever boxes see a request
-// end endpoints, all others must refuse its repeats within seconds, in a fleet of several
-// groups too.
+// Whichever boxes observe crashes during a request, all others must quarantine it within seconds,
+// also across groups. box/crash_test.go tests the same with whole boxes.
 
 const (
-	// quarantinePropagationTime is half of the three seconds in which word of a leaving endpoint must
-	// be everywhere, so that repeats that come about once a second end one more at most.
+	// quarantinePropagationTime allows a request that is repeated about once a second at most
+	// one more crash.
 	quarantinePropagationTime = 1500 * time.Millisecond
-	// afterUrgentGossip is after how long what is told only while it is new is told no more.
+	// afterUrgentGossip is a time after which recent changes are no longer gossiped as such.
 	afterUrgentGossip = 20 * time.Second
-	// severalGroupsBoxes are more boxes than work as one group.
+	// severalGroupsBoxes is a number of boxes that form more than one group.
 	severalGroupsBoxes = 30
 )
 
 var crashingRequest = core.NewDigest([]byte("deadly"))
 
-// countSending counts the boxes that would send a request on.
+// countSending counts the boxes that don't quarantine a request.
 func (f *testFleet) countSending(request core.Digest) int {
 	n := 0
 	for _, q := range f.quarantined {
@@ -38,7 +37,7 @@
 	return n
 }
 
-// crashThree lets three endpoints end under the request, each seen by another box.
+// crashThree lets three endpoints crash during the request, each observed by another box.
 func (f *testFleet) crashThree(apart time.Duration) {
 	for i, box := range []int{5, 14, 27} {
 		time.Sleep(apart)
@@ -56,8 +55,8 @@
 	})
 }
 
-// Many engines that end at once put each of their requests on the same way; word of the
-// one that counts must not wait behind them.
+// When many engines crash at once, records of all their requests are sent; they must not delay
+// the one that counts.
 func TestCrashRecordsAreNotDelayedByThoseOfOtherRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -84,8 +83,8 @@
 	})
 }
 
-// A request that many callers send alike runs at several engines at once. When these fail
-// together, the boxes that saw it run well a moment before speak for it.
+// A request that many callers send may be running on several engines that fail for another
+// reason. A recent successful run elsewhere must clear it.
 func TestRequestThatSucceededElsewhereIsNotQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -15,14 +15,14 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// startedEndpoint gives an endpoint of a server that tells when it started.
+// startedEndpoint returns an endpoint whose server reported its start.
 func startedEndpoint(name string, start int64, revision routing.Revision, leaving bool) routing.Endpoint {
 	e := endpoint(routing.IncarnationID(name, start), revision, leaving)
 	e.Started = start
 	return e
 }
 
-var _ = Describe("a server that starts again under its name", func() {
+var _ = Describe("a server that restarts under its name", func() {
 	var b *fleet.State
 	var changes []fleet.Change
 	kinds := func() []fleet.ChangeKind {
@@ -45,7 +45,7 @@
 		})
 	}
 
-	It("is another endpoint, and the former one is gone", func() {
+	It("is a new endpoint, and the previous one is removed", func() {
 		restart()
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 		_, known := b.View().Endpoint("a@1000")
@@ -54,7 +54,7 @@
 		Expect(changes[0].Endpoint.ID).To(Equal("a@1000"))
 	})
 
-	It("serves though its former life was leaving", func() {
+	It("gets requests though its previous incarnation was leaving", func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 11, true)},
@@ -67,7 +67,7 @@
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
 
-	It("isn't undone by a list that comes late, whatever its revisions say", func() {
+	It("is not reverted by a late list, whatever its revisions are", func() {
 		restart()
 		b.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 20,
@@ -76,7 +76,7 @@
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
 
-	It("goes by its name when its entry goes", func() {
+	It("is removed by its name when its entry is removed", func() {
 		restart()
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
@@ -88,11 +88,11 @@
 		Expect(serving(b)).To(Equal([]string{"b@1000"}))
 	})
 
-	It("is noticed by its report, before its entry tells", func() {
+	It("is detected by its load report before its entry changes", func() {
 		former, _ := b.View().Endpoint("a@1000")
 		b.MarkRestarted("engine", former, 5000)
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
-		// Word of the former life that comes late, and the same word again, change nothing.
+		// Late reports and entries of the previous incarnation, and repeated reports, change nothing.
 		b.MarkRestarted("engine", former, 5000)
 		b.MarkRestarted("engine", former, 900)
 		b.ApplyChanges(noon, &fleet.Changes{
@@ -104,7 +104,7 @@
 		Expect(kinds()).To(Equal([]fleet.ChangeKind{fleet.EndpointRestarted, fleet.EndpointJoined}))
 	})
 
-	It("brings a box that is behind to the same list", func() {
+	It("reaches a box that is behind through a partial list", func() {
 		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		restart()
@@ -120,7 +120,7 @@
 	})
 })
 
-var _ = Describe("an entry that names no server", func() {
+var _ = Describe("an unusable store entry", func() {
 	var b *fleet.State
 	var kinds []fleet.ChangeKind
 	BeforeEach(func() {
@@ -135,13 +135,13 @@
 		})
 	}
 
-	It("takes its server out, and the others hold", func() {
+	It("removes its server and no other", func() {
 		writeUnusable("a", 11)
 		Expect(serving(b)).To(Equal([]string{"b@1000"}))
 		Expect(kinds).To(Equal([]fleet.ChangeKind{fleet.EndpointUnusable}))
 	})
 
-	It("gives the server back when its own entry is there again", func() {
+	It("is replaced when the server's entry is valid again", func() {
 		writeUnusable("a", 11)
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
@@ -150,7 +150,7 @@
 		Expect(serving(b)).To(Equal([]string{"a@1000", "b@1000"}))
 	})
 
-	It("tells nothing when it was never a server's, however often it is written", func() {
+	It("causes no change if it never belonged to a server, however often it is written", func() {
 		for revision := routing.Revision(11); revision < 100; revision++ {
 			writeUnusable("x", revision)
 		}
@@ -158,7 +158,7 @@
 		Expect(serving(b)).To(Equal([]string{"a@1000", "b@1000"}))
 	})
 
-	It("reaches a box that has the list from a peer", func() {
+	It("reaches a box that gets the list from a peer", func() {
 		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		writeUnusable("a", 11)
@@ -173,15 +173,15 @@
 	})
 })
 
-// restartedReporter answers for another incarnation than the one that is asked.
+// restartedReporter answers as a later incarnation than the queried one.
 type restartedReporter struct{}
 
 func (restartedReporter) Report(context.Context, routing.Endpoint) (routing.Report, error) {
 	return routing.Report{}, &fleet.RestartedError{Started: 5000}
 }
 
-var _ = Describe("the reports of a server that started again", func() {
-	It("replace what is believed of it", func() {
+var _ = Describe("a load query answered by a restarted server", func() {
+	It("replaces the endpoint by the new incarnation", func() {
 		b := fleet.NewState()
 		b.ApplySnapshot(time.Now(), &fleet.Snapshot{
 			Revision: 10,
--- a/fleet/startup_test.go
+++ b/fleet/startup_test.go
@@ -15,7 +15,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// countingReporter counts the questions to engines, which all are empty.
+// countingReporter counts load queries and reports idle engines.
 type countingReporter struct{ queries atomic.Int64 }
 
 func (r *countingReporter) Report(_ context.Context, e routing.Endpoint) (routing.Report, error) {
@@ -26,8 +26,8 @@
 	}, nil
 }
 
-// engineSnapshot gives a configuration with one service of engines and a list of them, in
-// the zones of startFleet's boxes.
+// engineSnapshot returns a configuration with one engine service and a list of engines in the
+// zones of startFleet's boxes.
 func engineSnapshot(engines int) *fleet.Snapshot {
 	s := &fleet.Snapshot{
 		Revision: 2,
@@ -47,11 +47,8 @@
 	return s
 }
 
-// After all of 295 boxes had lost power and started again, each asked up to 130 engines
-// for their load until it had met the others, on a connection of its own each: a box that
-// knows nobody yet takes itself for the one that asks all. With 72 boxes and 24 engines in
-// virtual time: 2,658 questions in the first eight seconds without the wait for the others,
-// 776 with it; five a second and engine, as of a list that nobody confirms, are 960.
+// A starting box that knows no peers yet must not take itself for the one that queries all
+// engines, or boxes that start together overload them.
 func TestBoxesThatStartTogetherQueryEachEngineOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -75,14 +72,14 @@
 		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically("<", usual))
 		before := reporter.queries.Load()
 		time.Sleep(looked)
-		g.Expect(reporter.queries.Load()-before).To(gomega.BeNumerically("~", usual, usual/10), "in calm times")
+		g.Expect(reporter.queries.Load()-before).To(gomega.BeNumerically("~", usual, usual/10), "in steady state")
 		cancel()
 		time.Sleep(time.Second)
 	})
 }
 
-// Boxes whose seeds come up last know nobody for seconds, and took themselves for alone
-// after the first: each asked every engine for its load.
+// Boxes whose seed starts last know no peers for seconds. They must not conclude that they are
+// alone and query every engine.
 func TestBoxesThatWaitForTheirSeedQueryNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-var _ = Describe("a belief", func() {
+var _ = Describe("the state", func() {
 	var b *fleet.State
 	var changes []fleet.ChangeKind
 	BeforeEach(func() {
@@ -50,7 +50,7 @@
 		b.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
 	})
 
-	It("gives new requests to endpoints that are ready only", func() {
+	It("serves only endpoints that are not leaving", func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{endpoint("a", 11, true)},
@@ -61,19 +61,19 @@
 		Expect(known).To(BeTrue())
 	})
 
-	// With the store silent for eight seconds nobody told of nine engines that left,
-	// and some 35 streams were cut.
-	It("takes an engine's own word that it leaves, whatever the store said last", func() {
+	// While the store is down, engines announce themselves that they are leaving. If that is
+	// ignored, their streams break.
+	It("accepts an engine's own announcement that it is leaving, whatever the store said", func() {
 		Expect(b.MarkLeaving(noon, "engine", "a")).To(BeTrue())
 		Expect(b.MarkLeaving(noon, "peer", "a")).To(BeFalse())
-		Expect(b.MarkLeaving(noon, "peer", "nobody knows it")).To(BeFalse())
+		Expect(b.MarkLeaving(noon, "peer", "unknown")).To(BeFalse())
 		Expect(serving(b)).To(Equal([]string{"b"}))
 		Expect(changes).To(ContainElement(fleet.EndpointLeaving))
 		b.ApplySnapshot(noon.Add(time.Second), snapshot(11, endpoint("a", 1, false), endpoint("b", 2, false)))
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
-	It("tells of a change when its view holds it, and all that came with it", func() {
+	It("reports a change after its view contains it and all changes that arrived with it", func() {
 		seen := 0
 		var observed *fleet.State
 		observed = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
@@ -90,7 +90,7 @@
 		Expect(seen).To(Equal(2))
 	})
 
-	It("drops an endpoint whose entry goes, at once", func() {
+	It("drops an endpoint at once when its entry is removed", func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Removed: []fleet.Removal{{
@@ -101,7 +101,7 @@
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
-	It("never brings back an endpoint that was leaving, whoever says so", func() {
+	It("never makes a leaving endpoint available again, whatever a peer sends", func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{endpoint("a", 11, true)},
@@ -113,14 +113,14 @@
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
-	It("never goes back to an older configuration", func() {
+	It("never reverts to an older configuration", func() {
 		b.ApplyDocument("peer", document(7))
 		b.ApplyDocument("peer", document(5))
 		b.ApplySnapshot(noon, snapshot(30, endpoint("a", 1, false)))
 		Expect(b.View().ConfigVersion()).To(BeEquivalentTo(7))
 	})
 
-	It("gives entries that went with the store away two seconds after its return", func() {
+	It("keeps entries that are missing after a store outage for the grace period", func() {
 		b.MarkStoreDown()
 		b.MarkStoreUp(noon)
 		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
@@ -135,7 +135,7 @@
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
 	})
 
-	It("takes an entry that is still missing then as gone", func() {
+	It("drops entries that are still missing after the grace period", func() {
 		b.MarkStoreDown()
 		b.MarkStoreUp(noon)
 		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
@@ -143,7 +143,7 @@
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
-	It("takes a list of a peer with a removal, though the store is away here", func() {
+	It("applies a removal in a peer's list while the store is down here", func() {
 		b.MarkStoreDown()
 		b.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 25,
@@ -152,7 +152,7 @@
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
-	It("is as old as it is after a suspension of its machine", func() {
+	It("counts a suspension of the machine in its ages", func() {
 		b.NoteConfigVersion(noon, 9)
 		b.HandleSuspension(3 * time.Second)
 		Expect(b.View().ConfirmedAt).To(Equal(noon.Add(-3 * time.Second)))
@@ -160,7 +160,7 @@
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
 	})
 
-	It("takes no older list from a peer", func() {
+	It("ignores an older list from a peer", func() {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 30,
 			Updated:  []routing.Endpoint{endpoint("c", 30, false)},
@@ -172,7 +172,7 @@
 		Expect(serving(b)).To(Equal([]string{"a", "b", "c"}))
 	})
 
-	It("takes news in order as complete, and news after a gap as not", func() {
+	It("advances its revision with an update in order, but not after a missed one", func() {
 		at := b.View().ListRevision
 		later := noon.Add(time.Second)
 		Expect(b.ApplyUpdate(later, "peer", fleet.Update{
@@ -192,7 +192,7 @@
 		Expect(b.View().ConfirmedAt).To(Equal(later))
 	})
 
-	It("hands the same news on only once", func() {
+	It("reports an update as new only once", func() {
 		n := fleet.Update{
 			BaseRevision: b.View().ListRevision,
 			ListRevision: 12,
@@ -202,7 +202,7 @@
 		Expect(b.ApplyUpdate(noon, "peer", n)).To(BeFalse())
 	})
 
-	It("is confirmed by peers only up to what they know", func() {
+	It("is not confirmed by a peer that has a newer list", func() {
 		b.Confirm(noon.Add(time.Second), b.View().ListRevision+1, 0)
 		Expect(b.View().ConfirmedAt).To(Equal(noon))
 		b.Confirm(noon.Add(2*time.Second), b.View().ListRevision, 500*time.Millisecond)
@@ -210,7 +210,7 @@
 	})
 })
 
-var _ = Describe("what changed since a revision", func() {
+var _ = Describe("the changes since a revision", func() {
 	var b *fleet.State
 	BeforeEach(func() {
 		b = fleet.NewState()
@@ -225,7 +225,7 @@
 		})
 	})
 
-	It("holds updates and removals by their own revisions", func() {
+	It("are selected by the revisions of the updates and removals", func() {
 		updated, removed, ok := b.ChangesSince(13)
 		Expect(ok).To(BeTrue())
 		Expect(updated).To(BeEmpty())
@@ -235,12 +235,12 @@
 		}}))
 	})
 
-	It("isn't known from before the box's own first list", func() {
+	It("are unknown before the box's first list", func() {
 		_, _, ok := b.ChangesSince(1)
 		Expect(ok).To(BeFalse())
 	})
 
-	It("brings a box that is behind to the same list", func() {
+	It("bring a box that is behind to the same list", func() {
 		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
 		updated, removed, _ := b.ChangesSince(behind.View().ListRevision)
@@ -254,7 +254,7 @@
 		Expect(behind.View().ListRevision).To(Equal(b.View().ListRevision))
 	})
 
-	It("is no whole list for a box that has none", func() {
+	It("are not taken for a whole list by a box without one", func() {
 		empty := fleet.NewState()
 		empty.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 15,
@@ -266,7 +266,7 @@
 })
 
 var _ = Describe("endpoints that join together", func() {
-	It("are one change for each source, with all their ids", func() {
+	It("are reported as one change per source with all their ids", func() {
 		var joined [][]string
 		b := fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 			if c.Kind == fleet.EndpointJoined {
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -20,54 +20,47 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// Callers of a fleet of 73 boxes, most with links of 10 Mbit/s, were answered by an
-// older configuration, 3 s and more after a newer one was confirmed. Four boxes had
-// it from the store 1.4 s before it was confirmed, and all others asked them for it at
-// once: 17 copies of 120 KB, of 1,448 routes, take 1.6 s of one link, and each was given up, whole,
-// after the 0.8 s that one question may take, while its bytes were still being sent; 59
-// boxes gave up within 25 ms. A box that had given up asked again only when
-// somebody told it of the version once more, at one box 3 s later. The evidence: bytes
-// and times of each copy in the logs, the links' seconds in the monitoring, and
-// processors at 6% of a core.
+// These tests run boxes connected by links of 10 Mbit/s. They guard against configurations that
+// arrive too late because many boxes fetch a large one from few senders at once, time out while
+// its bytes are still being sent, and don't retry.
 
 const (
-	// smallLinkBytesPerSecond is 10 Mbit/s, in bytes a second.
+	// smallLinkBytesPerSecond is 10 Mbit/s.
 	smallLinkBytesPerSecond = 10e6 / 8
-	// linkDelay is the way of a byte between two boxes.
+	// linkDelay is the one-way latency between two boxes.
 	linkDelay = 900 * time.Microsecond
-	// propagationLimit is the time in which a change must be in force.
+	// propagationLimit is the time in which a change must reach all boxes.
 	propagationLimit = 3 * time.Second
-	// discoveryTime is how long boxes that start together need to know each other.
+	// discoveryTime is how long boxes that start together need to discover each other.
 	discoveryTime = 10 * time.Second
 )
 
-// testFleet is boxes in memory, each with its link.
+// testFleet is a set of boxes on an emulated network.
 type testFleet struct {
 	network     *emulator.Network
 	peers       []*fleet.Peers
 	states      []*fleet.State
 	quarantined []*fleet.Quarantine
 	limits      []*fleet.Limits
-	placements  []*atomic.Int64 // placements that each box heard of
+	placements  []*atomic.Int64 // number of placements that each box received
 	start       func(box int)
 }
 
-// startFleet starts boxes on links of one speed, each with a configuration and an
-// empty list; the first one's address is all that they know. They have met when it
-// returns.
+// startFleet starts boxes on links of equal speed and waits until they have discovered each
+// other. Each has a configuration and an empty list, and the first box as its seed.
 func startFleet(t *testing.T, boxes int, bytesPerSecond float64) *testFleet {
 	f := launchFleet(t, boxes, bytesPerSecond, func(*fleet.State) *fleet.LoadReports { return nil })
 	time.Sleep(discoveryTime)
 	return f
 }
 
-// launchFleet starts boxes as startFleet does, with what asks their engines.
+// launchFleet starts boxes as startFleet does, with load reports, and doesn't wait.
 func launchFleet(t *testing.T, boxes int, bytesPerSecond float64, reports func(*fleet.State) *fleet.LoadReports) *testFleet {
 	n := emulator.NewNetwork(linkDelay)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
-		// Whatever is still under way ends within this: time stops with the test.
+		// Let pending timers and messages finish: virtual time stops with the test.
 		time.Sleep(discoveryTime)
 	})
 	f := &testFleet{network: n}
@@ -111,8 +104,8 @@
 
 func boxAddr(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}) }
 
-// applyFromStore lets one box have a configuration from the store, and changes of endpoints
-// that came with it.
+// applyFromStore gives one box a configuration and endpoint changes from the store, and lets it
+// broadcast the update.
 func (f *testFleet) applyFromStore(box int, d *routing.Document, changed ...routing.Endpoint) {
 	update, _ := f.states[box].ApplyChanges(time.Now(), &fleet.Changes{
 		Revision: routing.Revision(d.Version),
@@ -122,7 +115,7 @@
 	f.peers[box].BroadcastUpdate(update)
 }
 
-// countWithoutVersion counts the boxes that don't have a version or a newer one.
+// countWithoutVersion counts the boxes whose configuration is older than a version.
 func (f *testFleet) countWithoutVersion(version uint64) int {
 	n := 0
 	for _, b := range f.states {
@@ -133,8 +126,8 @@
 	return n
 }
 
-// randomDocument gives a configuration with many routes; names and paths are as
-// random as those of operators, and its copies as large.
+// randomDocument returns a configuration with many routes. Names and paths are random, so that it
+// compresses no better than a real one.
 func randomDocument(version uint64, routes int) *routing.Document {
 	random := rand.New(rand.NewPCG(1, uint64(routes)))
 	word := func(n int) string {
@@ -189,8 +182,7 @@
 	})
 }
 
-// A box that falls silent while it gives keeps its takers for one part's time, and no
-// longer: others have the version by then.
+// A sender that hangs delays its receivers by one chunk timeout only; they then fetch from others.
 func TestConfigurationReachesAllBoxesInTimeWhenFirstSenderHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -204,8 +196,8 @@
 	})
 }
 
-// Word of a leaving endpoint that came with a configuration waited at each box until
-// that had taken the configuration, and crossed the fleet at the speed of the copies.
+// An update with endpoint changes must be forwarded at once, and not only after its configuration
+// was fetched.
 func TestEndpointChangesDoNotWaitForTheConfigurationInTheSameUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -215,13 +207,13 @@
 		f.applyFromStore(0, randomDocument(7, 2850), endpoint("x", 8, true))
 		time.Sleep(60 * time.Millisecond)
 		for i, b := range f.states {
-			g.Expect(serving(b)).To(gomega.BeEmpty(), "box %d still sends to an endpoint that leaves", i)
+			g.Expect(serving(b)).To(gomega.BeEmpty(), "box %d still serves a leaving endpoint", i)
 		}
 	})
 }
 
-// Greetings waited behind copies on the same links until they were given up: 185
-// times a box that was well was suspected, and others took its place as readers.
+// Gossip must not time out behind transfers on the same connections, or healthy boxes are
+// suspected.
 func TestNoBoxIsSuspectedDuringConfigurationTransfers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -231,26 +223,25 @@
 			for range 4 {
 				time.Sleep(100 * time.Millisecond)
 				for i, p := range f.peers {
-					g.Expect(p.Group().Members).To(gomega.HaveLen(17), "box %d misses others", i)
+					g.Expect(p.Group().Members).To(gomega.HaveLen(17), "box %d suspects others", i)
 				}
 			}
 		}
 	})
 }
 
-// A box that took a configuration alone also took the giver's word that its list was
-// whole, without having the list: it then believed an old one to be fresh.
+// A box that fetched only the configuration must not count its old list as confirmed.
 func TestConfigurationTransferDoesNotConfirmTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := startFleet(t, 2, smallLinkBytesPerSecond)
 		f.applyFromStore(0, document(2), endpoint("x", 3, false))
 		time.Sleep(propagationLimit)
-		// Its list was whole just now, so that no greeting asks for another one.
+		// The list was just confirmed, so that gossip doesn't fetch a newer one.
 		f.states[1].Confirm(time.Now(), 3, 0)
 		before := f.states[1].View()
 		g.Expect(before.ListRevision).To(gomega.BeEquivalentTo(3))
-		// A change of the list that the other box doesn't hear of, and then a configuration.
+		// The list changes without an update to the other box, then a configuration follows.
 		f.states[0].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 9,
 			Updated:  []routing.Endpoint{endpoint("x", 9, true)},
@@ -264,8 +255,8 @@
 	})
 }
 
-// A box whose machine was suspended took its list for as fresh as before, and told others so,
-// who then believed that nothing had changed meanwhile.
+// A suspension must count in the age of the list, or other boxes take an outdated list for
+// confirmed.
 func TestSuspendedBoxDoesNotGossipItsListAsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -279,8 +270,8 @@
 	})
 }
 
-// BenchmarkPackedConfiguration measures what a box saves that gives a configuration on as
-// it came, for 2,850 routes: 3.1 ms of a core for each version before, none now.
+// BenchmarkPackedConfiguration measures encoding a configuration of 2,850 routes, which boxes
+// avoid when they forward a fetched one.
 func BenchmarkPackedConfiguration(b *testing.B) {
 	views := fleet.PeerState{Document: randomDocument(7, 2850)}
 	for b.Loop() {
--- a/fleet/store_watcher_test.go
+++ b/fleet/store_watcher_test.go
@@ -15,7 +15,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// fakeStore is a store in memory with faults; it waits in virtual time.
+// fakeStore is an in-memory store with injectable faults; its watches wait in virtual time.
 type fakeStore struct {
 	mu              sync.Mutex
 	revision        routing.Revision
@@ -23,7 +23,7 @@
 	version         uint64
 	fault           error
 	historyLost     bool
-	changesTooLarge bool // a watch brings too much
+	changesTooLarge bool // watches return ErrChangesTooLarge
 	reads           int
 	watches         int
 }
@@ -49,7 +49,7 @@
 	s.historyLost = historyLost
 }
 
-// callCounts gives how often the source was read and watched.
+// callCounts returns the numbers of reads and watches.
 func (s *fakeStore) callCounts() (reads, watches int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,13 +113,13 @@
 
 const (
 	propagationBound = 2 * time.Second
-	// standbyRank is a box's that reads first when nothing comes from the readers, and
-	// otherRank one's that doesn't.
+	// standbyRank is the rank of a standby, otherRank that of a box that is neither reader
+	// nor standby.
 	standbyRank = 7
 	otherRank   = 100
 )
 
-// runStoreWatcher plays a follower in virtual time.
+// runStoreWatcher runs a scenario with a StoreWatcher in virtual time.
 func runStoreWatcher(t *testing.T, scenario func(g *gomega.WithT, s *fakeStore, b *fleet.State), options ...fleet.StoreWatcherOption) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -156,8 +156,8 @@
 	})
 }
 
-// A watch that brings too much is not made again from the same revision: it would
-// bring still more.
+// A watch with too many changes must not be retried from the same revision, since it would
+// return even more.
 func TestReaderReadsEverythingWhenChangesAreTooLarge(t *testing.T) {
 	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
 		s.mu.Lock()
@@ -166,13 +166,13 @@
 		s.put("b")
 		time.Sleep(propagationBound / 2)
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
-		g.Expect(b.IsStoreDown()).To(gomega.BeFalse(), "the store is well")
+		g.Expect(b.IsStoreDown()).To(gomega.BeFalse(), "the store answers")
 	})
 }
 
 func TestReaderCatchesUpAfterAnOutage(t *testing.T) {
 	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
-		s.setFault(errors.New("away"), false)
+		s.setFault(errors.New("store down"), false)
 		s.put("b")
 		time.Sleep(30 * time.Second)
 		g.Expect(b.IsStoreDown()).To(gomega.BeTrue())
@@ -186,7 +186,7 @@
 
 func TestRetriesDuringAnOutageAreBounded(t *testing.T) {
 	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, _ *fleet.State) {
-		s.setFault(errors.New("away"), false)
+		s.setFault(errors.New("store down"), false)
 		readsBefore, watchesBefore := s.callCounts()
 		time.Sleep(time.Minute)
 		reads, watches := s.callCounts()
@@ -205,12 +205,12 @@
 		g.Expect(reads).To(gomega.Equal(before))
 		s.put("b")
 		time.Sleep(propagationBound)
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}), "the readers are gone, so that it reads itself")
+		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}), "without readers it reads the store itself")
 	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
 
-// A box that had heard of a newer configuration and got it from nobody kept waiting, as
-// long as other boxes' word said that its list was whole.
+// A box that can't fetch an announced configuration must read it from the store, even while peers
+// confirm its list.
 func TestOtherBoxesReadAConfigurationThatNoPeerDelivers(t *testing.T) {
 	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
 		s.mu.Lock()
@@ -225,21 +225,21 @@
 	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
 
-// A store that dropped its history, and answered no watch for a second before, made the
-// list of all 295 boxes older than the readers' patience at once.
+// When the readers fail, all other boxes' lists become stale at the same time. Only the standbys
+// may read the store at first.
 func TestStandbysReadBeforeOtherBoxesWithoutUpdates(t *testing.T) {
-	// readsAt gives when a box that hears nothing reads the store for the second time.
+	// readsAt returns when a box without updates reads the store for the second time.
 	readsAt := func(rank int) time.Duration {
 		var at time.Duration
 		runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, _ *fleet.State) {
-			// It read at its start, a second ago.
+			// The first read was at its start, a second ago.
 			for at = time.Second; at < propagationBound; at += 10 * time.Millisecond {
 				if reads, _ := s.callCounts(); reads > 1 {
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			g.Expect(at).To(gomega.BeNumerically("<", propagationBound), "it reads in the end")
+			g.Expect(at).To(gomega.BeNumerically("<", propagationBound), "the box must read")
 		}, fleet.WithReaderRank(func() int { return rank }))
 		return at
 	}
@@ -250,10 +250,8 @@
 	g.Expect(others - standby).To(gomega.BeNumerically(">=", propagationBound/10))
 }
 
-// While engines leave and join all the time, five readers each asked the store for the
-// next changes every 150 ms, together: a change ends all their watches at once. Five
-// readers and a change each 20 ms for three seconds: 102 watches when all rest alike, 52
-// when each rests longer than the one before, and the changes known as soon.
+// A change ends the watches of all readers at once. They must pause for different times, so that
+// frequent changes don't cause a watch by each reader, while the first still sees each soon.
 func TestReadersPauseForDifferentTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -276,7 +274,7 @@
 			for _, b := range states {
 				newest = max(newest, len(serving(b)))
 			}
-			g.Expect(newest).To(gomega.BeNumerically(">=", i-8), "known within 0.17 s by the first")
+			g.Expect(newest).To(gomega.BeNumerically(">=", i-8), "changes must be known within 0.17 s")
 		}
 		_, after := s.callCounts()
 		g.Expect(after - before).To(gomega.BeNumerically("<", 60))
@@ -285,8 +283,7 @@
 	})
 }
 
-// Each of 295 boxes that started at once took itself for a reader and watched the store
-// for a second, until it knew the others.
+// A starting box must not watch the store as a reader before it had time to discover its peers.
 func TestStartingBoxThatDiscoversPeersDoesNotWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -313,11 +310,10 @@
 	})
 }
 
-// While the store was silent for eight and six seconds, 295 boxes went on asking it some
-// seconds each.
+// During a store outage, boxes that are neither readers nor standbys must retry rarely.
 func TestOtherBoxesRarelyRetryAStoreThatIsDown(t *testing.T) {
 	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
-		s.setFault(errors.New("away"), false)
+		s.setFault(errors.New("store down"), false)
 		before, _ := s.callCounts()
 		time.Sleep(12 * time.Second)
 		reads, _ := s.callCounts()
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -15,8 +15,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-var _ = Describe("the next view", func() {
-	It("holds what the entries say after any changes, and the one before stays as it was", func() {
+var _ = Describe("a new view", func() {
+	It("contains the current entries after arbitrary changes and leaves the previous view unchanged", func() {
 		r := rand.New(rand.NewPCG(1, 2))
 		b := fleet.NewState()
 		b.ApplySnapshot(noon, snapshot(1))
@@ -50,7 +50,7 @@
 					Revision: step + 2,
 				})
 			}
-			// A name of its own each time: one that left never comes back.
+			// Each name is new, since an endpoint that was leaving never comes back.
 			e := endpoint(fmt.Sprintf("i-%03d", step%90+100*(step/90)), step+2, false)
 			want[e.ID] = e
 			c.Updated = append(c.Updated, e)
@@ -81,7 +81,7 @@
 	})
 })
 
-// BenchmarkNews measures one change in a list of 3,000 endpoints.
+// BenchmarkNews measures applying one change to a list of 3,000 endpoints.
 func BenchmarkNews(b *testing.B) {
 	state := fleet.NewState()
 	var all []routing.Endpoint
--- a/fleet/zones_test.go
+++ b/fleet/zones_test.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// zonedSnapshot gives a snapshot with an endpoint in each of two zones.
+// zonedSnapshot returns a snapshot with one endpoint in each of two zones.
 func zonedSnapshot(revision routing.Revision, drained ...routing.ZoneDrain) *fleet.Snapshot {
 	s := &fleet.Snapshot{
 		Revision:     revision,
@@ -47,14 +47,14 @@
 	b.ApplySnapshot(now, zonedSnapshot(5, drainedZone("a", 3)))
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
 	_, known := b.View().Endpoint("e-a")
-	g.Expect(known).To(gomega.BeTrue(), "its streams are still served")
+	g.Expect(known).To(gomega.BeTrue(), "running streams are still served")
 	g.Expect(b.View().IsAvailable("e-a")).To(gomega.BeFalse())
 
-	// A reading of everything that doesn't name it any more takes it back.
+	// A full read without the zone ends its drain.
 	b.ApplySnapshot(now, zonedSnapshot(6))
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-a", "e-b"}))
 
-	// Late word of the former drain changes nothing; a new one does.
+	// A late update with the former drain changes nothing; a new drain does.
 	b.ApplyUpdate(now, "peer", fleet.Update{
 		BaseRevision: 6,
 		ListRevision: 7,
@@ -68,7 +68,7 @@
 	})
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
 
-	// A server that joins there meanwhile serves nothing either.
+	// An endpoint that joins a drained zone gets no requests either.
 	e := endpoint("e-new", 10, false)
 	e.Zone = "a"
 	b.ApplyChanges(now, &fleet.Changes{
@@ -89,11 +89,11 @@
 		Zones:        []routing.ZoneDrain{drainedZone("a", 9)},
 	})
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
-	g.Expect(b.View().ListRevision).To(gomega.BeEquivalentTo(1), "what lies between is asked for")
+	g.Expect(b.View().ListRevision).To(gomega.BeEquivalentTo(1), "the missed changes must be fetched")
 }
 
-// Boxes hear of a zone's changes by news, by views of peers that may be older, and from
-// the store; whatever the order, all end with the newest.
+// Zone changes arrive by updates, by fetched state that may be older, and from the store. In any
+// order, all boxes must end with the newest.
 func TestZoneStatesConvergeInAnyOrderOfUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []routing.ZoneDrain
