--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -30,15 +30,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := startFleet(t, severalGroupsBoxes, smallLinkBytesPerSecond)
-		for _, b := range f.states {
-			b.ApplySnapshot(time.Now(), snapshot(revision(0, 90), endpoint("i-1", revision(0, 90), false)))
+		for _, state := range f.states {
+			state.ApplySnapshot(time.Now(), snapshot(revision(0, 90), endpoint("i-1", revision(0, 90), false)))
 		}
 		f.states[4].ApplySnapshot(time.Now(), snapshot(revision(1, 70), endpoint("i-2", revision(1, 65), false)))
 		time.Sleep(1500 * time.Millisecond)
-		for _, b := range f.states {
-			g.Expect(b.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
-			g.Expect(b.View().IsAvailable("i-2")).To(gomega.BeTrue())
-			g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue(), "the grace period has not ended")
+		for _, state := range f.states {
+			g.Expect(state.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
+			g.Expect(state.View().IsAvailable("i-2")).To(gomega.BeTrue())
+			g.Expect(state.View().IsAvailable("i-1")).To(gomega.BeTrue(), "the grace period has not ended")
 		}
 	})
 }
@@ -48,46 +48,46 @@
 func TestBoxesDropWhatARestoredStoreLacksWhenTheyLearnOfItFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewState()
-	b.ApplySnapshot(now, zonedSnapshot(revision(0, 10), drainedZone("zone-b", revision(0, 9))))
-	b.ApplyPeerState(now, "peer", fleet.PeerState{
+	state := fleet.NewState()
+	state.ApplySnapshot(now, zonedSnapshot(revision(0, 10), drainedZone("zone-b", revision(0, 9))))
+	state.ApplyPeerState(now, "peer", fleet.PeerState{
 		ListRevision: revision(1, 5),
 		Endpoints:    []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
 		Zones:        []routing.ZoneDrain{drainedZone("zone-b", revision(0, 9))},
 	})
-	b.Tick(now.Add(time.Second))
-	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeTrue())
-	g.Expect(b.View().Drained("zone-b")).To(gomega.BeTrue())
-	b.Tick(now.Add(3 * time.Second))
-	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
-	g.Expect(b.View().IsAvailable("i-new")).To(gomega.BeTrue())
-	g.Expect(b.View().Drained("zone-b")).To(gomega.BeFalse())
+	state.Tick(now.Add(time.Second))
+	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeTrue())
+	g.Expect(state.View().Drained("zone-b")).To(gomega.BeTrue())
+	state.Tick(now.Add(3 * time.Second))
+	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeFalse())
+	g.Expect(state.View().IsAvailable("i-new")).To(gomega.BeTrue())
+	g.Expect(state.View().Drained("zone-b")).To(gomega.BeFalse())
 }
 
 func TestBoxInANewerEraIgnoresAnOlderOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewState()
-	b.ApplySnapshot(now, snapshot(revision(2, 5), endpoint("i-1", revision(2, 5), false)))
-	before := b.View().ConfirmedAt
+	state := fleet.NewState()
+	state.ApplySnapshot(now, snapshot(revision(2, 5), endpoint("i-1", revision(2, 5), false)))
+	before := state.View().ConfirmedAt
 	later := now.Add(time.Second)
 	old := endpoint("i-old", revision(1, 900), false)
-	b.ApplySnapshot(later, snapshot(revision(1, 900), old))
-	b.ApplyUpdate(later, "peer", fleet.Update{
+	state.ApplySnapshot(later, snapshot(revision(1, 900), old))
+	state.ApplyUpdate(later, "peer", fleet.Update{
 		BaseRevision: revision(1, 899),
 		ListRevision: revision(1, 900),
 		Updated:      []routing.Endpoint{old},
 		Removed:      []fleet.Removal{{Name: "i-1", Revision: revision(1, 900)}},
 		Zones:        []routing.ZoneDrain{drainedZone("zone-a", revision(1, 900))},
 	})
-	b.ApplyPeerState(later, "peer", fleet.PeerState{
+	state.ApplyPeerState(later, "peer", fleet.PeerState{
 		ListRevision: revision(1, 900),
 		Endpoints:    []routing.Endpoint{old},
 	})
-	b.Confirm(later, revision(1, 900), 0)
-	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
-	g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue())
-	g.Expect(b.View().ConfirmedAt).To(gomega.Equal(before))
+	state.Confirm(later, revision(1, 900), 0)
+	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeFalse())
+	g.Expect(state.View().IsAvailable("i-1")).To(gomega.BeTrue())
+	g.Expect(state.View().ConfirmedAt).To(gomega.Equal(before))
 }
 
 func TestEndpointIsNotColdAgainWhenItsEntryIsReadInALaterEra(t *testing.T) {
@@ -98,11 +98,11 @@
 		e.Cold = 5 * time.Second
 		return e
 	}
-	b := fleet.NewState()
-	b.ApplySnapshot(now, snapshot(revision(0, 5), cold(0)))
+	state := fleet.NewState()
+	state.ApplySnapshot(now, snapshot(revision(0, 5), cold(0)))
 	later := now.Add(6 * time.Second)
-	b.ApplySnapshot(later, snapshot(revision(1, 5), cold(1)))
-	e, _ := b.View().Endpoint("i-1")
+	state.ApplySnapshot(later, snapshot(revision(1, 5), cold(1)))
+	e, _ := state.View().Endpoint("i-1")
 	g.Expect(e.ColdAt(later)).To(gomega.BeFalse())
 }
 
@@ -183,8 +183,8 @@
 			default:
 				transferState(now, any("gives"), any("takes"))
 			}
-			for _, b := range boxes {
-				b.Tick(now)
+			for _, state := range boxes {
+				state.Tick(now)
 			}
 		}
 		boxes[0].ApplySnapshot(now, s.snapshot())
@@ -192,8 +192,8 @@
 			transferState(now, boxes[0], boxes[1])
 			transferState(now, boxes[1], boxes[2])
 			now = now.Add(5 * time.Second)
-			for _, b := range boxes {
-				b.Tick(now)
+			for _, state := range boxes {
+				state.Tick(now)
 			}
 			// The store's next change arrives by watch.
 			s.entries["i-4"] = endpoint("i-4", s.nextRevision(), false)
@@ -204,15 +204,15 @@
 		}
 		transferState(now, boxes[0], boxes[1])
 		transferState(now, boxes[1], boxes[2])
-		for i, b := range boxes {
+		for i, state := range boxes {
 			for _, name := range endpointNames {
 				_, published := s.entries[name]
-				if b.View().IsAvailable(name) != published {
-					t.Fatal(fmt.Sprintf("box %d: %s is available: %t, published: %t", i, name, b.View().IsAvailable(name), published))
+				if state.View().IsAvailable(name) != published {
+					t.Fatal(fmt.Sprintf("box %d: %s is available: %t, published: %t", i, name, state.View().IsAvailable(name), published))
 				}
 			}
-			if b.View().ListRevision.Era() != s.era {
-				t.Fatalf("box %d is in era %d, want %d", i, b.View().ListRevision.Era(), s.era)
+			if state.View().ListRevision.Era() != s.era {
+				t.Fatalf("box %d is in era %d, want %d", i, state.View().ListRevision.Era(), s.era)
 			}
 		}
 	})
--- a/fleet/paths_test.go
+++ b/fleet/paths_test.go
@@ -14,8 +14,8 @@
 // startSingleGroup starts boxes in two zones that form one group, since there are few engines.
 func startSingleGroup(t *testing.T, boxes int) *testFleet {
 	f := startFleet(t, boxes, 10*smallLinkBytesPerSecond)
-	for _, b := range f.states {
-		b.ApplySnapshot(time.Now(), engineSnapshot(20))
+	for _, state := range f.states {
+		state.ApplySnapshot(time.Now(), engineSnapshot(20))
 	}
 	time.Sleep(discoveryTime)
 	return f
@@ -69,8 +69,8 @@
 		g.Expect(changed).To(gomega.BeTrue())
 		f.peers[7].BroadcastUpdate(update)
 		time.Sleep(50 * time.Millisecond)
-		for i, b := range f.states {
-			_, known := b.View().Endpoint("e-new")
+		for i, state := range f.states {
+			_, known := state.View().Endpoint("e-new")
 			g.Expect(known).To(gomega.BeTrue(), "box %d", i)
 		}
 	})
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -24,16 +24,16 @@
 	DeferCleanup(cancel)
 	seed := netip.MustParseAddrPort(texts[0])
 	for i, text := range texts {
-		b := fleet.NewState()
+		state := fleet.NewState()
 		p, err := fleet.NewPeers(core.Peer{
 			Box:        string(rune('a' + i)),
 			Address:    netip.MustParseAddrPort(text),
 			InstanceID: uint64(i),
-		}, []netip.AddrPort{seed}, b)
+		}, []netip.AddrPort{seed}, state)
 		Expect(err).NotTo(HaveOccurred())
 		go p.Run(ctx)
 		all = append(all, p)
-		states = append(states, b)
+		states = append(states, state)
 	}
 	return all, states
 }
@@ -75,8 +75,8 @@
 			Eventually(p.Sharers).WithTimeout(timeout).Should(Equal(5))
 		}
 		states[3].ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
-		for _, b := range states {
-			Eventually(func() []string { return serving(b) }).WithTimeout(timeout).Should(Equal([]string{"x"}))
+		for _, state := range states {
+			Eventually(func() []string { return serving(state) }).WithTimeout(timeout).Should(Equal([]string{"x"}))
 		}
 		update, any := states[1].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 20,
@@ -85,9 +85,9 @@
 		})
 		Expect(any).To(BeTrue())
 		all[1].BroadcastUpdate(update)
-		for _, b := range states {
-			Eventually(func() []string { return serving(b) }).WithTimeout(timeout).Should(BeEmpty())
-			Eventually(func() uint64 { return b.View().ConfigVersion() }).WithTimeout(timeout).Should(BeEquivalentTo(6))
+		for _, state := range states {
+			Eventually(func() []string { return serving(state) }).WithTimeout(timeout).Should(BeEmpty())
+			Eventually(func() uint64 { return state.View().ConfigVersion() }).WithTimeout(timeout).Should(BeEquivalentTo(6))
 		}
 	})
 
@@ -129,8 +129,8 @@
 		}
 		states[0].MarkLeaving(time.Now(), "engine", "x")
 		all[0].BroadcastEvacuating(fleet.Evacuating{Endpoint: "x"})
-		for _, b := range states {
-			Eventually(func() []string { return serving(b) }).WithTimeout(timeout).Should(BeEmpty())
+		for _, state := range states {
+			Eventually(func() []string { return serving(state) }).WithTimeout(timeout).Should(BeEmpty())
 		}
 	})
 
@@ -162,8 +162,8 @@
 		for _, p := range all {
 			Eventually(func() []string { return p.Group().Members }).WithTimeout(20 * time.Second).Should(HaveLen(3))
 		}
-		for _, b := range states {
-			b.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
+		for _, state := range states {
+			state.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
 		before := all[0].Traffic()
 		all[0].BroadcastUpdate(fleet.Update{
@@ -184,8 +184,8 @@
 		for _, p := range all {
 			Eventually(p.Sharers).WithTimeout(20 * time.Second).Should(Equal(4))
 		}
-		for _, b := range states {
-			b.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
+		for _, state := range states {
+			state.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
 		var many []routing.Endpoint
 		for i := range 40 {
@@ -196,8 +196,8 @@
 			Updated:  many,
 		})
 		all[0].BroadcastUpdate(update)
-		for _, b := range states {
-			Eventually(func() int { return len(serving(b)) }).WithTimeout(20 * time.Second).Should(Equal(41))
+		for _, state := range states {
+			Eventually(func() int { return len(serving(state)) }).WithTimeout(20 * time.Second).Should(Equal(41))
 		}
 	})
 })
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -23,7 +23,7 @@
 }
 
 var _ = Describe("a server that restarts under its name", func() {
-	var b *fleet.State
+	var state *fleet.State
 	var changes []fleet.Change
 	kinds := func() []fleet.ChangeKind {
 		var out []fleet.ChangeKind
@@ -34,12 +34,12 @@
 	}
 	BeforeEach(func() {
 		changes = nil
-		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c) }))
-		b.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
+		state = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c) }))
+		state.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		changes = nil
 	})
 	restart := func() {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{startedEndpoint("a", 5000, 11, false)},
 		})
@@ -47,59 +47,59 @@
 
 	It("is a new endpoint, and the previous one is removed", func() {
 		restart()
-		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
-		_, known := b.View().Endpoint("a@1000")
+		Expect(serving(state)).To(Equal([]string{"a@5000", "b@1000"}))
+		_, known := state.View().Endpoint("a@1000")
 		Expect(known).To(BeFalse())
 		Expect(kinds()).To(Equal([]fleet.ChangeKind{fleet.EndpointRestarted, fleet.EndpointJoined}))
 		Expect(changes[0].Endpoint.ID).To(Equal("a@1000"))
 	})
 
 	It("gets requests though its previous incarnation was leaving", func() {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 11, true)},
 		})
-		Expect(serving(b)).To(Equal([]string{"b@1000"}))
-		b.ApplyChanges(noon, &fleet.Changes{
+		Expect(serving(state)).To(Equal([]string{"b@1000"}))
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Updated:  []routing.Endpoint{startedEndpoint("a", 5000, 12, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
 
 	It("is not reverted by a late list, whatever its revisions are", func() {
 		restart()
-		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+		state.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 20,
 			Endpoints:    []routing.Endpoint{startedEndpoint("a", 1000, 20, false), startedEndpoint("b", 1000, 2, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
 
 	It("is removed by its name when its entry is removed", func() {
 		restart()
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Removed: []fleet.Removal{{
 				Name:     "a",
 				Revision: 12,
 			}},
 		})
-		Expect(serving(b)).To(Equal([]string{"b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"b@1000"}))
 	})
 
 	It("is detected by its load report before its entry changes", func() {
-		former, _ := b.View().Endpoint("a@1000")
-		b.MarkRestarted("engine", former, 5000)
-		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
+		former, _ := state.View().Endpoint("a@1000")
+		state.MarkRestarted("engine", former, 5000)
+		Expect(serving(state)).To(Equal([]string{"a@5000", "b@1000"}))
 		// Late reports and entries of the previous incarnation, and repeated reports, change nothing.
-		b.MarkRestarted("engine", former, 5000)
-		b.MarkRestarted("engine", former, 900)
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.MarkRestarted("engine", former, 5000)
+		state.MarkRestarted("engine", former, 900)
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 11, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"a@5000", "b@1000"}))
 		restart()
 		Expect(kinds()).To(Equal([]fleet.ChangeKind{fleet.EndpointRestarted, fleet.EndpointJoined}))
 	})
@@ -108,28 +108,28 @@
 		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		restart()
-		updated, removed, ok := b.ChangesSince(behind.View().ListRevision)
+		updated, removed, ok := state.ChangesSince(behind.View().ListRevision)
 		Expect(ok).To(BeTrue())
 		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
-			ListRevision: b.View().ListRevision,
+			ListRevision: state.View().ListRevision,
 			Endpoints:    updated,
 			Removed:      removed,
 			Partial:      true,
 		})
-		Expect(serving(behind)).To(Equal(serving(b)))
+		Expect(serving(behind)).To(Equal(serving(state)))
 	})
 })
 
 var _ = Describe("an unusable store entry", func() {
-	var b *fleet.State
+	var state *fleet.State
 	var kinds []fleet.ChangeKind
 	BeforeEach(func() {
-		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { kinds = append(kinds, c.Kind) }))
-		b.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
+		state = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { kinds = append(kinds, c.Kind) }))
+		state.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		kinds = nil
 	})
 	writeUnusable := func(name string, revision routing.Revision) {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: revision,
 			Updated:  []routing.Endpoint{routing.UnusableEndpoint(name, revision)},
 		})
@@ -137,17 +137,17 @@
 
 	It("removes its server and no other", func() {
 		writeUnusable("a", 11)
-		Expect(serving(b)).To(Equal([]string{"b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"b@1000"}))
 		Expect(kinds).To(Equal([]fleet.ChangeKind{fleet.EndpointUnusable}))
 	})
 
 	It("is replaced when the server's entry is valid again", func() {
 		writeUnusable("a", 11)
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Updated:  []routing.Endpoint{startedEndpoint("a", 1000, 12, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"a@1000", "b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"a@1000", "b@1000"}))
 	})
 
 	It("causes no change if it never belonged to a server, however often it is written", func() {
@@ -155,16 +155,16 @@
 			writeUnusable("x", revision)
 		}
 		Expect(kinds).To(BeEmpty())
-		Expect(serving(b)).To(Equal([]string{"a@1000", "b@1000"}))
+		Expect(serving(state)).To(Equal([]string{"a@1000", "b@1000"}))
 	})
 
 	It("reaches a box that gets the list from a peer", func() {
 		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, startedEndpoint("a", 1000, 1, false), startedEndpoint("b", 1000, 2, false)))
 		writeUnusable("a", 11)
-		updated, removed, _ := b.ChangesSince(10)
+		updated, removed, _ := state.ChangesSince(10)
 		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
-			ListRevision: b.View().ListRevision,
+			ListRevision: state.View().ListRevision,
 			Endpoints:    updated,
 			Removed:      removed,
 			Partial:      true,
@@ -182,8 +182,8 @@
 
 var _ = Describe("a load query answered by a restarted server", func() {
 	It("replaces the endpoint by the new incarnation", func() {
-		b := fleet.NewState()
-		b.ApplySnapshot(time.Now(), &fleet.Snapshot{
+		state := fleet.NewState()
+		state.ApplySnapshot(time.Now(), &fleet.Snapshot{
 			Revision: 10,
 			Document: &routing.Document{
 				Version: 1,
@@ -194,7 +194,7 @@
 			},
 			Endpoints: []routing.Endpoint{startedEndpoint("a", 1000, 1, false)},
 		})
-		reports := fleet.NewLoadReports(restartedReporter{}, b, zap.NewNop(), func(time.Time, routing.Report) {})
+		reports := fleet.NewLoadReports(restartedReporter{}, state, zap.NewNop(), func(time.Time, routing.Report) {})
 		addresses, err := emulator.FreeAddresses(1)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -202,10 +202,10 @@
 		p, err := fleet.NewPeers(core.Peer{
 			Box:     "a",
 			Address: netip.MustParseAddrPort(addresses[0]),
-		}, nil, b, fleet.WithLoadReports(reports))
+		}, nil, state, fleet.WithLoadReports(reports))
 		Expect(err).NotTo(HaveOccurred())
 		go p.Run(ctx)
 		go reports.Run(ctx)
-		Eventually(func() []string { return serving(b) }).WithTimeout(5 * time.Second).Should(Equal([]string{"a@5000"}))
+		Eventually(func() []string { return serving(state) }).WithTimeout(5 * time.Second).Should(Equal([]string{"a@5000"}))
 	})
 })
--- a/fleet/startup_test.go
+++ b/fleet/startup_test.go
@@ -57,9 +57,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var all []*fleet.LoadReports
-		launchFleet(t, 72, 20*smallLinkBytesPerSecond, func(b *fleet.State) *fleet.LoadReports {
-			b.ApplySnapshot(time.Now(), engineSnapshot(engines))
-			r := fleet.NewLoadReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
+		launchFleet(t, 72, 20*smallLinkBytesPerSecond, func(state *fleet.State) *fleet.LoadReports {
+			state.ApplySnapshot(time.Now(), engineSnapshot(engines))
+			r := fleet.NewLoadReports(reporter, state, zap.NewNop(), func(time.Time, routing.Report) {})
 			all = append(all, r)
 			return r
 		})
@@ -88,9 +88,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var all []*fleet.LoadReports
-		f := launchFleet(t, 0, 20*smallLinkBytesPerSecond, func(b *fleet.State) *fleet.LoadReports {
-			b.ApplySnapshot(time.Now(), engineSnapshot(engines))
-			r := fleet.NewLoadReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
+		f := launchFleet(t, 0, 20*smallLinkBytesPerSecond, func(state *fleet.State) *fleet.LoadReports {
+			state.ApplySnapshot(time.Now(), engineSnapshot(engines))
+			r := fleet.NewLoadReports(reporter, state, zap.NewNop(), func(time.Time, routing.Report) {})
 			all = append(all, r)
 			return r
 		})
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -33,44 +33,44 @@
 	}
 }
 
-func serving(b *fleet.State) []string {
+func serving(state *fleet.State) []string {
 	var out []string
-	for _, e := range b.View().Serving("s") {
+	for _, e := range state.View().Serving("s") {
 		out = append(out, e.ID)
 	}
 	return out
 }
 
 var _ = Describe("the state", func() {
-	var b *fleet.State
+	var state *fleet.State
 	var changes []fleet.ChangeKind
 	BeforeEach(func() {
 		changes = nil
-		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c.Kind) }))
-		b.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
+		state = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c.Kind) }))
+		state.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
 	})
 
 	It("serves only endpoints that are not leaving", func() {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{endpoint("a", 11, true)},
 		})
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		Expect(serving(state)).To(Equal([]string{"b"}))
 		Expect(changes).To(ContainElement(fleet.EndpointLeaving))
-		_, known := b.View().Endpoint("a")
+		_, known := state.View().Endpoint("a")
 		Expect(known).To(BeTrue())
 	})
 
 	// While the store is down, engines announce themselves that they are leaving. If that is
 	// ignored, their streams break.
 	It("accepts an engine's own announcement that it is leaving, whatever the store said", func() {
-		Expect(b.MarkLeaving(noon, "engine", "a")).To(BeTrue())
-		Expect(b.MarkLeaving(noon, "peer", "a")).To(BeFalse())
-		Expect(b.MarkLeaving(noon, "peer", "unknown")).To(BeFalse())
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		Expect(state.MarkLeaving(noon, "engine", "a")).To(BeTrue())
+		Expect(state.MarkLeaving(noon, "peer", "a")).To(BeFalse())
+		Expect(state.MarkLeaving(noon, "peer", "unknown")).To(BeFalse())
+		Expect(serving(state)).To(Equal([]string{"b"}))
 		Expect(changes).To(ContainElement(fleet.EndpointLeaving))
-		b.ApplySnapshot(noon.Add(time.Second), snapshot(11, endpoint("a", 1, false), endpoint("b", 2, false)))
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		state.ApplySnapshot(noon.Add(time.Second), snapshot(11, endpoint("a", 1, false), endpoint("b", 2, false)))
+		Expect(serving(state)).To(Equal([]string{"b"}))
 	})
 
 	It("reports a change after its view contains it and all changes that arrived with it", func() {
@@ -91,131 +91,131 @@
 	})
 
 	It("drops an endpoint at once when its entry is removed", func() {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Removed: []fleet.Removal{{
 				Name:     "a",
 				Revision: 12,
 			}},
 		})
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		Expect(serving(state)).To(Equal([]string{"b"}))
 	})
 
 	It("never makes a leaving endpoint available again, whatever a peer sends", func() {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{endpoint("a", 11, true)},
 		})
-		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+		state.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 20,
 			Endpoints:    []routing.Endpoint{endpoint("a", 15, false), endpoint("b", 2, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		Expect(serving(state)).To(Equal([]string{"b"}))
 	})
 
 	It("never reverts to an older configuration", func() {
-		b.ApplyDocument("peer", document(7))
-		b.ApplyDocument("peer", document(5))
-		b.ApplySnapshot(noon, snapshot(30, endpoint("a", 1, false)))
-		Expect(b.View().ConfigVersion()).To(BeEquivalentTo(7))
+		state.ApplyDocument("peer", document(7))
+		state.ApplyDocument("peer", document(5))
+		state.ApplySnapshot(noon, snapshot(30, endpoint("a", 1, false)))
+		Expect(state.View().ConfigVersion()).To(BeEquivalentTo(7))
 	})
 
 	It("keeps entries that are missing after a store outage for the grace period", func() {
-		b.MarkStoreDown()
-		b.MarkStoreUp(noon)
-		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
-		Expect(serving(b)).To(Equal([]string{"a", "b"}))
-		b.Tick(noon.Add(time.Second))
-		Expect(serving(b)).To(Equal([]string{"a", "b"}))
-		b.ApplyChanges(noon.Add(time.Second), &fleet.Changes{
+		state.MarkStoreDown()
+		state.MarkStoreUp(noon)
+		state.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
+		Expect(serving(state)).To(Equal([]string{"a", "b"}))
+		state.Tick(noon.Add(time.Second))
+		Expect(serving(state)).To(Equal([]string{"a", "b"}))
+		state.ApplyChanges(noon.Add(time.Second), &fleet.Changes{
 			Revision: 21,
 			Updated:  []routing.Endpoint{endpoint("a", 21, false)},
 		})
-		b.Tick(noon.Add(3 * time.Second))
-		Expect(serving(b)).To(Equal([]string{"a", "b"}))
+		state.Tick(noon.Add(3 * time.Second))
+		Expect(serving(state)).To(Equal([]string{"a", "b"}))
 	})
 
 	It("drops entries that are still missing after the grace period", func() {
-		b.MarkStoreDown()
-		b.MarkStoreUp(noon)
-		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
-		b.Tick(noon.Add(2 * time.Second))
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		state.MarkStoreDown()
+		state.MarkStoreUp(noon)
+		state.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
+		state.Tick(noon.Add(2 * time.Second))
+		Expect(serving(state)).To(Equal([]string{"b"}))
 	})
 
 	It("applies a removal in a peer's list while the store is down here", func() {
-		b.MarkStoreDown()
-		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+		state.MarkStoreDown()
+		state.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 25,
 			Endpoints:    []routing.Endpoint{endpoint("b", 2, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"b"}))
+		Expect(serving(state)).To(Equal([]string{"b"}))
 	})
 
 	It("counts a suspension of the machine in its ages", func() {
-		b.NoteConfigVersion(noon, 9)
-		b.HandleSuspension(3 * time.Second)
-		Expect(b.View().ConfirmedAt).To(Equal(noon.Add(-3 * time.Second)))
-		Expect(b.ConfigLag(noon)).To(Equal(3 * time.Second))
-		Expect(serving(b)).To(Equal([]string{"a", "b"}))
+		state.NoteConfigVersion(noon, 9)
+		state.HandleSuspension(3 * time.Second)
+		Expect(state.View().ConfirmedAt).To(Equal(noon.Add(-3 * time.Second)))
+		Expect(state.ConfigLag(noon)).To(Equal(3 * time.Second))
+		Expect(serving(state)).To(Equal([]string{"a", "b"}))
 	})
 
 	It("ignores an older list from a peer", func() {
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 30,
 			Updated:  []routing.Endpoint{endpoint("c", 30, false)},
 		})
-		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+		state.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 29,
 			Endpoints:    []routing.Endpoint{endpoint("a", 1, false)},
 		})
-		Expect(serving(b)).To(Equal([]string{"a", "b", "c"}))
+		Expect(serving(state)).To(Equal([]string{"a", "b", "c"}))
 	})
 
 	It("advances its revision with an update in order, but not after a missed one", func() {
-		at := b.View().ListRevision
+		at := state.View().ListRevision
 		later := noon.Add(time.Second)
-		Expect(b.ApplyUpdate(later, "peer", fleet.Update{
+		Expect(state.ApplyUpdate(later, "peer", fleet.Update{
 			BaseRevision: at,
 			ListRevision: 12,
 			Updated:      []routing.Endpoint{endpoint("c", 12, false)},
 		})).To(BeTrue())
-		Expect(b.View().ListRevision).To(BeEquivalentTo(12))
-		Expect(b.View().ConfirmedAt).To(Equal(later))
-		Expect(b.ApplyUpdate(later.Add(time.Second), "peer", fleet.Update{
+		Expect(state.View().ListRevision).To(BeEquivalentTo(12))
+		Expect(state.View().ConfirmedAt).To(Equal(later))
+		Expect(state.ApplyUpdate(later.Add(time.Second), "peer", fleet.Update{
 			BaseRevision: 15,
 			ListRevision: 16,
 			Updated:      []routing.Endpoint{endpoint("d", 16, false)},
 		})).To(BeTrue())
-		Expect(serving(b)).To(ContainElement("d"))
-		Expect(b.View().ListRevision).To(BeEquivalentTo(12))
-		Expect(b.View().ConfirmedAt).To(Equal(later))
+		Expect(serving(state)).To(ContainElement("d"))
+		Expect(state.View().ListRevision).To(BeEquivalentTo(12))
+		Expect(state.View().ConfirmedAt).To(Equal(later))
 	})
 
 	It("reports an update as new only once", func() {
 		n := fleet.Update{
-			BaseRevision: b.View().ListRevision,
+			BaseRevision: state.View().ListRevision,
 			ListRevision: 12,
 			Updated:      []routing.Endpoint{endpoint("c", 12, false)},
 		}
-		Expect(b.ApplyUpdate(noon, "peer", n)).To(BeTrue())
-		Expect(b.ApplyUpdate(noon, "peer", n)).To(BeFalse())
+		Expect(state.ApplyUpdate(noon, "peer", n)).To(BeTrue())
+		Expect(state.ApplyUpdate(noon, "peer", n)).To(BeFalse())
 	})
 
 	It("is not confirmed by a peer that has a newer list", func() {
-		b.Confirm(noon.Add(time.Second), b.View().ListRevision+1, 0)
-		Expect(b.View().ConfirmedAt).To(Equal(noon))
-		b.Confirm(noon.Add(2*time.Second), b.View().ListRevision, 500*time.Millisecond)
-		Expect(b.View().ConfirmedAt).To(Equal(noon.Add(1500 * time.Millisecond)))
+		state.Confirm(noon.Add(time.Second), state.View().ListRevision+1, 0)
+		Expect(state.View().ConfirmedAt).To(Equal(noon))
+		state.Confirm(noon.Add(2*time.Second), state.View().ListRevision, 500*time.Millisecond)
+		Expect(state.View().ConfirmedAt).To(Equal(noon.Add(1500 * time.Millisecond)))
 	})
 })
 
 var _ = Describe("the changes since a revision", func() {
-	var b *fleet.State
+	var state *fleet.State
 	BeforeEach(func() {
-		b = fleet.NewState()
-		b.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
-		b.ApplyChanges(noon, &fleet.Changes{
+		state = fleet.NewState()
+		state.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 15,
 			Updated:  []routing.Endpoint{endpoint("c", 13, false)},
 			Removed: []fleet.Removal{{
@@ -226,7 +226,7 @@
 	})
 
 	It("are selected by the revisions of the updates and removals", func() {
-		updated, removed, ok := b.ChangesSince(13)
+		updated, removed, ok := state.ChangesSince(13)
 		Expect(ok).To(BeTrue())
 		Expect(updated).To(BeEmpty())
 		Expect(removed).To(Equal([]fleet.Removal{{
@@ -236,22 +236,22 @@
 	})
 
 	It("are unknown before the box's first list", func() {
-		_, _, ok := b.ChangesSince(1)
+		_, _, ok := state.ChangesSince(1)
 		Expect(ok).To(BeFalse())
 	})
 
 	It("bring a box that is behind to the same list", func() {
 		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
-		updated, removed, _ := b.ChangesSince(behind.View().ListRevision)
+		updated, removed, _ := state.ChangesSince(behind.View().ListRevision)
 		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
-			ListRevision: b.View().ListRevision,
+			ListRevision: state.View().ListRevision,
 			Endpoints:    updated,
 			Removed:      removed,
 			Partial:      true,
 		})
-		Expect(serving(behind)).To(Equal(serving(b)))
-		Expect(behind.View().ListRevision).To(Equal(b.View().ListRevision))
+		Expect(serving(behind)).To(Equal(serving(state)))
+		Expect(behind.View().ListRevision).To(Equal(state.View().ListRevision))
 	})
 
 	It("are not taken for a whole list by a box without one", func() {
@@ -268,17 +268,17 @@
 var _ = Describe("endpoints that join together", func() {
 	It("are reported as one change per source with all their ids", func() {
 		var joined [][]string
-		b := fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
+		state := fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 			if c.Kind == fleet.EndpointJoined {
 				joined = append(joined, c.JoinedIDs)
 			}
 		}))
-		b.ApplySnapshot(noon, snapshot(10))
-		b.ApplyChanges(noon, &fleet.Changes{
+		state.ApplySnapshot(noon, snapshot(10))
+		state.ApplyChanges(noon, &fleet.Changes{
 			Revision: 12,
 			Updated:  []routing.Endpoint{endpoint("a", 11, false), endpoint("b", 12, false)},
 		})
 		Expect(joined).To(Equal([][]string{{"a", "b"}}))
-		Expect(serving(b)).To(Equal([]string{"a", "b"}))
+		Expect(serving(state)).To(Equal([]string{"a", "b"}))
 	})
 })
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -67,8 +67,8 @@
 	seed := netip.AddrPortFrom(boxAddr(0), 8000)
 	f.start = func(i int) {
 		n.Join(boxAddr(i), bytesPerSecond)
-		b := fleet.NewState()
-		b.ApplySnapshot(time.Now(), snapshot(1))
+		state := fleet.NewState()
+		state.ApplySnapshot(time.Now(), snapshot(1))
 		q := fleet.NewQuarantine(zap.NewNop())
 		limits := fleet.NewLimits(zap.NewNop())
 		heard := new(atomic.Int64)
@@ -77,14 +77,14 @@
 			Address:    netip.AddrPortFrom(boxAddr(i), 8000),
 			Zone:       fmt.Sprintf("zone-%d", i%2),
 			InstanceID: uint64(i + 1),
-		}, []netip.AddrPort{seed}, b, append(loadReportsOptions(reports(b)), fleet.WithNetwork(n.At(boxAddr(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
+		}, []netip.AddrPort{seed}, state, append(loadReportsOptions(reports(state)), fleet.WithNetwork(n.At(boxAddr(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
 			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
 		if err != nil {
 			t.Fatal(err)
 		}
 		go p.Run(ctx)
 		f.peers = append(f.peers, p)
-		f.states = append(f.states, b)
+		f.states = append(f.states, state)
 		f.quarantined = append(f.quarantined, q)
 		f.limits = append(f.limits, limits)
 		f.placements = append(f.placements, heard)
@@ -118,8 +118,8 @@
 // countWithoutVersion counts the boxes whose configuration is older than a version.
 func (f *testFleet) countWithoutVersion(version uint64) int {
 	n := 0
-	for _, b := range f.states {
-		if b.View().ConfigVersion() < version {
+	for _, state := range f.states {
+		if state.View().ConfigVersion() < version {
 			n++
 		}
 	}
@@ -206,8 +206,8 @@
 		time.Sleep(propagationLimit)
 		f.applyFromStore(0, randomDocument(7, 2850), endpoint("x", 8, true))
 		time.Sleep(60 * time.Millisecond)
-		for i, b := range f.states {
-			g.Expect(serving(b)).To(gomega.BeEmpty(), "box %d still serves a leaving endpoint", i)
+		for i, state := range f.states {
+			g.Expect(serving(state)).To(gomega.BeEmpty(), "box %d still serves a leaving endpoint", i)
 		}
 	})
 }
@@ -264,8 +264,8 @@
 		f.states[0].Confirm(time.Now(), f.states[0].View().ListRevision, 0)
 		f.peers[0].HandleSuspension(time.Minute)
 		time.Sleep(2 * time.Second)
-		for i, b := range f.states {
-			g.Expect(time.Since(b.View().ConfirmedAt)).To(gomega.BeNumerically(">=", discoveryTime), "box %d", i)
+		for i, state := range f.states {
+			g.Expect(time.Since(state.View().ConfirmedAt)).To(gomega.BeNumerically(">=", discoveryTime), "box %d", i)
 		}
 	})
 }
--- a/fleet/store_watcher_test.go
+++ b/fleet/store_watcher_test.go
@@ -120,12 +120,12 @@
 )
 
 // runStoreWatcher runs a scenario with a StoreWatcher in virtual time.
-func runStoreWatcher(t *testing.T, scenario func(g *gomega.WithT, s *fakeStore, b *fleet.State), options ...fleet.StoreWatcherOption) {
+func runStoreWatcher(t *testing.T, scenario func(g *gomega.WithT, s *fakeStore, state *fleet.State), options ...fleet.StoreWatcherOption) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFakeStore()
-		b := fleet.NewState()
-		f := fleet.NewStoreWatcher(s, b, propagationBound, options...)
+		state := fleet.NewState()
+		f := fleet.NewStoreWatcher(s, state, propagationBound, options...)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -133,54 +133,54 @@
 		}()
 		s.put("a")
 		time.Sleep(time.Second)
-		scenario(gomega.NewWithT(t), s, b)
+		scenario(gomega.NewWithT(t), s, state)
 		cancel()
 		<-done
 	})
 }
 
 func TestReaderAppliesChangesWithinTheBound(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		s.put("b")
 		time.Sleep(propagationBound / 2)
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a", "b"}))
 	})
 }
 
 func TestReaderReadsEverythingWhenHistoryIsLost(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		s.setFault(nil, true)
 		s.put("b")
 		time.Sleep(propagationBound)
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a", "b"}))
 	})
 }
 
 // A watch with too many changes must not be retried from the same revision, since it would
 // return even more.
 func TestReaderReadsEverythingWhenChangesAreTooLarge(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		s.mu.Lock()
 		s.changesTooLarge = true
 		s.mu.Unlock()
 		s.put("b")
 		time.Sleep(propagationBound / 2)
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
-		g.Expect(b.IsStoreDown()).To(gomega.BeFalse(), "the store answers")
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a", "b"}))
+		g.Expect(state.IsStoreDown()).To(gomega.BeFalse(), "the store answers")
 	})
 }
 
 func TestReaderCatchesUpAfterAnOutage(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		s.setFault(errors.New("store down"), false)
 		s.put("b")
 		time.Sleep(30 * time.Second)
-		g.Expect(b.IsStoreDown()).To(gomega.BeTrue())
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a"}))
+		g.Expect(state.IsStoreDown()).To(gomega.BeTrue())
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a"}))
 		s.setFault(nil, false)
 		time.Sleep(propagationBound)
-		g.Expect(b.IsStoreDown()).To(gomega.BeFalse())
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
+		g.Expect(state.IsStoreDown()).To(gomega.BeFalse())
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a", "b"}))
 	})
 }
 
@@ -195,33 +195,33 @@
 }
 
 func TestOtherBoxesReadOnlyWithoutUpdates(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		before, _ := s.callCounts()
 		for range 20 {
-			b.Confirm(time.Now(), b.View().ListRevision, 0)
+			state.Confirm(time.Now(), state.View().ListRevision, 0)
 			time.Sleep(500 * time.Millisecond)
 		}
 		reads, _ := s.callCounts()
 		g.Expect(reads).To(gomega.Equal(before))
 		s.put("b")
 		time.Sleep(propagationBound)
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}), "without readers it reads the store itself")
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a", "b"}), "without readers it reads the store itself")
 	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
 
 // A box that can't fetch an announced configuration must read it from the store, even while peers
 // confirm its list.
 func TestOtherBoxesReadAConfigurationThatNoPeerDelivers(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		s.mu.Lock()
 		s.version = 9
 		s.mu.Unlock()
-		b.NoteConfigVersion(time.Now(), 9)
+		state.NoteConfigVersion(time.Now(), 9)
 		for range 10 {
-			b.Confirm(time.Now(), b.View().ListRevision, 0)
+			state.Confirm(time.Now(), state.View().ListRevision, 0)
 			time.Sleep(propagationBound / 10)
 		}
-		g.Expect(b.View().ConfigVersion()).To(gomega.BeEquivalentTo(9))
+		g.Expect(state.View().ConfigVersion()).To(gomega.BeEquivalentTo(9))
 	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
 
@@ -260,9 +260,9 @@
 		var states []*fleet.State
 		var all sync.WaitGroup
 		for rank := range 5 {
-			b := fleet.NewState()
-			states = append(states, b)
-			f := fleet.NewStoreWatcher(s, b, propagationBound, fleet.WithReaderRank(func() int { return rank }))
+			state := fleet.NewState()
+			states = append(states, state)
+			f := fleet.NewStoreWatcher(s, state, propagationBound, fleet.WithReaderRank(func() int { return rank }))
 			all.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(time.Second)
@@ -271,8 +271,8 @@
 			s.put(fmt.Sprintf("e-%03d", i))
 			time.Sleep(20 * time.Millisecond)
 			newest := 0
-			for _, b := range states {
-				newest = max(newest, len(serving(b)))
+			for _, state := range states {
+				newest = max(newest, len(serving(state)))
 			}
 			g.Expect(newest).To(gomega.BeNumerically(">=", i-8), "changes must be known within 0.17 s")
 		}
@@ -312,7 +312,7 @@
 
 // During a store outage, boxes that are neither readers nor standbys must retry rarely.
 func TestOtherBoxesRarelyRetryAStoreThatIsDown(t *testing.T) {
-	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, b *fleet.State) {
+	runStoreWatcher(t, func(g *gomega.WithT, s *fakeStore, state *fleet.State) {
 		s.setFault(errors.New("store down"), false)
 		before, _ := s.callCounts()
 		time.Sleep(12 * time.Second)
@@ -321,6 +321,6 @@
 		s.setFault(nil, false)
 		s.put("b")
 		time.Sleep(4 * time.Second)
-		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
+		g.Expect(serving(state)).To(gomega.Equal([]string{"a", "b"}))
 	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
--- a/fleet/zones_test.go
+++ b/fleet/zones_test.go
@@ -43,53 +43,53 @@
 func TestDrainedZoneGetsNoRequestsUntilTheDrainEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewState()
-	b.ApplySnapshot(now, zonedSnapshot(5, drainedZone("a", 3)))
-	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
-	_, known := b.View().Endpoint("e-a")
+	state := fleet.NewState()
+	state.ApplySnapshot(now, zonedSnapshot(5, drainedZone("a", 3)))
+	g.Expect(serving(state)).To(gomega.Equal([]string{"e-b"}))
+	_, known := state.View().Endpoint("e-a")
 	g.Expect(known).To(gomega.BeTrue(), "running streams are still served")
-	g.Expect(b.View().IsAvailable("e-a")).To(gomega.BeFalse())
+	g.Expect(state.View().IsAvailable("e-a")).To(gomega.BeFalse())
 
 	// A full read without the zone ends its drain.
-	b.ApplySnapshot(now, zonedSnapshot(6))
-	g.Expect(serving(b)).To(gomega.Equal([]string{"e-a", "e-b"}))
+	state.ApplySnapshot(now, zonedSnapshot(6))
+	g.Expect(serving(state)).To(gomega.Equal([]string{"e-a", "e-b"}))
 
 	// A late update with the former drain changes nothing; a new drain does.
-	b.ApplyUpdate(now, "peer", fleet.Update{
+	state.ApplyUpdate(now, "peer", fleet.Update{
 		BaseRevision: 6,
 		ListRevision: 7,
 		Zones:        []routing.ZoneDrain{drainedZone("a", 3)},
 	})
-	g.Expect(serving(b)).To(gomega.HaveLen(2))
-	b.ApplyUpdate(now, "peer", fleet.Update{
+	g.Expect(serving(state)).To(gomega.HaveLen(2))
+	state.ApplyUpdate(now, "peer", fleet.Update{
 		BaseRevision: 7,
 		ListRevision: 9,
 		Zones:        []routing.ZoneDrain{drainedZone("a", 9)},
 	})
-	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
+	g.Expect(serving(state)).To(gomega.Equal([]string{"e-b"}))
 
 	// An endpoint that joins a drained zone gets no requests either.
 	e := endpoint("e-new", 10, false)
 	e.Zone = "a"
-	b.ApplyChanges(now, &fleet.Changes{
+	state.ApplyChanges(now, &fleet.Changes{
 		Revision: 10,
 		Updated:  []routing.Endpoint{e},
 	})
-	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
+	g.Expect(serving(state)).To(gomega.Equal([]string{"e-b"}))
 }
 
 func TestZoneUpdateAfterAMissedUpdateDoesNotAdvanceTheListRevision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewState()
-	b.ApplySnapshot(now, zonedSnapshot(5))
-	b.ApplyUpdate(now, "peer", fleet.Update{
+	state := fleet.NewState()
+	state.ApplySnapshot(now, zonedSnapshot(5))
+	state.ApplyUpdate(now, "peer", fleet.Update{
 		BaseRevision: 8,
 		ListRevision: 9,
 		Zones:        []routing.ZoneDrain{drainedZone("a", 9)},
 	})
-	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
-	g.Expect(b.View().ListRevision).To(gomega.BeEquivalentTo(1), "the missed changes must be fetched")
+	g.Expect(serving(state)).To(gomega.Equal([]string{"e-b"}))
+	g.Expect(state.View().ListRevision).To(gomega.BeEquivalentTo(1), "the missed changes must be fetched")
 }
 
 // Zone changes arrive by updates, by fetched state that may be older, and from the store. In any
@@ -105,26 +105,26 @@
 			all = append(all, z)
 			newest[zone] = z.Drained
 		}
-		b := fleet.NewState()
-		b.ApplySnapshot(time.Now(), zonedSnapshot(5))
+		state := fleet.NewState()
+		state.ApplySnapshot(time.Now(), zonedSnapshot(5))
 		for i, z := range rapid.Permutation(all).Draw(t, "order") {
 			if i%2 == 0 {
-				b.ApplyUpdate(time.Now(), "peer", fleet.Update{
+				state.ApplyUpdate(time.Now(), "peer", fleet.Update{
 					BaseRevision: 100,
 					ListRevision: 101,
 					Zones:        []routing.ZoneDrain{z},
 				})
 				continue
 			}
-			b.ApplyPeerState(time.Now(), "peer", fleet.PeerState{
+			state.ApplyPeerState(time.Now(), "peer", fleet.PeerState{
 				ListRevision: z.Revision,
 				Partial:      true,
 				Zones:        []routing.ZoneDrain{z},
 			})
 		}
 		for zone, drained := range newest {
-			if b.View().Drained(zone) != drained {
-				t.Fatalf("zone %s: drained is %v, want %v", zone, b.View().Drained(zone), drained)
+			if state.View().Drained(zone) != drained {
+				t.Fatalf("zone %s: drained is %v, want %v", zone, state.View().Drained(zone), drained)
 			}
 		}
 	})
