--- a/fleet/state_endpoints.go
+++ b/fleet/state_endpoints.go
@@ -58,12 +58,12 @@
 // from when the entry was written, so reading the same entry again doesn't extend the phase.
 func coldUntil(now time.Time, old *endpointEntry, e routing.Endpoint) time.Time {
 	known := old != nil && old.ID == e.ID
-	if known && old.Revision.Number() == e.Revision.Number() && old.Cold == e.Cold {
+	if known && old.Revision.Number() == e.Revision.Number() && old.ColdFor == e.ColdFor {
 		return old.ColdUntil // the same entry, possibly read in a later store era
 	}
 	var until time.Time
-	if e.Cold > 0 {
-		until = now.Add(e.Cold)
+	if e.ColdFor > 0 {
+		until = now.Add(e.ColdFor)
 	}
 	if known && old.ColdUntil.After(until) {
 		return old.ColdUntil
