--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -55,10 +55,10 @@
 		Endpoints:    []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
 		Zones:        []routing.ZoneDrain{drainedZone("zone-b", revision(0, 9))},
 	})
-	state.Tick(now.Add(time.Second))
+	state.DropExpired(now.Add(time.Second))
 	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeTrue())
 	g.Expect(state.View().Drained("zone-b")).To(gomega.BeTrue())
-	state.Tick(now.Add(3 * time.Second))
+	state.DropExpired(now.Add(3 * time.Second))
 	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeFalse())
 	g.Expect(state.View().IsAvailable("i-new")).To(gomega.BeTrue())
 	g.Expect(state.View().Drained("zone-b")).To(gomega.BeFalse())
@@ -184,7 +184,7 @@
 				transferState(now, any("gives"), any("takes"))
 			}
 			for _, state := range boxes {
-				state.Tick(now)
+				state.DropExpired(now)
 			}
 		}
 		boxes[0].ApplySnapshot(now, s.snapshot())
@@ -193,7 +193,7 @@
 			transferState(now, boxes[1], boxes[2])
 			now = now.Add(5 * time.Second)
 			for _, state := range boxes {
-				state.Tick(now)
+				state.DropExpired(now)
 			}
 			// The store's next change arrives by watch.
 			s.entries["i-4"] = endpoint("i-4", s.nextRevision(), false)
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -86,8 +86,8 @@
 	return all
 }
 
-// Sweep drops limits that no box has observed recently.
-func (l *Limits) Sweep(now time.Time) {
+// DropExpired drops limits that no box has observed recently.
+func (l *Limits) DropExpired(now time.Time) {
 	if !l.hasRecords.Load() {
 		return
 	}
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -28,17 +28,17 @@
 
 // The kinds of changes.
 const (
-	ConfigurationInForce ChangeKind = "configuration in force"
-	EndpointJoined       ChangeKind = "endpoint joined"
-	EndpointLeaving      ChangeKind = "endpoint leaving"
-	EndpointRemoved      ChangeKind = "endpoint gone"
-	EndpointMissing      ChangeKind = "endpoint missing after a store outage"
-	EndpointRestarted    ChangeKind = "endpoint restarted" // reported for the previous incarnation
-	StoreRestored        ChangeKind = "store restored from an older backup"
-	EndpointUnusable     ChangeKind = "endpoint's store entry is no longer usable"
-	EndpointListLoaded   ChangeKind = "endpoint list loaded" // first list since the start
-	ZoneDrained          ChangeKind = "zone drained"
-	ZoneDrainEnded       ChangeKind = "zone drain ended"
+	ConfigurationActivated ChangeKind = "configuration in force"
+	EndpointJoined         ChangeKind = "endpoint joined"
+	EndpointLeaving        ChangeKind = "endpoint leaving"
+	EndpointRemoved        ChangeKind = "endpoint gone"
+	EndpointMissing        ChangeKind = "endpoint missing after a store outage"
+	EndpointRestarted      ChangeKind = "endpoint restarted" // reported for the previous incarnation
+	StoreRestored          ChangeKind = "store restored from an older backup"
+	EndpointUnusable       ChangeKind = "endpoint's store entry is no longer usable"
+	EndpointListLoaded     ChangeKind = "endpoint list loaded" // first list since the start
+	ZoneDrained            ChangeKind = "zone drained"
+	ZoneDrainEnded         ChangeKind = "zone drain ended"
 )
 
 // Change describes one change of the state, for logs and callbacks.
@@ -48,7 +48,7 @@
 	Zone             string   // zone whose drain began or ended
 	Version          uint64   // configuration version
 	Routes           int      // number of routes in the configuration
-	Count            int      // number of endpoints in the first list
+	EndpointCount    int      // number of endpoints in the first list
 	JoinedIDs        []string // for EndpointJoined: ids of all endpoints that joined together
 	Revision         routing.Revision
 	PreviousRevision routing.Revision // for StoreRestored: list revision before the restore
@@ -176,8 +176,8 @@
 	return !s.storeDown && now.Sub(s.storeUpAt) >= missingGracePeriod
 }
 
-// Tick drops missing endpoints and zone drains after the grace period, and expired leaving marks.
-func (s *State) Tick(now time.Time) {
+// DropExpired drops missing endpoints and zone drains after the grace period, and expired leaving marks.
+func (s *State) DropExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := false
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -77,10 +77,10 @@
 	if !s.hasList {
 		s.firstRevision = s.changed
 		s.pendingChanges = append(s.pendingChanges, Change{
-			Kind:     EndpointListLoaded,
-			Count:    len(s.entries),
-			Revision: s.changed,
-			Source:   from,
+			Kind:          EndpointListLoaded,
+			EndpointCount: len(s.entries),
+			Revision:      s.changed,
+			Source:        from,
 		})
 	}
 	s.hasList = true
@@ -201,7 +201,7 @@
 	}
 	s.table = routing.NewTable(d)
 	s.pendingChanges = append(s.pendingChanges, Change{
-		Kind:        ConfigurationInForce,
+		Kind:        ConfigurationActivated,
 		Version:     d.Version,
 		Routes:      len(d.Routes),
 		Source:      from,
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -125,13 +125,13 @@
 		state.MarkStoreUp(noon)
 		state.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
 		Expect(serving(state)).To(Equal([]string{"a", "b"}))
-		state.Tick(noon.Add(time.Second))
+		state.DropExpired(noon.Add(time.Second))
 		Expect(serving(state)).To(Equal([]string{"a", "b"}))
 		state.ApplyChanges(noon.Add(time.Second), &fleet.Changes{
 			Revision: 21,
 			Updated:  []routing.Endpoint{endpoint("a", 21, false)},
 		})
-		state.Tick(noon.Add(3 * time.Second))
+		state.DropExpired(noon.Add(3 * time.Second))
 		Expect(serving(state)).To(Equal([]string{"a", "b"}))
 	})
 
@@ -139,7 +139,7 @@
 		state.MarkStoreDown()
 		state.MarkStoreUp(noon)
 		state.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
-		state.Tick(noon.Add(2 * time.Second))
+		state.DropExpired(noon.Add(2 * time.Second))
 		Expect(serving(state)).To(Equal([]string{"b"}))
 	})
 
