--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -47,9 +47,9 @@
 func (p *fakeBudget) TransferOut(_ time.Time, _ string, sends int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	given := min(sends, p.sends)
-	p.sends -= given
-	return given
+	lent := min(sends, p.sends)
+	p.sends -= lent
+	return lent
 }
 
 func (p *fakeBudget) ReceiveTransfer(_ time.Time, _ string, sends int) { p.set(p.remaining() + sends) }
--- a/fleet/retry_budget.go
+++ b/fleet/retry_budget.go
@@ -59,12 +59,12 @@
 }
 
 // handleBorrowRequest answers a box that wants to borrow sends.
-func (p *Peers) handleBorrowRequest(_ context.Context, _ *wire.Conn, q BorrowRequest) (BorrowResponse, error) {
+func (p *Peers) handleBorrowRequest(_ context.Context, _ *wire.Conn, req BorrowRequest) (BorrowResponse, error) {
 	b := p.retryBudgets()
-	if b == nil || q.Sends <= 0 {
+	if b == nil || req.Sends <= 0 {
 		return BorrowResponse{}, nil
 	}
-	return BorrowResponse{Sends: b.TransferOut(time.Now(), q.Service, min(q.Sends, maxBorrowedSends))}, nil
+	return BorrowResponse{Sends: b.TransferOut(time.Now(), req.Service, min(req.Sends, maxBorrowedSends))}, nil
 }
 
 func (p *Peers) randomGroupMember() (netip.AddrPort, bool) {
@@ -95,7 +95,7 @@
 func (p *Peers) borrow(ctx context.Context, b RetryBudgets, from netip.AddrPort, service string) bool {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
-	lent, err := wire.Request[BorrowResponse](ctx, p.pool, from, BorrowRequest{
+	response, err := wire.Request[BorrowResponse](ctx, p.pool, from, BorrowRequest{
 		Service: service,
 		Sends:   maxBorrowedSends,
 	})
@@ -103,9 +103,9 @@
 		p.log.Debug("borrowing retries from box failed, asking another", zap.Stringer("address", from), zap.Error(err))
 		return false
 	}
-	if lent.Sends <= 0 {
+	if response.Sends <= 0 {
 		return false
 	}
-	b.ReceiveTransfer(time.Now(), service, min(lent.Sends, maxBorrowedSends))
+	b.ReceiveTransfer(time.Now(), service, min(response.Sends, maxBorrowedSends))
 	return true
 }
--- a/fleet/state_era.go
+++ b/fleet/state_era.go
@@ -36,20 +36,20 @@
 // era as missing. The peer waits for it to reappear and doesn't announce when the grace period
 // ends, so this box applies its own.
 func (s *State) markOlderErasMissing(now time.Time, from string, revision routing.Revision) {
-	awaits := false
+	hasMissing := false
 	for _, e := range s.entries {
 		if e.Revision.Era() < revision.Era() {
 			s.markMissing(from, e)
-			awaits = true
+			hasMissing = true
 		}
 	}
 	for zone, z := range s.zones {
 		if z.Drained && z.Revision.Era() < revision.Era() {
 			s.markZoneMissing(zone, revision)
-			awaits = true
+			hasMissing = true
 		}
 	}
-	if awaits && s.storeUpAt.IsZero() {
+	if hasMissing && s.storeUpAt.IsZero() {
 		s.storeUpAt = now
 	}
 }
--- a/fleet/state_fetcher.go
+++ b/fleet/state_fetcher.go
@@ -93,16 +93,16 @@
 	if ad.ListRevision <= v.ListRevision {
 		request.ListRevision = configOnly
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	newer, data, err := fetchState(c, request)
 	if err != nil {
-		p.handleFetchError(c, ad, began, err)
+		p.handleFetchError(c, ad, startedAt, err)
 		return
 	}
 	p.mu.Lock()
 	p.sources.RecordSuccess(c)
 	p.mu.Unlock()
-	p.recordFetchedState(c.Remote(), newer, len(data), began)
+	p.recordFetchedState(c.Remote(), newer, len(data), startedAt)
 	if request.ListRevision == configOnly && newer.Document != nil {
 		p.sender.cacheReceived(newer.Document.Version, data)
 	}
@@ -125,7 +125,7 @@
 }
 
 // handleFetchError records a failed fetch, which delays the next attempt at that box.
-func (p *Peers) handleFetchError(c *wire.Conn, ad core.Advertisement, began time.Time, err error) {
+func (p *Peers) handleFetchError(c *wire.Conn, ad core.Advertisement, startedAt time.Time, err error) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,12 +135,12 @@
 		return
 	}
 	p.sources.Failed(now, c)
-	p.log.Info("fetching newer state from box failed", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", ad.ConfigVersion), zap.Duration("took", now.Sub(began)), zap.Error(err))
+	p.log.Info("fetching newer state from box failed", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", ad.ConfigVersion), zap.Duration("took", now.Sub(startedAt)), zap.Error(err))
 }
 
 // fetchState fetches a box's newer state. It also returns the state's encoding as received.
 func fetchState(c *wire.Conn, request StateRequest) (PeerState, []byte, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	first, err := requestChunk(c, request)
 	if err != nil {
 		return PeerState{}, nil, err
@@ -165,17 +165,17 @@
 	newer, err := wire.Unpack[PeerState](data)
 	newer.Age = first.Age
 	if first.Age >= 0 {
-		newer.Age += time.Since(asked)
+		newer.Age += time.Since(requestedAt)
 	}
 	return newer, data, err
 }
 
 // requestChunk requests one chunk. On a timeout it closes the connection, since a stalled link
 // is not detected otherwise.
-func requestChunk(c *wire.Conn, q wire.Message) (Chunk, error) {
+func requestChunk(c *wire.Conn, req wire.Message) (Chunk, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), chunkTimeout)
 	defer cancel()
-	answer, err := wire.Call[Chunk](ctx, c, q)
+	answer, err := wire.Call[Chunk](ctx, c, req)
 	switch {
 	case err != nil && ctx.Err() != nil:
 		c.Close()
--- a/fleet/state_sender.go
+++ b/fleet/state_sender.go
@@ -84,21 +84,21 @@
 
 // handleStateRequest answers a request for newer state with its first chunk, or with Busy if
 // the state is large and too many transfers are running.
-func (s *stateSender) handleStateRequest(_ context.Context, c *wire.Conn, w StateRequest) (Chunk, error) {
+func (s *stateSender) handleStateRequest(_ context.Context, c *wire.Conn, req StateRequest) (Chunk, error) {
 	v := s.state.View()
 	out := Chunk{Age: -1}
-	if w.ListRevision != configOnly {
+	if req.ListRevision != configOnly {
 		out.Age = time.Since(v.ConfirmedAt)
 	}
 	if !advertisementOf(v).NewerThan(core.Advertisement{
-		ConfigVersion: w.ConfigVersion,
-		ListRevision:  w.ListRevision,
+		ConfigVersion: req.ConfigVersion,
+		ListRevision:  req.ListRevision,
 	}) {
 		return out, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k, err := s.encode(w, v)
+	k, err := s.encode(req, v)
 	if err != nil {
 		return Chunk{}, err
 	}
@@ -112,43 +112,43 @@
 }
 
 // handleChunkRequest answers a request for a further chunk.
-func (s *stateSender) handleChunkRequest(_ context.Context, c *wire.Conn, w ChunkRequest) (Chunk, error) {
+func (s *stateSender) handleChunkRequest(_ context.Context, c *wire.Conn, req ChunkRequest) (Chunk, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := slices.IndexFunc(s.cached, func(k encodedState) bool { return k.digest == w.Digest })
-	if i < 0 || w.Offset < 0 || w.Offset >= len(s.cached[i].data) {
+	i := slices.IndexFunc(s.cached, func(k encodedState) bool { return k.digest == req.Digest })
+	if i < 0 || req.Offset < 0 || req.Offset >= len(s.cached[i].data) {
 		return Chunk{}, nil
 	}
 	s.limiter.RecordProgress(time.Now(), c)
 	k := s.markUsed(i)
 	data := k.data
-	end := min(w.Offset+chunkBytes, len(data))
+	end := min(req.Offset+chunkBytes, len(data))
 	if end == len(data) {
 		took := s.limiter.Finish(time.Now(), c)
 		s.log.Info("state sent to box", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", k.advertisement.ConfigVersion), zap.Int("bytes", len(data)), zap.Duration("took", took))
 	}
 	return Chunk{
-		Digest: w.Digest,
+		Digest: req.Digest,
 		Size:   len(data),
-		Data:   data[w.Offset:end],
+		Data:   data[req.Offset:end],
 		Age:    -1,
 	}, nil
 }
 
 // encode returns the encoded answer to a request, from the cache if it was requested before.
-func (s *stateSender) encode(w StateRequest, v *View) (encodedState, error) {
+func (s *stateSender) encode(req StateRequest, v *View) (encodedState, error) {
 	advertisement := advertisementOf(v)
-	if w.ListRevision == configOnly {
-		w, advertisement = configOnlyRequest(advertisement.ConfigVersion)
+	if req.ListRevision == configOnly {
+		req, advertisement = configOnlyRequest(advertisement.ConfigVersion)
 	}
-	if i := slices.IndexFunc(s.cached, func(k encodedState) bool { return k.request == w && k.advertisement == advertisement }); i >= 0 {
+	if i := slices.IndexFunc(s.cached, func(k encodedState) bool { return k.request == req && k.advertisement == advertisement }); i >= 0 {
 		return s.markUsed(i), nil
 	}
-	data, err := wire.Pack(s.newerState(w, v))
+	data, err := wire.Pack(s.newerState(req, v))
 	if err != nil {
 		return encodedState{}, err
 	}
-	return s.cache(w, advertisement, data), nil
+	return s.cache(req, advertisement, data), nil
 }
 
 // configOnlyRequest returns the cache key of a transfer of the configuration alone. It doesn't
@@ -174,9 +174,9 @@
 	return k
 }
 
-func (s *stateSender) cache(w StateRequest, advertisement core.Advertisement, data []byte) encodedState {
+func (s *stateSender) cache(req StateRequest, advertisement core.Advertisement, data []byte) encodedState {
 	k := encodedState{
-		request:       w,
+		request:       req,
 		advertisement: advertisement,
 		digest:        xxhash.Sum64(data),
 		data:          data,
@@ -189,17 +189,17 @@
 }
 
 // newerState returns the part of a view that is newer than the receiver's versions.
-func (s *stateSender) newerState(w StateRequest, v *View) PeerState {
+func (s *stateSender) newerState(req StateRequest, v *View) PeerState {
 	var out PeerState
-	if v.ConfigVersion() > w.ConfigVersion {
+	if v.ConfigVersion() > req.ConfigVersion {
 		out.Document = v.Table.Document()
 	}
-	if !v.HasEndpointList || v.ListRevision <= w.ListRevision {
+	if !v.HasEndpointList || v.ListRevision <= req.ListRevision {
 		return out
 	}
 	out.ListRevision = v.ListRevision
 	out.Zones = v.Zones
-	if updated, removed, ok := s.state.ChangesSince(w.ListRevision); ok {
+	if updated, removed, ok := s.state.ChangesSince(req.ListRevision); ok {
 		out.Partial = true
 		out.Endpoints = updated
 		out.Removed = removed
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -71,14 +71,14 @@
 		state.ApplySnapshot(time.Now(), snapshot(1))
 		q := fleet.NewQuarantine(zap.NewNop())
 		limits := fleet.NewLimits(zap.NewNop())
-		heard := new(atomic.Int64)
+		received := new(atomic.Int64)
 		p, err := fleet.NewPeers(core.Peer{
 			Box:        fmt.Sprintf("box-%02d", i),
 			Address:    netip.AddrPortFrom(boxAddr(i), 8000),
 			Zone:       fmt.Sprintf("zone-%d", i%2),
 			InstanceID: uint64(i + 1),
 		}, []netip.AddrPort{seed}, state, append(loadReportsOptions(reports(state)), fleet.WithNetwork(n.At(boxAddr(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
-			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
+			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { received.Add(1) }))...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 		f.states = append(f.states, state)
 		f.quarantined = append(f.quarantined, q)
 		f.limits = append(f.limits, limits)
-		f.placements = append(f.placements, heard)
+		f.placements = append(f.placements, received)
 	}
 	for i := range boxes {
 		f.start(i)
@@ -130,7 +130,7 @@
 // compresses no better than a real one.
 func randomDocument(version uint64, routes int) *routing.Document {
 	random := rand.New(rand.NewPCG(1, uint64(routes)))
-	word := func(n int) string {
+	randomString := func(n int) string {
 		const letters = "abcdefghijklmnopqrstuvwxyz0123456789"
 		out := make([]byte, n)
 		for i := range out {
@@ -141,9 +141,9 @@
 	d := &routing.Document{Version: version}
 	for range routes {
 		d.Routes = append(d.Routes, routing.Route{
-			Name:          "r-" + word(7),
+			Name:          "r-" + randomString(7),
 			Host:          "routes.example",
-			PathPrefix:    "/" + word(8) + "/",
+			PathPrefix:    "/" + randomString(8) + "/",
 			Kind:          routing.Repeatable,
 			Timeout:       1500 * time.Millisecond,
 			LatencyTarget: 300 * time.Millisecond,
--- a/fleet/store_watcher.go
+++ b/fleet/store_watcher.go
@@ -173,9 +173,9 @@
 			Sleep(ctx, idlePollInterval)
 			continue
 		}
-		age, awaited := now.Sub(v.ConfirmedAt), w.state.ConfigLag(now)
-		if age > w.maxListAge() || awaited > w.fraction(configLagFraction) {
-			w.log.Info("no updates from the store readers, reading the store", zap.Duration("list_age", age), zap.Duration("configuration_awaited", awaited))
+		age, configLag := now.Sub(v.ConfirmedAt), w.state.ConfigLag(now)
+		if age > w.maxListAge() || configLag > w.fraction(configLagFraction) {
+			w.log.Info("no updates from the store readers, reading the store", zap.Duration("list_age", age), zap.Duration("configuration_awaited", configLag))
 			w.fallbackUntil = now.Add(fallbackDuration)
 			return
 		}
--- a/fleet/transfer_metrics.go
+++ b/fleet/transfer_metrics.go
@@ -27,8 +27,8 @@
 }
 
 // recordFetchedState updates the metrics of fetched state and logs fetched configurations.
-func (p *Peers) recordFetchedState(from netip.AddrPort, v PeerState, bytes int, asked time.Time) {
-	took := time.Since(asked)
+func (p *Peers) recordFetchedState(from netip.AddrPort, v PeerState, bytes int, startedAt time.Time) {
+	took := time.Since(startedAt)
 	stateFetchTime.Update(took.Seconds())
 	if v.Document == nil {
 		return
