--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -213,9 +213,9 @@
 // announcements up to this version.
 func (s *State) takeAnnouncement(version uint64) time.Time {
 	var at time.Time
-	if i := slices.IndexFunc(s.announcements, func(h versionAnnouncement) bool { return h.version >= version }); i >= 0 {
+	if i := slices.IndexFunc(s.announcements, func(a versionAnnouncement) bool { return a.version >= version }); i >= 0 {
 		at = s.announcements[i].at
 	}
-	s.announcements = slices.DeleteFunc(s.announcements, func(h versionAnnouncement) bool { return h.version <= version })
+	s.announcements = slices.DeleteFunc(s.announcements, func(a versionAnnouncement) bool { return a.version <= version })
 	return at
 }
