--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -26,7 +26,7 @@
 type PendingMove struct {
 	ID       string        `cbor:"1,keyasint"`
 	Rank     int           `cbor:"2,keyasint,omitempty"`
-	Value    float64       `cbor:"3,keyasint"`
+	Value    float64       `cbor:"3,keyasint"` // what the run is worth, to order the moves
 	CopyTime time.Duration `cbor:"4,keyasint"` // time to copy the run's memory over an idle link
 }
 
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -45,10 +45,10 @@
 	group             core.Group
 	groupAddresses    []netip.AddrPort // other boxes of the group
 	paths             groupPaths       // paths to the other boxes of the group
-	remotePartners    []netip.AddrPort
-	gossipCount       int
-	rotatedAt         time.Time
-	aliveBoxes        map[string]bool
+	remotePartners    []netip.AddrPort // boxes of other groups, or seeds, to gossip with and send updates to
+	gossipCount       int              // exchanges begun, for the round robin
+	rotatedAt         time.Time        // last change of remotePartners
+	aliveBoxes        map[string]bool  // by name, as of the last log of roster changes
 	reports           *LoadReports
 	budgets           RetryBudgets
 	quarantine        *Quarantine
@@ -56,9 +56,9 @@
 	checkSuspension   func()
 	onPlacement       func(time.Time, Placement)
 	onEvacuating      func(time.Time, Evacuating)
-	pendingPlacements []Placement
-	seenUpdates       []updateKey // most recent updates, oldest first
-	pushing           map[netip.AddrPort]bool
+	pendingPlacements []Placement             // batched for the next message
+	seenUpdates       []updateKey             // most recent updates, oldest first
+	pushing           map[netip.AddrPort]bool // boxes to which placements are being sent
 }
 
 // PeersOption configures Peers.
