--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -15,9 +15,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// The boxes' part of the story that box/era_test.go tells: all boxes must end on what the
-// store says in its newest era, whichever of them reads it, and in whatever order word of
-// older eras comes.
+// All boxes must converge on the store's content in its newest era, whichever box reads it and in
+// whatever order they learn of older eras. box/era_test.go tests the same with whole boxes.
 
 func revision(era, number uint64) routing.Revision {
 	r, err := routing.NewRevision(era, number)
@@ -27,71 +26,71 @@
 	return r
 }
 
-func TestAllBoxesTakeTheListOfANewEraFromTheOneThatReadIt(t *testing.T) {
+func TestAllBoxesFetchTheListOfANewEraFromTheBoxThatReadIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := startFleet(t, severalGroups, smallLink)
-		for _, b := range f.beliefs {
-			b.ApplySnapshot(time.Now(), snapshot(revision(0, 90), endpoint("i-1", revision(0, 90), false)))
+		f := startFleet(t, severalGroupsBoxes, smallLinkBytesPerSecond)
+		for _, state := range f.states {
+			state.ApplySnapshot(time.Now(), snapshot(revision(0, 90), endpoint("i-1", revision(0, 90), false)))
 		}
-		f.beliefs[4].ApplySnapshot(time.Now(), snapshot(revision(1, 70), endpoint("i-2", revision(1, 65), false)))
+		f.states[4].ApplySnapshot(time.Now(), snapshot(revision(1, 70), endpoint("i-2", revision(1, 65), false)))
 		time.Sleep(1500 * time.Millisecond)
-		for _, b := range f.beliefs {
-			g.Expect(b.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
-			g.Expect(b.View().IsAvailable("i-2")).To(gomega.BeTrue())
-			g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue(), "what the copy lacks has its time to come back")
+		for _, state := range f.states {
+			g.Expect(state.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
+			g.Expect(state.View().IsAvailable("i-2")).To(gomega.BeTrue())
+			g.Expect(state.View().IsAvailable("i-1")).To(gomega.BeTrue(), "the grace period has not ended")
 		}
 	})
 }
 
-// A box that hears of the new era from a peer has no reader to tell it that the time of
-// what the copy lacks is over.
-func TestWhatACopyLacksIsGivenUpByBoxesThatHeardOfItFromOthers(t *testing.T) {
+// A box that learns of a new era from a peer isn't told when the grace period ends, so it must
+// apply its own.
+func TestBoxesDropWhatARestoredStoreLacksWhenTheyLearnOfItFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewState()
-	b.ApplySnapshot(now, zoned(revision(0, 10), drain("zone-b", revision(0, 9))))
-	b.ApplyPeerState(now, "peer", fleet.PeerState{
+	state := fleet.NewState()
+	state.ApplySnapshot(now, zonedSnapshot(revision(0, 10), drainedZone("zone-b", revision(0, 9))))
+	state.ApplyPeerState(now, "peer", fleet.PeerState{
 		ListRevision: revision(1, 5),
 		Endpoints:    []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
-		Zones:        []routing.ZoneDrain{drain("zone-b", revision(0, 9))},
+		Zones:        []routing.ZoneDrain{drainedZone("zone-b", revision(0, 9))},
 	})
-	b.DropExpired(now.Add(time.Second))
-	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeTrue())
-	g.Expect(b.View().Drained("zone-b")).To(gomega.BeTrue())
-	b.DropExpired(now.Add(3 * time.Second))
-	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
-	g.Expect(b.View().IsAvailable("i-new")).To(gomega.BeTrue())
-	g.Expect(b.View().Drained("zone-b")).To(gomega.BeFalse())
+	state.DropExpired(now.Add(time.Second))
+	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeTrue())
+	g.Expect(state.View().Drained("zone-b")).To(gomega.BeTrue())
+	state.DropExpired(now.Add(3 * time.Second))
+	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeFalse())
+	g.Expect(state.View().IsAvailable("i-new")).To(gomega.BeTrue())
+	g.Expect(state.View().Drained("zone-b")).To(gomega.BeFalse())
 }
 
-func TestABoxThatKnowsANewerEraBelievesNothingOfAnOlderOne(t *testing.T) {
+func TestBoxInANewerEraIgnoresAnOlderOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewState()
-	b.ApplySnapshot(now, snapshot(revision(2, 5), endpoint("i-1", revision(2, 5), false)))
-	before := b.View().ConfirmedAt
+	state := fleet.NewState()
+	state.ApplySnapshot(now, snapshot(revision(2, 5), endpoint("i-1", revision(2, 5), false)))
+	before := state.View().ConfirmedAt
 	later := now.Add(time.Second)
 	old := endpoint("i-old", revision(1, 900), false)
-	b.ApplySnapshot(later, snapshot(revision(1, 900), old))
-	b.ApplyUpdate(later, "peer", fleet.Update{
+	state.ApplySnapshot(later, snapshot(revision(1, 900), old))
+	state.ApplyUpdate(later, "peer", fleet.Update{
 		BaseRevision: revision(1, 899),
 		ListRevision: revision(1, 900),
 		Updated:      []routing.Endpoint{old},
 		Removed:      []fleet.Removal{{Name: "i-1", Revision: revision(1, 900)}},
-		Zones:        []routing.ZoneDrain{drain("zone-a", revision(1, 900))},
+		Zones:        []routing.ZoneDrain{drainedZone("zone-a", revision(1, 900))},
 	})
-	b.ApplyPeerState(later, "peer", fleet.PeerState{
+	state.ApplyPeerState(later, "peer", fleet.PeerState{
 		ListRevision: revision(1, 900),
 		Endpoints:    []routing.Endpoint{old},
 	})
-	b.Confirm(later, revision(1, 900), 0)
-	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
-	g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue())
-	g.Expect(b.View().ConfirmedAt).To(gomega.Equal(before))
+	state.Confirm(later, revision(1, 900), 0)
+	g.Expect(state.View().IsAvailable("i-old")).To(gomega.BeFalse())
+	g.Expect(state.View().IsAvailable("i-1")).To(gomega.BeTrue())
+	g.Expect(state.View().ConfirmedAt).To(gomega.Equal(before))
 }
 
-func TestAnEndpointIsNotColdAgainBecauseItsEntryIsReadInALaterEra(t *testing.T) {
+func TestEndpointIsNotColdAgainWhenItsEntryIsReadInALaterEra(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	cold := func(era uint64) routing.Endpoint {
@@ -99,45 +98,45 @@
 		e.ColdFor = 5 * time.Second
 		return e
 	}
-	b := fleet.NewState()
-	b.ApplySnapshot(now, snapshot(revision(0, 5), cold(0)))
+	state := fleet.NewState()
+	state.ApplySnapshot(now, snapshot(revision(0, 5), cold(0)))
 	later := now.Add(6 * time.Second)
-	b.ApplySnapshot(later, snapshot(revision(1, 5), cold(1)))
-	e, _ := b.View().Endpoint("i-1")
+	state.ApplySnapshot(later, snapshot(revision(1, 5), cold(1)))
+	e, _ := state.View().Endpoint("i-1")
 	g.Expect(e.ColdAt(later)).To(gomega.BeFalse())
 }
 
-// drawnStore is a store with eras in a few lines.
-type drawnStore struct {
-	era     uint64
-	number  uint64
-	entries map[string]routing.Endpoint
-	kept    map[string]routing.Endpoint // the copy
-	keptAt  uint64
+// modelStore is a minimal model of a store with eras.
+type modelStore struct {
+	era          uint64
+	number       uint64
+	entries      map[string]routing.Endpoint
+	backup       map[string]routing.Endpoint
+	backupNumber uint64
 }
 
-func (s *drawnStore) next() routing.Revision {
+func (s *modelStore) nextRevision() routing.Revision {
 	s.number++
 	return revision(s.era, s.number)
 }
 
-// comeBack returns from the copy, whose entries are read with the new era.
-func (s *drawnStore) comeBack() {
+// restoreBackup restores the backup, whose entries belong to the new era.
+func (s *modelStore) restoreBackup() {
 	s.era++
-	s.number = s.keptAt
-	s.entries = maps.Clone(s.kept)
+	s.number = s.backupNumber
+	s.entries = maps.Clone(s.backup)
 	for name, e := range s.entries {
 		e.Revision = revision(s.era, e.Revision.Number())
 		s.entries[name] = e
 	}
 }
 
-func (s *drawnStore) snapshot() *fleet.Snapshot {
+func (s *modelStore) snapshot() *fleet.Snapshot {
 	return snapshot(revision(s.era, s.number), slices.Collect(maps.Values(s.entries))...)
 }
 
-// give tells a box what another one has that is newer.
-func give(now time.Time, from, to *fleet.State) {
+// transferState sends one box's newer state to another.
+func transferState(now time.Time, from, to *fleet.State) {
 	has := from.View()
 	wants := to.View()
 	if !has.HasEndpointList || has.ListRevision <= wants.ListRevision {
@@ -152,7 +151,7 @@
 		v.Partial = true
 		v.Endpoints, v.Removed = updated, removed
 	} else {
-		for _, name := range drawnNames {
+		for _, name := range endpointNames {
 			if e, ok := has.Endpoint(name); ok {
 				v.Endpoints = append(v.Endpoints, e)
 			}
@@ -161,59 +160,59 @@
 	to.ApplyPeerState(now, "peer", v)
 }
 
-var drawnNames = []string{"i-1", "i-2", "i-3", "i-4"}
+var endpointNames = []string{"i-1", "i-2", "i-3", "i-4"}
 
 func TestAllBoxesEndOnWhatTheStoreSaysInItsNewestEra(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		s := &drawnStore{entries: map[string]routing.Endpoint{}, kept: map[string]routing.Endpoint{}}
+		s := &modelStore{entries: map[string]routing.Endpoint{}, backup: map[string]routing.Endpoint{}}
 		boxes := []*fleet.State{fleet.NewState(), fleet.NewState(), fleet.NewState()}
 		any := func(what string) *fleet.State { return boxes[rapid.IntRange(0, 2).Draw(t, what)] }
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
-			name := rapid.SampledFrom(drawnNames).Draw(t, "name")
+			name := rapid.SampledFrom(endpointNames).Draw(t, "name")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
-				s.entries[name] = endpoint(name, s.next(), false)
+				s.entries[name] = endpoint(name, s.nextRevision(), false)
 			case 2:
-				s.kept, s.keptAt = maps.Clone(s.entries), s.number
+				s.backup, s.backupNumber = maps.Clone(s.entries), s.number
 			case 3:
-				s.comeBack()
+				s.restoreBackup()
 			case 4, 5:
 				any("reads").ApplySnapshot(now, s.snapshot())
 			default:
-				give(now, any("gives"), any("takes"))
+				transferState(now, any("gives"), any("takes"))
 			}
-			for _, b := range boxes {
-				b.DropExpired(now)
+			for _, state := range boxes {
+				state.DropExpired(now)
 			}
 		}
 		boxes[0].ApplySnapshot(now, s.snapshot())
 		for range 2 {
-			give(now, boxes[0], boxes[1])
-			give(now, boxes[1], boxes[2])
+			transferState(now, boxes[0], boxes[1])
+			transferState(now, boxes[1], boxes[2])
 			now = now.Add(5 * time.Second)
-			for _, b := range boxes {
-				b.DropExpired(now)
+			for _, state := range boxes {
+				state.DropExpired(now)
 			}
-			// The store's next change is told as it comes.
-			s.entries["i-4"] = endpoint("i-4", s.next(), false)
+			// The store's next change arrives by watch.
+			s.entries["i-4"] = endpoint("i-4", s.nextRevision(), false)
 			boxes[0].ApplyChanges(now, &fleet.Changes{
 				Revision: revision(s.era, s.number),
 				Updated:  []routing.Endpoint{s.entries["i-4"]},
 			})
 		}
-		give(now, boxes[0], boxes[1])
-		give(now, boxes[1], boxes[2])
-		for i, b := range boxes {
-			for _, name := range drawnNames {
+		transferState(now, boxes[0], boxes[1])
+		transferState(now, boxes[1], boxes[2])
+		for i, state := range boxes {
+			for _, name := range endpointNames {
 				_, published := s.entries[name]
-				if b.View().IsAvailable(name) != published {
-					t.Fatal(fmt.Sprintf("box %d sends to %s: %t, published: %t", i, name, b.View().IsAvailable(name), published))
+				if state.View().IsAvailable(name) != published {
+					t.Fatal(fmt.Sprintf("box %d: %s is available: %t, published: %t", i, name, state.View().IsAvailable(name), published))
 				}
 			}
-			if b.View().ListRevision.Era() != s.era {
-				t.Fatalf("box %d is in era %d of %d", i, b.View().ListRevision.Era(), s.era)
+			if state.View().ListRevision.Era() != s.era {
+				t.Fatalf("box %d is in era %d, want %d", i, state.View().ListRevision.Era(), s.era)
 			}
 		}
 	})
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -16,7 +16,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// envelope is a message as boxes frame it; the body is the fuzzer's.
+// envelope is the frame of a message between boxes, with a fuzzed body.
 type envelope struct {
 	Protocol uint8           `cbor:"1,keyasint"`
 	ID       uint64          `cbor:"2,keyasint,omitempty"`
@@ -25,11 +25,11 @@
 	Body     cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// FuzzMessage lets a box say anything to another one, as each kind of message: the other
-// must go on, answer a greeting, and give new requests to no endpoint without an address.
+// FuzzMessage sends a box arbitrary bodies as each kind of message. The box must survive, still
+// answer gossip, and send no requests to an endpoint without an address.
 func FuzzMessage(f *testing.F) {
 	kinds := []string{
-		fleet.Gossip{}.Kind(), fleet.Update{}.Kind(), fleet.EndRecords{}.Kind(), fleet.Placements{}.Kind(),
+		fleet.Gossip{}.Kind(), fleet.Update{}.Kind(), fleet.CrashRecords{}.Kind(), fleet.Placements{}.Kind(),
 		fleet.Evacuating{}.Kind(), fleet.StateRequest{}.Kind(), fleet.BorrowRequest{}.Kind(),
 	}
 	for i, m := range []any{
@@ -42,7 +42,7 @@
 			Age:     -1,
 		},
 		fleet.Update{ListRevision: 9, Updated: []routing.Endpoint{{ID: "e"}}},
-		fleet.EndRecords{All: []core.CrashRecord{{Cleared: true, Age: 1 << 62}}},
+		fleet.CrashRecords{All: []core.CrashRecord{{Cleared: true, Age: 1 << 62}}},
 		fleet.Placements{All: []fleet.Placement{{Endpoint: "e", Tokens: -1}}},
 		fleet.Evacuating{Endpoint: "e", Runs: []fleet.PendingMove{{ID: "r", CopyTime: -1}}},
 		fleet.StateRequest{ConfigVersion: 1 << 63},
@@ -54,55 +54,55 @@
 		}
 		f.Add(uint8(i), body)
 	}
-	belief, at := fuzzedBox(f)
-	asked := wire.NewPool(wire.NewHandlers())
+	state, at := startFuzzedBox(f)
+	pool := wire.NewPool(wire.NewHandlers())
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
 		if cbor.Wellformed(body) != nil {
 			return
 		}
-		say(t, at, envelope{
+		sendMessage(t, at, envelope{
 			Protocol: 1,
-			ID:       uint64(kind) % 2, // a push, or a question
+			ID:       uint64(kind) % 2, // 0 for a push, 1 for a request
 			Kind:     kinds[int(kind)%len(kinds)],
 			Body:     body,
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if _, err := wire.Request[fleet.Gossip](ctx, asked, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
-			t.Fatalf("no greeting is answered after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
+		if _, err := wire.Request[fleet.Gossip](ctx, pool, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
+			t.Fatalf("no gossip answer after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
 		}
-		for _, e := range belief.View().Serving("s") {
+		for _, e := range state.View().Serving("s") {
 			if !e.Address.IsValid() {
-				t.Fatalf("requests go to an endpoint without an address: %+v", e)
+				t.Fatalf("view serves an endpoint without an address: %+v", e)
 			}
 		}
 	})
 }
 
-// fuzzedBox starts a box with a configuration and a list, and gives its address.
-func fuzzedBox(f *testing.F) (*fleet.State, netip.AddrPort) {
+// startFuzzedBox starts a box with a configuration and a list and returns its state and address.
+func startFuzzedBox(f *testing.F) (*fleet.State, netip.AddrPort) {
 	texts, err := emulator.FreeAddresses(1)
 	if err != nil {
 		f.Fatal(err)
 	}
 	at := netip.MustParseAddrPort(texts[0])
-	belief := fleet.NewState()
-	belief.ApplySnapshot(time.Now(), snapshot(1))
+	state := fleet.NewState()
+	state.ApplySnapshot(time.Now(), snapshot(1))
 	_, err = fleet.NewPeers(core.Peer{
 		Box:     "listens",
 		Address: at,
-	}, nil, belief)
+	}, nil, state)
 	if err != nil {
 		f.Fatal(err)
 	}
-	return belief, at
+	return state, at
 }
 
-// say sends one message on a connection of its own.
-func say(t *testing.T, at netip.AddrPort, e envelope) {
+// sendMessage sends one message on a new connection.
+func sendMessage(t *testing.T, at netip.AddrPort, e envelope) {
 	data, err := cbor.Marshal(e)
 	if err != nil {
-		return // the fuzzer's body is no CBOR
+		return // the body is not valid CBOR
 	}
 	c, _, err := websocket.Dial(t.Context(), "ws://"+at.String()+wire.Path, nil)
 	if err != nil {
@@ -112,7 +112,7 @@
 	if err := c.Write(t.Context(), websocket.MessageBinary, data); err != nil {
 		t.Fatal(err)
 	}
-	// It is handled before the next answer, or the connection is closed for it.
+	// The box handles the message, or closes the connection, before it answers the next request.
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Millisecond)
 	defer cancel()
 	_, _, _ = c.Read(ctx)
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -16,60 +16,60 @@
 )
 
 const (
-	// greetEvery spaces a box's greetings; greetLost does so while the store
-	// is away, when peers are the only source.
-	greetEvery = 250 * time.Millisecond
-	greetLost  = 150 * time.Millisecond
+	// gossipInterval is the average time between a box's gossip exchanges;
+	// storeDownGossipInterval applies while the store is down and peers are the only source.
+	gossipInterval          = 250 * time.Millisecond
+	storeDownGossipInterval = 150 * time.Millisecond
 )
 
-// Peers exchanges views and the roster with other boxes.
+// Peers maintains the roster of boxes and exchanges state with them.
 type Peers struct {
-	give         *giver
-	mu           sync.Mutex // guards all that follows
-	pull         *core.SourceSelector[*wire.Conn]
-	pulling      bool          // whether newer views are asked for
-	ended        chan struct{} // closed when this box greets nobody any more
-	woken        chan struct{} // tells who asks for them that somebody offered some
-	memo         shareMemo
-	roster       *core.Roster
-	settling     *core.PeerDiscovery
-	division     *core.ShareAllocator
-	settled      bool // whether most other boxes are known
-	belief       *State
-	seeds        []netip.AddrPort
-	log          *zap.Logger
-	network      wire.Network
-	handlers     *wire.Handlers
-	pool         *wire.Pool
-	server       *wire.Server
-	group        core.Group
-	fellows      []netip.AddrPort // the other boxes of the group
-	paths        groupPaths       // by which messages reach them
-	strangers    []netip.AddrPort
-	turn         int
-	rotated      time.Time
-	alive        map[string]bool
-	reports      *LoadReports
-	budgets      RetryBudgets
-	quarantine   *Quarantine
-	limits       *Limits
-	look         func()
-	onPlaced     func(time.Time, Placement)
-	onEvacuating func(time.Time, Evacuating)
-	untold       []Placement
-	seen         []newsKey // the news that were handed on last
-	telling      map[netip.AddrPort]bool
+	sender            *stateSender
+	mu                sync.Mutex // guards all fields below
+	sources           *core.SourceSelector[*wire.Conn]
+	fetching          bool          // fetchAll is running
+	stopped           chan struct{} // closed when Run ends
+	wake              chan struct{} // wakes fetchAll after an advertisement
+	lastPreferred     preferredCache
+	roster            *core.Roster
+	discovery         *core.PeerDiscovery
+	rateShares        *core.ShareAllocator
+	discovered        bool // most other boxes are known
+	state             *State
+	seeds             []netip.AddrPort
+	log               *zap.Logger
+	network           wire.Network
+	handlers          *wire.Handlers
+	pool              *wire.Pool
+	server            *wire.Server
+	group             core.Group
+	groupAddresses    []netip.AddrPort // other boxes of the group
+	paths             groupPaths       // paths to the other boxes of the group
+	remotePartners    []netip.AddrPort // boxes of other groups, or seeds, to gossip with and send updates to
+	gossipCount       int              // exchanges begun, for the round robin
+	rotatedAt         time.Time        // last change of remotePartners
+	aliveBoxes        map[string]bool  // by name, as of the last log of roster changes
+	reports           *LoadReports
+	budgets           RetryBudgets
+	quarantine        *Quarantine
+	limits            *Limits
+	checkSuspension   func()
+	onPlacement       func(time.Time, Placement)
+	onEvacuating      func(time.Time, Evacuating)
+	pendingPlacements []Placement             // batched for the next message
+	seenUpdates       []updateKey             // most recent updates, oldest first
+	pushing           map[netip.AddrPort]bool // boxes to which placements are being sent
 }
 
-// PeersOption changes how peers are built.
+// PeersOption configures Peers.
 type PeersOption func(*Peers)
 
-// WithPeersLog gives the log of changes of the roster.
+// WithPeersLog sets the logger.
 func WithPeersLog(log *zap.Logger) PeersOption {
 	return func(p *Peers) { p.log = log }
 }
 
-// WithLoadReports lets greetings carry the engines' reports.
+// WithLoadReports includes the engines' load reports in gossip.
 func WithLoadReports(r *LoadReports) PeersOption {
 	return func(p *Peers) {
 		p.reports = r
@@ -77,59 +77,58 @@
 	}
 }
 
-// WithNetwork gives what the connections between boxes run over; without it, the
-// operating system's.
+// WithNetwork sets the network that connects the boxes. The default is the operating system's.
 func WithNetwork(n wire.Network) PeersOption {
 	return func(p *Peers) { p.network = n }
 }
 
-// WithPlacementHandler is called with each placement of a partner.
-func WithPlacementHandler(onPlaced func(time.Time, Placement)) PeersOption {
-	return func(p *Peers) { p.onPlaced = onPlaced }
+// WithPlacementHandler sets a function that is called with each placement of another box.
+func WithPlacementHandler(onPlacement func(time.Time, Placement)) PeersOption {
+	return func(p *Peers) { p.onPlacement = onPlacement }
 }
 
-// WithSuspensionCheck gives what looks whether the machine was suspended and calls Suspended if it
-// was; it is called before other boxes are told how old anything is.
-func WithSuspensionCheck(look func()) PeersOption {
-	return func(p *Peers) { p.look = look }
+// WithSuspensionCheck sets a function that checks whether the machine was suspended and, if so,
+// calls HandleSuspension. It is called before ages are sent to other boxes.
+func WithSuspensionCheck(checkSuspension func()) PeersOption {
+	return func(p *Peers) { p.checkSuspension = checkSuspension }
 }
 
-// NewPeers listens on the box's own address for others; seeds are addresses to
-// begin with, which may be stale.
-func NewPeers(self core.Peer, seeds []netip.AddrPort, belief *State, options ...PeersOption) (*Peers, error) {
+// NewPeers starts to listen on the box's own address. Seeds are the addresses of boxes to
+// contact first; they may be stale.
+func NewPeers(self core.Peer, seeds []netip.AddrPort, state *State, options ...PeersOption) (*Peers, error) {
 	p := &Peers{
-		roster:       core.NewRoster(self, core.DefaultRosterRules()),
-		settling:     core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
-		division:     core.NewShareAllocator(time.Now(), self.Box, core.DefaultShareRules()),
-		belief:       belief,
-		seeds:        others(seeds, self.Address),
-		log:          zap.NewNop(),
-		alive:        make(map[string]bool),
-		onPlaced:     func(time.Time, Placement) {},
-		onEvacuating: func(time.Time, Evacuating) {},
-		telling:      make(map[netip.AddrPort]bool),
-		pull:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
-		ended:        make(chan struct{}),
-		woken:        make(chan struct{}, 1),
-		network:      wire.Sockets{},
-		quarantine:   NewQuarantine(zap.NewNop()),
-		limits:       NewLimits(zap.NewNop()),
-		look:         func() {},
+		roster:          core.NewRoster(self, core.DefaultRosterRules()),
+		discovery:       core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
+		rateShares:      core.NewShareAllocator(time.Now(), self.Box, core.DefaultShareRules()),
+		state:           state,
+		seeds:           withoutAddress(seeds, self.Address),
+		log:             zap.NewNop(),
+		aliveBoxes:      make(map[string]bool),
+		onPlacement:     func(time.Time, Placement) {},
+		onEvacuating:    func(time.Time, Evacuating) {},
+		pushing:         make(map[netip.AddrPort]bool),
+		sources:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
+		stopped:         make(chan struct{}),
+		wake:            make(chan struct{}, 1),
+		network:         wire.Sockets{},
+		quarantine:      NewQuarantine(zap.NewNop()),
+		limits:          NewLimits(zap.NewNop()),
+		checkSuspension: func() {},
 	}
 	for _, o := range options {
 		o(p)
 	}
-	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.answered), wire.WithNetwork(p.network))
-	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.greeted(c, g), nil })
-	p.give = newGiver(belief, p.log)
-	wire.Answer(p.handlers, p.give.first)
-	wire.Answer(p.handlers, p.give.more)
-	wire.Answer(p.handlers, p.lend)
-	wire.Take(p.handlers, p.heard)
-	wire.Take(p.handlers, p.evacuating)
-	wire.Take(p.handlers, p.newsCame)
-	wire.Take(p.handlers, p.endsTold)
-	wire.Take(p.handlers, p.limitsTold)
+	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.recordSentChunk), wire.WithNetwork(p.network))
+	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.handleGossip(c, g), nil })
+	p.sender = newStateSender(state, p.log)
+	wire.Answer(p.handlers, p.sender.handleStateRequest)
+	wire.Answer(p.handlers, p.sender.handleChunkRequest)
+	wire.Answer(p.handlers, p.handleBorrowRequest)
+	wire.Take(p.handlers, p.handlePlacements)
+	wire.Take(p.handlers, p.handleEvacuating)
+	wire.Take(p.handlers, p.handleUpdate)
+	wire.Take(p.handlers, p.handleCrashRecords)
+	wire.Take(p.handlers, p.handleLimitRecords)
 	p.pool = wire.NewPool(p.handlers)
 	server, err := wire.Listen(self.Address, p.handlers)
 	if err != nil {
@@ -139,38 +138,38 @@
 	return p, nil
 }
 
-// others gives addresses without one's own.
-func others(all []netip.AddrPort, own netip.AddrPort) []netip.AddrPort {
+// withoutAddress returns the addresses without the given one.
+func withoutAddress(all []netip.AddrPort, own netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(all), func(a netip.AddrPort) bool { return a == own })
 }
 
-// SetSeeds replaces the addresses to begin with.
+// SetSeeds replaces the seed addresses.
 func (p *Peers) SetSeeds(seeds []netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.seeds = others(seeds, p.roster.Self().Address)
+	p.seeds = withoutAddress(seeds, p.roster.Self().Address)
 }
 
-// Run greets other boxes until the context ends.
+// Run gossips with other boxes until the context ends.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := greetEvery
-		if p.belief.IsStoreDown() {
-			every = greetLost
+		every := gossipInterval
+		if p.state.IsStoreDown() {
+			every = storeDownGossipInterval
 		}
-		if address, ok := p.nextPartner(time.Now()); ok {
-			go p.greet(ctx, address)
+		if address, ok := p.nextGossipPartner(time.Now()); ok {
+			go p.gossipWith(ctx, address)
 		}
 		Sleep(ctx, every*3/4+rand.N(every/2))
 	}
-	close(p.ended)
+	close(p.stopped)
 	p.server.Close()
 }
 
-// HandleSuspension takes that the machine was suspended for a time, which its steady clock didn't
-// count.
+// HandleSuspension corrects all recorded times and ages after a machine suspension, which the
+// monotonic clock doesn't count.
 func (p *Peers) HandleSuspension(d time.Duration) {
-	p.belief.HandleSuspension(d)
+	p.state.HandleSuspension(d)
 	if p.reports != nil {
 		p.reports.Clear()
 	}
@@ -180,14 +179,14 @@
 	p.roster.HandleSuspension(d)
 }
 
-// tellFellows tells the boxes of the group of something at once, without waiting.
-func (p *Peers) tellFellows(m wire.Message) {
+// broadcastToGroup sends a message to all boxes of the group without waiting.
+func (p *Peers) broadcastToGroup(m wire.Message) {
 	p.mu.Lock()
-	fellows := p.fellows
+	groupAddresses := p.groupAddresses
 	p.mu.Unlock()
-	for _, address := range fellows {
+	for _, address := range groupAddresses {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), greetTime)
+			ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 			defer cancel()
 			if c, err := p.pool.Get(ctx, address); err == nil {
 				_ = c.Push(ctx, m)
@@ -196,16 +195,15 @@
 	}
 }
 
-// MarkLeaving tells the other boxes, with the greetings that follow, that this one
-// is leaving.
+// MarkLeaving makes the following gossip announce that this box is leaving.
 func (p *Peers) MarkLeaving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.roster.MarkLeaving()
 }
 
-// Sharers counts the boxes that share a budget with this one. Before any other
-// box was met, the share is as small as can be, unless there is no other.
+// Sharers returns the number of boxes that share a retry budget. It is huge, and the share thus
+// minimal, until another box was contacted, unless there are no seeds.
 func (p *Peers) Sharers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,10 +213,10 @@
 	return p.roster.Sharers(time.Now())
 }
 
-// Traffic counts the messages that came from other boxes.
+// Traffic returns the number of messages received from other boxes.
 func (p *Peers) Traffic() uint64 { return p.handlers.Traffic().Received.Load() }
 
-// Self gives the name of this box.
+// Self returns this box's name.
 func (p *Peers) Self() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -11,75 +11,74 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// EndRecords is what a box tells its group at once of requests under which endpoints
-// ended.
-type EndRecords struct {
+// CrashRecords is the message that endpoints crashed during requests.
+type CrashRecords struct {
 	All []core.CrashRecord `cbor:"1,keyasint"`
 }
 
-// Kind names the message.
-func (EndRecords) Kind() string { return "end records" }
+// Kind returns the message's kind.
+func (CrashRecords) Kind() string { return "end records" }
 
-// Quarantine is what a box knows, by itself and from others, of requests under which
-// endpoints ended. Within a group word goes to all at once; greetings carry it from group
-// to group, and to boxes that start or were cut off.
+// Quarantine holds the requests that crash endpoints, as observed by this box and others. Changes
+// are broadcast within the group; gossip carries them to other groups and to boxes that start or
+// reconnect.
 type Quarantine struct {
-	mu   sync.Mutex
-	q    *core.Quarantine
-	log  *zap.Logger
-	tell func([]core.CrashRecord)
+	mu        sync.Mutex
+	q         *core.Quarantine
+	log       *zap.Logger
+	broadcast func([]core.CrashRecord)
 }
 
-// NewQuarantine builds one that knows of no end.
+// NewQuarantine returns an empty quarantine.
 func NewQuarantine(log *zap.Logger) *Quarantine {
 	return &Quarantine{
-		q:    core.NewQuarantine(core.DefaultQuarantineRules()),
-		log:  log,
-		tell: func([]core.CrashRecord) {},
+		q:         core.NewQuarantine(core.DefaultQuarantineRules()),
+		log:       log,
+		broadcast: func([]core.CrashRecord) {},
 	}
 }
 
-// Crashed takes the end of an endpoint under a request of this box.
+// Crashed records that an endpoint crashed during a request of this box.
 func (q *Quarantine) Crashed(now time.Time, request core.Digest, endpoint string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.q.Crashed(now, request, endpoint) {
 		return
 	}
-	q.changed(now, request, "own")
+	q.logChange(now, request, "own")
 	if record, ok := q.q.Lookup(now, request); ok {
-		q.tell([]core.CrashRecord{record})
+		q.broadcast([]core.CrashRecord{record})
 	}
 }
 
-// RecordSuccess takes a run of a request that its endpoint survived.
+// RecordSuccess records that an endpoint completed a request without a crash.
 func (q *Quarantine) RecordSuccess(now time.Time, request core.Digest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.q.RecordSuccess(now, request) {
 		return
 	}
-	q.changed(now, request, "own")
+	q.logChange(now, request, "own")
 	if record, ok := q.q.Lookup(now, request); ok {
-		q.tell([]core.CrashRecord{record})
+		q.broadcast([]core.CrashRecord{record})
 	}
 }
 
-// QuarantinedUntil tells whether no endpoint may get a request, and until when.
+// QuarantinedUntil reports whether a request is quarantined, and until when.
 func (q *Quarantine) QuarantinedUntil(now time.Time, request core.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.q.QuarantinedUntil(now, request)
 }
 
-// QuarantinedRequest is a request that no endpoint may get.
+// QuarantinedRequest is a request that must not be sent to any endpoint.
 type QuarantinedRequest struct {
 	Content  core.Digest
-	Ended    []string // the endpoints that ended under it
+	Ended    []string // endpoints that crashed during the request
 	TimeLeft time.Duration
 }
 
-// All gives the requests that no endpoint may get, the last ones first.
+// All returns the quarantined requests, most recent first.
 func (q *Quarantine) All(now time.Time) []QuarantinedRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -95,31 +94,32 @@
 	return all
 }
 
-// sample gives what a greeting tells.
+// sample returns the records for a gossip message.
 func (q *Quarantine) sample(now time.Time) []core.CrashRecord {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.q.Sample(now)
 }
 
-// hear takes what another box told, and gives what the group should hear of it.
-func (q *Quarantine) hear(now time.Time, told []core.CrashRecord, from string) (news, objections []core.CrashRecord) {
-	if len(told) == 0 {
+// merge merges another box's records. It returns those that changed the quarantine, and
+// objections: this box's records of successful runs of requests that the other box counts
+// crashes of.
+func (q *Quarantine) merge(now time.Time, received []core.CrashRecord, from string) (updated, objections []core.CrashRecord) {
+	if len(received) == 0 {
 		return nil, nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	news, objections = q.q.Merge(now, told)
-	for _, t := range news {
-		q.changed(now, t.Request, from)
+	updated, objections = q.q.Merge(now, received)
+	for _, record := range updated {
+		q.logChange(now, record.Request, from)
 	}
-	return news, objections
+	return updated, objections
 }
 
-// changed logs what is believed of a request after news of it. One end alone is logged by
-// the box that saw it: where many servers crash at once, there is one for each request
-// that ran there.
-func (q *Quarantine) changed(now time.Time, request core.Digest, from string) {
+// logChange logs a request's new state. A single crash is logged only by the box that observed
+// it, to bound the log when many servers crash at once.
+func (q *Quarantine) logChange(now time.Time, request core.Digest, from string) {
 	ended := q.q.Crashes(request)
 	if len(ended) == 1 {
 		return
@@ -130,46 +130,46 @@
 		zap.String("from", from),
 	}
 	if until, held := q.q.QuarantinedUntil(now, request); held {
-		q.log.Info("request is kept from endpoints: they end under it", append(fields, zap.Duration("for", until.Sub(now)))...)
+		q.log.Info("request quarantined, endpoints crash during it", append(fields, zap.Duration("for", until.Sub(now)))...)
 		return
 	}
 	if len(ended) == 0 {
-		q.log.Info("an endpoint survived a request, ends under it count no more", fields...)
+		q.log.Info("request completed by an endpoint, its recorded crashes no longer count", fields...)
 		return
 	}
-	q.log.Info("several endpoints ended under a request", fields...)
+	q.log.Info("several endpoints crashed during a request", fields...)
 }
 
-// WithQuarantine shares with others the requests under which endpoints ended.
+// WithQuarantine shares the quarantine with other boxes.
 func WithQuarantine(q *Quarantine) PeersOption {
 	return func(p *Peers) {
 		p.quarantine = q
-		q.tell = p.tellEnds
+		q.broadcast = p.broadcastCrashRecords
 	}
 }
 
-// tellEnds tells the boxes of the group at once: each repeat meanwhile may end another
-// endpoint. Who isn't reached hears it with a greeting.
-func (p *Peers) tellEnds(records []core.CrashRecord) {
-	p.tellFellows(EndRecords{All: records})
+// broadcastCrashRecords sends records to the group at once, since each repeat of the request may
+// crash another endpoint. Boxes that miss the message get the records by gossip.
+func (p *Peers) broadcastCrashRecords(records []core.CrashRecord) {
+	p.broadcastToGroup(CrashRecords{All: records})
 }
 
-// endsTold takes a fellow's word.
-func (p *Peers) endsTold(_ context.Context, _ *wire.Conn, told EndRecords) {
-	_, objections := p.quarantine.hear(time.Now(), told.All, fromPeer)
+// handleCrashRecords merges records from a box of the group.
+func (p *Peers) handleCrashRecords(_ context.Context, _ *wire.Conn, received CrashRecords) {
+	_, objections := p.quarantine.merge(time.Now(), received.All, sourcePeer)
 	if len(objections) > 0 {
-		p.tellEnds(objections)
+		p.broadcastCrashRecords(objections)
 	}
 }
 
-// endsGreeted takes what a greeting told; what comes from another group is handed on in
-// this one.
-func (p *Peers) endsGreeted(told []core.CrashRecord, fellow bool) {
-	news, objections := p.quarantine.hear(time.Now(), told, fromPeer)
-	if !fellow {
-		objections = append(objections, news...)
+// mergeCrashRecords merges records from gossip. Changes from another group are broadcast in this
+// one.
+func (p *Peers) mergeCrashRecords(records []core.CrashRecord, inGroup bool) {
+	updated, objections := p.quarantine.merge(time.Now(), records, sourcePeer)
+	if !inGroup {
+		objections = append(objections, updated...)
 	}
 	if len(objections) > 0 {
-		p.tellEnds(objections)
+		p.broadcastCrashRecords(objections)
 	}
 }
--- /dev/null
+++ b/fleet/startup_test.go
@@ -0,0 +1,110 @@
+package fleet_test
+
+import (
+	"context"
+	"fmt"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/onsi/gomega"
+	"go.uber.org/zap"
+
+	"dillsaddle.example/dillsaddle/fleet"
+	"dillsaddle.example/dillsaddle/routing"
+)
+
+// countingReporter counts load queries and reports idle engines.
+type countingReporter struct{ queries atomic.Int64 }
+
+func (r *countingReporter) Report(_ context.Context, e routing.Endpoint) (routing.Report, error) {
+	r.queries.Add(1)
+	return routing.Report{
+		Endpoint: e.ID,
+		Total:    30000,
+	}, nil
+}
+
+// engineSnapshot returns a configuration with one engine service and a list of engines in the
+// zones of startFleet's boxes.
+func engineSnapshot(engines int) *fleet.Snapshot {
+	s := &fleet.Snapshot{
+		Revision: 2,
+		Document: &routing.Document{
+			Version: 2,
+			Services: []routing.Service{{
+				Name:   "s",
+				Engine: &routing.Engine{Slots: 8},
+			}},
+		},
+	}
+	for i := range engines {
+		e := endpoint(fmt.Sprintf("e-%02d", i), 2, false)
+		e.Zone = fmt.Sprintf("zone-%d", i%2)
+		s.Endpoints = append(s.Endpoints, e)
+	}
+	return s
+}
+
+// A starting box that knows no peers yet must not take itself for the one that queries all
+// engines, or boxes that start together overload them.
+func TestBoxesThatStartTogetherQueryEachEngineOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g := gomega.NewWithT(t)
+		const engines = 24
+		reporter := &countingReporter{}
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		var all []*fleet.LoadReports
+		launchFleet(t, 72, 20*smallLinkBytesPerSecond, func(state *fleet.State) *fleet.LoadReports {
+			state.ApplySnapshot(time.Now(), engineSnapshot(engines))
+			r := fleet.NewLoadReports(reporter, state, zap.NewNop(), func(time.Time, routing.Report) {})
+			all = append(all, r)
+			return r
+		})
+		for _, r := range all {
+			go r.Run(ctx)
+		}
+		const looked = 8 * time.Second
+		usual := 5 * engines * looked.Seconds()
+		time.Sleep(looked)
+		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically("<", usual))
+		before := reporter.queries.Load()
+		time.Sleep(looked)
+		g.Expect(reporter.queries.Load()-before).To(gomega.BeNumerically("~", usual, usual/10), "in steady state")
+		cancel()
+		time.Sleep(time.Second)
+	})
+}
+
+// Boxes whose seed starts last know no peers for seconds. They must not conclude that they are
+// alone and query every engine.
+func TestBoxesThatWaitForTheirSeedQueryNoEngine(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g := gomega.NewWithT(t)
+		const engines, boxes = 24, 12
+		reporter := &countingReporter{}
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		var all []*fleet.LoadReports
+		f := launchFleet(t, 0, 20*smallLinkBytesPerSecond, func(state *fleet.State) *fleet.LoadReports {
+			state.ApplySnapshot(time.Now(), engineSnapshot(engines))
+			r := fleet.NewLoadReports(reporter, state, zap.NewNop(), func(time.Time, routing.Report) {})
+			all = append(all, r)
+			return r
+		})
+		for box := 1; box < boxes; box++ {
+			f.start(box)
+			go all[box-1].Run(ctx)
+		}
+		time.Sleep(3 * time.Second)
+		g.Expect(reporter.queries.Load()).To(gomega.BeZero())
+		f.start(0)
+		go all[boxes-1].Run(ctx)
+		time.Sleep(3 * time.Second)
+		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically(">", 0))
+		cancel()
+		time.Sleep(time.Second)
+	})
+}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -11,46 +11,44 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// View is what the box believes at one moment; it doesn't change.
+// View is an immutable snapshot of the box's state.
 type View struct {
-	Table           *routing.Table                // nil before a configuration is known
-	HasEndpointList bool                          // whether the endpoints were ever read
-	ListRevision    routing.Revision              // the store's revision at the last change of the list
-	ConfirmedAt     time.Time                     // when the store last said that this is all
-	Zones           []routing.ZoneDrain           // what is known of zones, by name
+	Table           *routing.Table                // active configuration; nil before one is known
+	HasEndpointList bool                          // false until the first list arrived
+	ListRevision    routing.Revision              // store revision of the list's last change
+	ConfirmedAt     time.Time                     // when the list was last known to be complete
+	Zones           []routing.ZoneDrain           // known zone states, sorted by zone
 	byService       map[string][]routing.Endpoint // sorted by id
-	byID            [viewParts]map[string]routing.Endpoint
+	byID            [shardCount]map[string]routing.Endpoint
 }
 
-// viewParts is into how many parts a view's endpoints fall: the next view shares
-// all parts in which nothing changed. Of thousands of endpoints a part holds
-// some tens, so that a change of one copies no more; a whole view of 3,000 took
-// some milliseconds.
-const viewParts = 64
+// shardCount is the number of shards of a view's endpoint map. A new view shares all unmodified
+// shards with the one before, so that a change copies only a few dozen of thousands of entries.
+const shardCount = 64
 
-func partOf(id string) uint64 { return xxhash.Sum64String(id) % viewParts }
+func shardOf(id string) uint64 { return xxhash.Sum64String(id) % shardCount }
 
-// Drained tells whether the operator wants a zone's endpoints to get no new requests.
+// Drained reports whether the operator has drained a zone, so that its endpoints get no new requests.
 func (v *View) Drained(zone string) bool {
 	return slices.ContainsFunc(v.Zones, func(z routing.ZoneDrain) bool { return z.Zone == zone && z.Drained })
 }
 
-// Serving gives the endpoints of a service that may get new requests, by id.
+// Serving returns the endpoints of a service that may get new requests, sorted by id.
 func (v *View) Serving(service string) []routing.Endpoint { return v.byService[service] }
 
-// Endpoint gives an endpoint by the id of its incarnation, while it is known.
+// Endpoint returns a known endpoint by the id of its incarnation.
 func (v *View) Endpoint(id string) (routing.Endpoint, bool) {
-	e, ok := v.byID[partOf(id)][id]
+	e, ok := v.byID[shardOf(id)][id]
 	return e, ok
 }
 
-// IsAvailable tells whether an endpoint may get a new request.
+// IsAvailable reports whether an endpoint may get new requests.
 func (v *View) IsAvailable(id string) bool {
 	e, ok := v.Endpoint(id)
 	return ok && !e.Leaving && !v.Drained(e.Zone)
 }
 
-// EngineCount counts the model engines that may get new requests.
+// EngineCount returns the number of model engines that may get new requests.
 func (v *View) EngineCount() int {
 	if v.Table == nil {
 		return 0
@@ -64,7 +62,7 @@
 	return n
 }
 
-// ConfigVersion gives the version in force, or 0.
+// ConfigVersion returns the active configuration's version, or 0.
 func (v *View) ConfigVersion() uint64 {
 	if v.Table == nil {
 		return 0
@@ -72,86 +70,85 @@
 	return v.Table.Version()
 }
 
-// all gives every endpoint that is known, in no order.
-func (v *View) all() []routing.Endpoint {
+// endpoints returns all known endpoints in no particular order.
+func (v *View) endpoints() []routing.Endpoint {
 	var out []routing.Endpoint
-	for _, part := range v.byID {
-		out = slices.AppendSeq(out, maps.Values(part))
+	for _, shard := range v.byID {
+		out = slices.AppendSeq(out, maps.Values(shard))
 	}
 	return out
 }
 
-// next gives a view with some entries as they are now; it shares the rest with
-// this one.
-func (v *View) next(zones []routing.ZoneDrain, touched map[string]string, now func(id string) (routing.Endpoint, bool)) *View {
-	n := &viewEdit{
-		View:     *v,
-		services: make(map[string]bool),
-		parts:    make(map[uint64]bool),
+// next returns a new view with the modified entries replaced; it shares all else with this one.
+func (v *View) next(zones []routing.ZoneDrain, modified map[string]string, lookup func(id string) (routing.Endpoint, bool)) *View {
+	b := &viewBuilder{
+		View:        *v,
+		ownServices: make(map[string]bool),
+		ownShards:   make(map[uint64]bool),
 	}
-	n.Zones = zones
-	n.byService = maps.Clone(v.byService)
-	if n.byService == nil {
-		n.byService = make(map[string][]routing.Endpoint)
+	b.Zones = zones
+	b.byService = maps.Clone(v.byService)
+	if b.byService == nil {
+		b.byService = make(map[string][]routing.Endpoint)
 	}
-	for id := range touched {
+	for id := range modified {
 		if e, had := v.Endpoint(id); had {
-			delete(n.part(id), id)
-			n.own(e.Service)
+			delete(b.shard(id), id)
+			b.ownService(e.Service)
 		}
 	}
-	for service := range n.services {
-		n.byService[service] = slices.DeleteFunc(n.byService[service], func(e routing.Endpoint) bool {
-			_, changed := touched[e.ID]
+	for service := range b.ownServices {
+		b.byService[service] = slices.DeleteFunc(b.byService[service], func(e routing.Endpoint) bool {
+			_, changed := modified[e.ID]
 			return changed
 		})
 	}
-	for id := range touched {
-		if e, has := now(id); has {
-			n.part(id)[id] = e
-			n.add(e)
+	for id := range modified {
+		if e, has := lookup(id); has {
+			b.shard(id)[id] = e
+			b.add(e)
 		}
 	}
-	for service := range n.services {
-		slices.SortFunc(n.byService[service], compareIDs)
+	for service := range b.ownServices {
+		slices.SortFunc(b.byService[service], compareIDs)
 	}
-	return &n.View
+	return &b.View
 }
 
 func compareIDs(a, b routing.Endpoint) int { return cmp.Compare(a.ID, b.ID) }
 
-// viewEdit is a view in the making, with what it doesn't share any more.
-type viewEdit struct {
+// viewBuilder is a view under construction. It records which parts are already copied.
+type viewBuilder struct {
 	View
-	services map[string]bool
-	parts    map[uint64]bool
+	ownServices map[string]bool
+	ownShards   map[uint64]bool
 }
 
-// part gives the part of an id, to be changed.
-func (n *viewEdit) part(id string) map[string]routing.Endpoint {
-	at := partOf(id)
-	if !n.parts[at] {
-		n.parts[at] = true
-		n.byID[at] = maps.Clone(n.byID[at])
-		if n.byID[at] == nil {
-			n.byID[at] = make(map[string]routing.Endpoint)
+// shard returns the shard of an id as a copy that may be modified.
+func (b *viewBuilder) shard(id string) map[string]routing.Endpoint {
+	at := shardOf(id)
+	if !b.ownShards[at] {
+		b.ownShards[at] = true
+		b.byID[at] = maps.Clone(b.byID[at])
+		if b.byID[at] == nil {
+			b.byID[at] = make(map[string]routing.Endpoint)
 		}
 	}
-	return n.byID[at]
+	return b.byID[at]
 }
 
-// own makes a service's endpoints this view's own.
-func (n *viewEdit) own(service string) {
-	if !n.services[service] {
-		n.services[service] = true
-		n.byService[service] = slices.Clone(n.byService[service])
+// ownService copies a service's endpoints so that they may be modified.
+func (b *viewBuilder) ownService(service string) {
+	if !b.ownServices[service] {
+		b.ownServices[service] = true
+		b.byService[service] = slices.Clone(b.byService[service])
 	}
 }
 
-func (n *viewEdit) add(e routing.Endpoint) {
-	if e.Leaving || !e.Usable() || n.Drained(e.Zone) {
+func (b *viewBuilder) add(e routing.Endpoint) {
+	if e.Leaving || !e.Usable() || b.Drained(e.Zone) {
 		return
 	}
-	n.own(e.Service)
-	n.byService[e.Service] = append(n.byService[e.Service], e)
+	b.ownService(e.Service)
+	b.byService[e.Service] = append(b.byService[e.Service], e)
 }
