--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -110,7 +110,7 @@
 		sources:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
 		stopped:         make(chan struct{}),
 		wake:            make(chan struct{}, 1),
-		network:         wire.Sockets{},
+		network:         wire.TCPNetwork{},
 		quarantine:      NewQuarantine(zap.NewNop()),
 		limits:          NewLimits(zap.NewNop()),
 		checkSuspension: func() {},
@@ -118,17 +118,17 @@
 	for _, o := range options {
 		o(p)
 	}
-	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.recordSentChunk), wire.WithNetwork(p.network))
-	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.handleGossip(c, g), nil })
+	p.handlers = wire.NewHandlers(wire.WithOnAnswerSent(p.recordSentChunk), wire.WithNetwork(p.network))
+	wire.HandleRequest(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.handleGossip(c, g), nil })
 	p.sender = newStateSender(state, p.log)
-	wire.Answer(p.handlers, p.sender.handleStateRequest)
-	wire.Answer(p.handlers, p.sender.handleChunkRequest)
-	wire.Answer(p.handlers, p.handleBorrowRequest)
-	wire.Take(p.handlers, p.handlePlacements)
-	wire.Take(p.handlers, p.handleEvacuating)
-	wire.Take(p.handlers, p.handleUpdate)
-	wire.Take(p.handlers, p.handleCrashRecords)
-	wire.Take(p.handlers, p.handleLimitRecords)
+	wire.HandleRequest(p.handlers, p.sender.handleStateRequest)
+	wire.HandleRequest(p.handlers, p.sender.handleChunkRequest)
+	wire.HandleRequest(p.handlers, p.handleBorrowRequest)
+	wire.HandlePush(p.handlers, p.handlePlacements)
+	wire.HandlePush(p.handlers, p.handleEvacuating)
+	wire.HandlePush(p.handlers, p.handleUpdate)
+	wire.HandlePush(p.handlers, p.handleCrashRecords)
+	wire.HandlePush(p.handlers, p.handleLimitRecords)
 	p.pool = wire.NewPool(p.handlers)
 	server, err := wire.Listen(self.Address, p.handlers)
 	if err != nil {
@@ -214,7 +214,7 @@
 }
 
 // Traffic returns the number of messages received from other boxes.
-func (p *Peers) Traffic() uint64 { return p.handlers.Traffic().Received.Load() }
+func (p *Peers) Traffic() uint64 { return p.handlers.Traffic().ReceivedMessages.Load() }
 
 // Self returns this box's name.
 func (p *Peers) Self() string {
--- a/fleet/transfer_metrics.go
+++ b/fleet/transfer_metrics.go
@@ -18,12 +18,12 @@
 )
 
 // recordSentChunk updates the metrics of sent state.
-func (p *Peers) recordSentChunk(a wire.Answered) {
+func (p *Peers) recordSentChunk(a wire.SentAnswer) {
 	if a.Kind != (Chunk{}).Kind() {
 		return
 	}
 	sentStateBytes.Add(a.Bytes)
-	chunkSendTime.Update(a.Took.Seconds())
+	chunkSendTime.Update(a.WriteTime.Seconds())
 }
 
 // recordFetchedState updates the metrics of fetched state and logs fetched configurations.
