--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -74,7 +74,7 @@
 // QuarantinedRequest is a request that must not be sent to any endpoint.
 type QuarantinedRequest struct {
 	Content  core.Digest
-	Ended    []string // endpoints that crashed during the request
+	Crashed  []string // endpoints that crashed during the request
 	TimeLeft time.Duration
 }
 
@@ -87,7 +87,7 @@
 		until, _ := q.q.QuarantinedUntil(now, request)
 		all = append(all, QuarantinedRequest{
 			Content:  request,
-			Ended:    q.q.Crashes(request),
+			Crashed:  q.q.Crashes(request),
 			TimeLeft: until.Sub(now),
 		})
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -50,7 +50,7 @@
 func (p *proxiedRequest) awaitEndpointCheck() {
 	select {
 	case <-p.startEndpointCheck():
-	case <-time.After(engine.EndPatience):
+	case <-time.After(engine.CrashProbeWait):
 	}
 }
 
@@ -91,7 +91,7 @@
 	return listed && !e.Leaving
 }
 
-func (p *proxiedRequest) recordCrash(r run, presence engine.Presence) {
+func (p *proxiedRequest) recordCrash(r run, presence engine.PortState) {
 	p.gateway.counters.crashes.Inc()
 	p.logAsync("endpoint crashed during a request",
 		zap.String("endpoint", r.endpoint.ID),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,7 +51,7 @@
 	budgets            map[string]*core.SharedBudget       // retry budgets, by service
 	streams            map[string]map[*proxiedRequest]bool // running streams, by endpoint ID
 	evacuations        map[string]*evacuation              // by the leaving endpoint's ID
-	presences          *engine.Presences
+	presences          *engine.CrashProber
 	quarantine         *fleet.Quarantine
 	checkSuspension    func()
 	bufferedBytes      atomic.Int64
@@ -149,7 +149,7 @@
 		streams:        make(map[string]map[*proxiedRequest]bool),
 
 		evacuations:     make(map[string]*evacuation),
-		presences:       engine.NewPresences(),
+		presences:       engine.NewCrashProber(),
 		quarantine:      fleet.NewQuarantine(zap.NewNop()),
 		checkSuspension: func() {},
 	}
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -64,7 +64,7 @@
 		FirstProcess: firstProcess,
 	}, append([]gateway.Option{
 		gateway.WithLog(zap.New(observed)),
-		gateway.WithMover(platform.NewEngines()),
+		gateway.WithMover(platform.NewEngineClient()),
 		gateway.WithSuspensionCheck(func() {
 			if b.checkSuspension != nil {
 				b.checkSuspension()
--- a/gateway/throttle.go
+++ b/gateway/throttle.go
@@ -33,7 +33,7 @@
 	Endpoint  string
 	PerSecond float64       // the announced rate limit in requests per second, for all boxes together
 	Limited   bool          // a rate limit was announced
-	Rest      time.Duration // for how much longer this box must not send to it; 0 if it may
+	Backoff   time.Duration // for how much longer this box must not send to it; 0 if it may
 }
 
 // Throttles returns the limits that endpoints asked for, sorted by endpoint ID.
@@ -45,14 +45,14 @@
 			Endpoint:  limit.Endpoint,
 			PerSecond: limit.PerSecond,
 			Limited:   true,
-			Rest:      remaining[limit.Endpoint],
+			Backoff:   remaining[limit.Endpoint],
 		})
 		delete(remaining, limit.Endpoint)
 	}
 	for endpoint, left := range remaining {
 		all = append(all, Throttle{
 			Endpoint: endpoint,
-			Rest:     left,
+			Backoff:  left,
 		})
 	}
 	slices.SortFunc(all, func(a, b Throttle) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
