--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -66,7 +66,7 @@
 	f := &testFleet{network: n}
 	seed := netip.AddrPortFrom(boxAddr(0), 8000)
 	f.start = func(i int) {
-		n.Join(boxAddr(i), bytesPerSecond)
+		n.AddHost(boxAddr(i), bytesPerSecond)
 		state := fleet.NewState()
 		state.ApplySnapshot(time.Now(), snapshot(1))
 		q := fleet.NewQuarantine(zap.NewNop())
@@ -77,7 +77,7 @@
 			Address:    netip.AddrPortFrom(boxAddr(i), 8000),
 			Zone:       fmt.Sprintf("zone-%d", i%2),
 			InstanceID: uint64(i + 1),
-		}, []netip.AddrPort{seed}, state, append(loadReportsOptions(reports(state)), fleet.WithNetwork(n.At(boxAddr(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
+		}, []netip.AddrPort{seed}, state, append(loadReportsOptions(reports(state)), fleet.WithNetwork(n.ForHost(boxAddr(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
 			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { received.Add(1) }))...)
 		if err != nil {
 			t.Fatal(err)
@@ -189,7 +189,7 @@
 		f := startFleet(t, 18, smallLinkBytesPerSecond)
 		f.applyFromStore(0, randomDocument(7, 2850))
 		time.Sleep(30 * time.Millisecond)
-		f.network.Silence(boxAddr(0))
+		f.network.SilenceHost(boxAddr(0))
 		f.applyFromStore(1, randomDocument(7, 2850))
 		time.Sleep(propagationLimit - 30*time.Millisecond)
 		g.Expect(f.countWithoutVersion(7)).To(gomega.BeZero(), "boxes without the configuration after %v", propagationLimit)
--- a/gateway/faults_test.go
+++ b/gateway/faults_test.go
@@ -20,7 +20,7 @@
 	var s *emulator.Server
 	BeforeEach(func() {
 		b = newTestbed()
-		s = b.add("i-1", emulator.Plain)
+		s = b.add("i-1", emulator.PlainService)
 	})
 	post := func(id string) emulator.Outcome {
 		return b.call(http.MethodPost, emulator.CallPath+"x?y=1", id, "body")
@@ -49,20 +49,20 @@
 		Entry("a malformed answer", emulator.Garble),
 		Entry("a success without a signature", emulator.Unsigned),
 		Entry("a body with a content encoding", emulator.Encoded),
-		Entry("a refusal without the not-run mark", emulator.Lies),
+		Entry("a refusal without the not-run mark", emulator.RanButRefused),
 	)
 
 	It("is answered with 503 and Retry-After when the only endpoint refuses it", func() {
 		s.SetFault(emulator.Shed, -1)
 		o := post("d1")
 		Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(o.RetryIn).NotTo(BeEmpty())
+		Expect(o.RetryAfter).NotTo(BeEmpty())
 		Expect(s.Runs()).To(BeEmpty())
 	})
 
 	It("is sent to another endpoint when one refuses it or is unreachable", func() {
-		s.SetFault(emulator.Elsewhere, -1)
-		b.add("i-2", emulator.Plain)
+		s.SetFault(emulator.Misdirected, -1)
+		b.add("i-2", emulator.PlainService)
 		for i := range 6 {
 			Expect(post(fmt.Sprintf("e%d", i)).Status).To(Equal(http.StatusOK))
 		}
@@ -73,14 +73,14 @@
 	})
 
 	It("is answered with 504 at its deadline when the endpoint is silent", func() {
-		s.SetFault(emulator.Mute, 1)
+		s.SetFault(emulator.NoAnswer, 1)
 		o := post("g1")
 		Expect(o.Status).To(Equal(http.StatusGatewayTimeout))
 	})
 
 	It("gets its own answer when an extra one precedes it, and the connection is not reused", func() {
 		Expect(post("h1").Status).To(Equal(http.StatusOK))
-		s.SetFault(emulator.Extra, 1)
+		s.SetFault(emulator.ExtraAnswer, 1)
 		o := post("h2")
 		Expect(o.Status).To(Equal(http.StatusOK))
 		Expect(o.Fault).To(BeEmpty())
@@ -106,7 +106,7 @@
 	})
 
 	It("is answered when the answer comes before a long body was read, and the connection is not reused", func() {
-		s.SetFault(emulator.Early, 1)
+		s.SetFault(emulator.EarlyAnswer, 1)
 		long := strings.Repeat("x", 900<<10)
 		o := b.call(http.MethodPost, emulator.CallPath, "l1", long)
 		Expect(o.Status).To(Equal(http.StatusOK))
@@ -118,7 +118,7 @@
 		for i := range 5 {
 			Expect(post(fmt.Sprintf("m%d", i)).Status).To(Equal(http.StatusOK))
 		}
-		Expect(s.Connections()).To(Equal(1))
+		Expect(s.OpenConnections()).To(Equal(1))
 	})
 })
 
@@ -127,19 +127,19 @@
 	// exhaust the memory for bodies.
 	It("reserve memory as they are read, so that many at once are served", func() {
 		b := newTestbed()
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		s.WorkTime = 200 * time.Millisecond
 		const many = 40
 		statuses := make(chan int, many)
 		for n := range many {
 			go func() {
 				o := b.caller.Do(context.Background(), emulator.Call{
-					ID:       fmt.Sprintf("chunked-%d", n),
-					Method:   http.MethodPost,
-					Path:     emulator.CallPath,
-					Body:     "in chunks",
-					Deadline: 1500 * time.Millisecond,
-					Chunked:  true,
+					ID:        fmt.Sprintf("chunked-%d", n),
+					Method:    http.MethodPost,
+					Path:      emulator.CallPath,
+					Body:      "in chunks",
+					Deadline:  1500 * time.Millisecond,
+					IsChunked: true,
 				})
 				statuses <- o.Status
 			}()
@@ -176,11 +176,11 @@
 var _ = Describe("an endpoint that accepts no connections", func() {
 	It("does not delay requests that another endpoint can take", func() {
 		b := newTestbed()
-		b.add("s-1", emulator.Plain)
+		b.add("s-1", emulator.PlainService)
 		gone, err := emulator.NewServer("s-2", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(gone.Crash)
-		b.deployment.ListAt(gone, unresponsiveAddress(), emulator.Plain, "ready")
+		b.deployment.ListAt(gone, unresponsiveAddress(), emulator.PlainService, "ready")
 		b.refresh()
 		startedAt := time.Now()
 		for i := range 8 {
@@ -202,7 +202,7 @@
 	It("is sent to a second endpoint after a failure, and not to a third", func() {
 		b := newTestbed()
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			b.add(id, emulator.Plain).SetFault(emulator.Fails, -1)
+			b.add(id, emulator.PlainService).SetFault(emulator.InternalError, -1)
 		}
 		o := b.call(http.MethodGet, emulator.RepeatPath, "a1", "")
 		Expect(o.Status).To(Equal(http.StatusInternalServerError))
@@ -215,7 +215,7 @@
 	DescribeTable("is refused at once, and nothing reaches an endpoint",
 		func(path, key string, body string, status int) {
 			b := newTestbed()
-			s := b.add("i-1", emulator.Plain)
+			s := b.add("i-1", emulator.PlainService)
 			b.caller = emulator.NewCaller(b.address, key)
 			Expect(b.call(http.MethodPost, path, "a1", body).Status).To(Equal(status))
 			Expect(s.Runs()).To(BeEmpty())
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -32,43 +32,43 @@
 			Body:     "prompt",
 			Deadline: 20 * time.Second,
 			Tokens: emulator.Tokens{
-				Prompt: 100,
-				Most:   50,
+				Prompt:    100,
+				MaxOutput: 50,
 			},
-			Forged: true,
+			ForgesHeaders: true,
 		})
 	}
 	stream := func(id string) emulator.Outcome { return streamAt(emulator.StreamPath, id) }
 
 	It("is passed on whole and in order, without headers that a caller must not set", func() {
-		s := b.add("e-1", emulator.Model)
+		s := b.add("e-1", emulator.ModelService)
 		o := stream("a1")
 		Expect(o.Fault).To(BeEmpty())
-		Expect(o.Whole).To(BeTrue())
+		Expect(o.IsComplete).To(BeTrue())
 		Expect(o.Events).To(Equal(s.Events))
-		Expect(s.Runs()[0].Continued).To(BeEmpty())
+		Expect(s.Runs()[0].ResumedFrom).To(BeEmpty())
 	})
 
 	// Copies take memory that runs need, so they are made only while engines crash.
 	It("gets a backup copy after a stream broke off without notice, at this box or another", func() {
-		first := b.add("e-1", emulator.Model)
-		second := b.add("e-2", emulator.Model)
+		first := b.add("e-1", emulator.ModelService)
+		second := b.add("e-2", emulator.ModelService)
 		first.SetFault(emulator.Cut, 1)
 		second.SetFault(emulator.Cut, 1)
-		Expect(stream("n1").Whole).To(BeFalse())
+		Expect(stream("n1").IsComplete).To(BeFalse())
 		Expect(first.Backups() + second.Backups()).To(Equal(0))
 		stream("n2")
 		Expect(first.Backups() + second.Backups()).To(BeNumerically(">", 0))
 
 		other := newTestbed()
-		third := other.add("e-3", emulator.Model)
-		fourth := other.add("e-4", emulator.Model)
+		third := other.add("e-3", emulator.ModelService)
+		fourth := other.add("e-4", emulator.ModelService)
 		other.gateway.HandlePlacement(time.Now(), fleet.Placement{
 			Endpoint:     "e-9",
 			StreamBroken: true,
 		})
 		b = other
-		Expect(stream("n3").Whole).To(BeTrue())
+		Expect(stream("n3").IsComplete).To(BeTrue())
 		Expect(third.Backups() + fourth.Backups()).To(Equal(1))
 	})
 
@@ -77,15 +77,15 @@
 			Endpoint:     "e-9",
 			StreamBroken: true,
 		})
-		first := b.add("e-1", emulator.Model)
-		second := b.add("e-2", emulator.Model)
+		first := b.add("e-1", emulator.ModelService)
+		second := b.add("e-2", emulator.ModelService)
 		first.SetFault(emulator.Cut, 1)
 		second.SetFault(emulator.Cut, 1)
 		o := stream("b1")
 		// The engine that continues it may break off as well; then the stream must not
 		// look complete unless it is.
 		Expect(o.Fault).To(BeEmpty())
-		if o.Whole {
+		if o.IsComplete {
 			Expect(o.Events).To(Equal(first.Events))
 		}
 		Expect(o.Events).To(BeNumerically(">=", 3))
@@ -100,16 +100,16 @@
 					b.gateway.ReceiveTransfer(time.Now(), service, transferred)
 				}
 			}))
-			first := b.add("e-1", emulator.Model)
-			first.Events, first.EventGap = 12, eventGap
+			first := b.add("e-1", emulator.ModelService)
+			first.Events, first.EventInterval = 12, eventGap
 			done := make(chan emulator.Outcome, 1)
 			go func() { done <- stream("h1") }()
 			Eventually(first.Runs).Should(HaveLen(1))
-			second, err := b.deployment.Add("e-2", emulator.Model)
+			second, err := b.deployment.Add("e-2", emulator.ModelService)
 			Expect(err).NotTo(HaveOccurred())
 			second.Events = 12
 			b.refresh()
-			b.deployment.List(first, emulator.Model, "draining")
+			b.deployment.List(first, emulator.ModelService, "draining")
 			b.refresh()
 			if transferred == 0 {
 				// It stays at its engine until that crashes.
@@ -118,7 +118,7 @@
 			}
 			o := <-done
 			Expect(o.Fault).To(BeEmpty())
-			Expect(o.Whole).To(Equal(transferred > 0))
+			Expect(o.IsComplete).To(Equal(transferred > 0))
 			Expect(o.Events).To(BeNumerically(">=", 3))
 			Expect(second.Runs()).To(HaveLen(min(transferred, 1)))
 		},
@@ -127,42 +127,42 @@
 	)
 
 	It("is not complete when its engine breaks off and there is no copy", func() {
-		s := b.add("e-1", emulator.Model)
+		s := b.add("e-1", emulator.ModelService)
 		s.SetFault(emulator.Cut, 1)
 		o := stream("c1")
-		Expect(o.Whole).To(BeFalse())
+		Expect(o.IsComplete).To(BeFalse())
 		Expect(o.Fault).To(BeEmpty())
 		Expect(o.Events).To(Equal(2))
 	})
 
 	It("that is resumable resumes in a new run when there is no copy", func() {
-		first := b.add("e-1", emulator.Model)
-		first.EventGap = eventGap
+		first := b.add("e-1", emulator.ModelService)
+		first.EventInterval = eventGap
 		first.SetFault(emulator.Cut, 1)
 		done := make(chan emulator.Outcome, 1)
 		go func() { done <- streamAt(emulator.ResumePath, "r1") }()
 		Eventually(first.Runs).Should(HaveLen(1))
-		second := b.add("e-2", emulator.Model)
+		second := b.add("e-2", emulator.ModelService)
 		o := <-done
 		Expect(o.Fault).To(BeEmpty())
-		Expect(o.Whole).To(BeTrue())
+		Expect(o.IsComplete).To(BeTrue())
 		Expect(o.Events).To(Equal(first.Events))
 		Expect(second.Runs()).To(HaveLen(1))
-		Expect(second.Runs()[0].Continued).To(BeEmpty())
+		Expect(second.Runs()[0].ResumedFrom).To(BeEmpty())
 	})
 
 	// Guards against holding a request at a silent engine until its caller leaves or its
 	// deadline passes.
 	It("that is resumable is sent to another engine when its first event is overdue", func() {
-		first := b.add("e-1", emulator.Model)
-		b.add("e-2", emulator.Model)
+		first := b.add("e-1", emulator.ModelService)
+		b.add("e-2", emulator.ModelService)
 		for _, id := range []string{"o1", "o2", "o3"} {
-			Expect(streamAt(emulator.ResumePath, id).Whole).To(BeTrue())
+			Expect(streamAt(emulator.ResumePath, id).IsComplete).To(BeTrue())
 		}
-		first.SetFault(emulator.Silent, 100)
+		first.SetFault(emulator.SilentStream, 100)
 		startedAt := time.Now()
 		for _, id := range []string{"o4", "o5", "o6", "o7"} {
-			Expect(streamAt(emulator.ResumePath, id).Whole).To(BeTrue())
+			Expect(streamAt(emulator.ResumePath, id).IsComplete).To(BeTrue())
 		}
 		Expect(time.Since(startedAt)).To(BeNumerically("<", 10*time.Second))
 	})
@@ -171,33 +171,33 @@
 	// stream is complete, and returns the engine that took it over.
 	moveOnDrain := func(id string, first *emulator.Server, events int, laterGap time.Duration) *emulator.Server {
 		before := len(first.Runs())
-		first.Events, first.EventGap = events, eventGap
+		first.Events, first.EventInterval = events, eventGap
 		done := make(chan emulator.Outcome, 1)
 		go func() { done <- stream(id) }()
 		Eventually(first.Runs).Should(HaveLen(before + 1))
-		second, err := b.deployment.Add("e-2", emulator.Model)
+		second, err := b.deployment.Add("e-2", emulator.ModelService)
 		Expect(err).NotTo(HaveOccurred())
-		second.Events, second.EventGap = events, laterGap
+		second.Events, second.EventInterval = events, laterGap
 		b.refresh()
-		b.deployment.List(first, emulator.Model, "draining")
+		b.deployment.List(first, emulator.ModelService, "draining")
 		b.refresh()
 		o := <-done
 		Expect(o.Fault).To(BeEmpty())
-		Expect(o.Whole).To(BeTrue())
+		Expect(o.IsComplete).To(BeTrue())
 		Expect(o.Events).To(Equal(events))
 		Expect(second.Runs()).To(HaveLen(1))
 		return second
 	}
 
 	It("is moved without a gap when its engine leaves", func() {
-		second := moveOnDrain("d1", b.add("e-1", emulator.Model), 12, time.Millisecond)
-		Expect(second.Runs()[0].Continued).NotTo(BeEmpty())
+		second := moveOnDrain("d1", b.add("e-1", emulator.ModelService), 12, time.Millisecond)
+		Expect(second.Runs()[0].ResumedFrom).NotTo(BeEmpty())
 	})
 
 	// Guards against giving up after a few refused moves while the engine has time left.
 	DescribeTable("is moved even if the first moves fail, while its engine is there,",
 		func(statuses ...int) {
-			first := b.add("e-1", emulator.Model)
+			first := b.add("e-1", emulator.ModelService)
 			first.FailMoves(statuses...)
 			moveOnDrain("g1", first, 60, time.Millisecond)
 		},
@@ -213,16 +213,16 @@
 		boxes.Store(math.MaxInt32)
 		b = newTestbedWith(true, gateway.WithBoxes(func() int { return int(boxes.Load()) }))
 		time.AfterFunc(400*time.Millisecond, func() { boxes.Store(3) })
-		second := moveOnDrain("n1", b.add("e-1", emulator.Model), 20, time.Millisecond)
-		Expect(second.Runs()[0].Continued).NotTo(BeEmpty())
+		second := moveOnDrain("n1", b.add("e-1", emulator.ModelService), 20, time.Millisecond)
+		Expect(second.Runs()[0].ResumedFrom).NotTo(BeEmpty())
 	})
 
 	// Guards against leaving the overdue timer running after a continuation.
 	It("is not overdue once events arrive, also after a move", func() {
 		observed, lines := observer.New(zap.InfoLevel)
 		b = newTestbedWith(true, gateway.WithLog(zap.New(observed)))
-		first := b.add("e-1", emulator.Model)
-		Expect(stream("w1").Whole).To(BeTrue())
+		first := b.add("e-1", emulator.ModelService)
+		Expect(stream("w1").IsComplete).To(BeTrue())
 		moveOnDrain("w2", first, 20, eventGap)
 		Expect(lines.FilterMessage("answer overdue").Len()).To(Equal(0))
 	})
@@ -230,27 +230,27 @@
 	// Guards against a noticeable pause while the last copy queues behind another run's.
 	// This one takes longer than handoverTimeout.
 	It("continues from the earlier copy when the last one has to wait", func() {
-		first := b.add("e-1", emulator.Model)
-		first.SlowLast(3 * time.Second)
+		first := b.add("e-1", emulator.ModelService)
+		first.SetLastCopyDelay(3 * time.Second)
 		moveOnDrain("h1", first, 12, time.Millisecond)
 	})
 
 	It("that would outlast a planned stop is refused before it is sent; others are served", func() {
-		s := b.add("e-1", emulator.Model)
-		s.Events, s.EventGap = 12, eventGap
-		Expect(stream("p1").Whole).To(BeTrue())
+		s := b.add("e-1", emulator.ModelService)
+		s.Events, s.EventInterval = 12, eventGap
+		Expect(stream("p1").IsComplete).To(BeTrue())
 		b.gateway.Stop(time.Now().Add(300 * time.Millisecond))
 		o := stream("p2")
 		Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(o.RetryIn).NotTo(BeEmpty())
+		Expect(o.RetryAfter).NotTo(BeEmpty())
 		Expect(s.Runs()).To(HaveLen(1))
 		b.gateway.Stop(time.Now().Add(10 * time.Second))
-		Expect(stream("p3").Whole).To(BeTrue())
+		Expect(stream("p3").IsComplete).To(BeTrue())
 	})
 
 	It("is stopped at its engine when its caller leaves", func() {
-		s := b.add("e-1", emulator.Model)
-		s.Events, s.EventGap = 10_000, time.Millisecond
+		s := b.add("e-1", emulator.ModelService)
+		s.Events, s.EventInterval = 10_000, time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -265,6 +265,6 @@
 		Eventually(s.Runs).Should(HaveLen(1))
 		cancel()
 		<-done
-		Eventually(func() bool { return s.Runs()[0].Dropped }).Should(BeTrue())
+		Eventually(func() bool { return s.Runs()[0].CallerLeft }).Should(BeTrue())
 	})
 })
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -38,31 +38,31 @@
 	}
 
 	It("sends endpoints deadlines from which the suspension is deducted", func() {
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		suspendAtCheck(2, suspended)
 		Expect(call("under-way").Status).To(Equal(http.StatusOK))
 		Expect(deadline(s)).To(BeNumerically("<=", callerTimeout-suspended))
 	})
 
 	It("leaves the deadlines of later requests unchanged", func() {
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		suspendAtCheck(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
 		Expect(deadline(s)).To(BeNumerically(">", callerTimeout-suspended))
 	})
 
 	It("does not send a request whose deadline passed during the suspension", func() {
-		b.add("i-1", emulator.Plain)
+		b.add("i-1", emulator.PlainService)
 		suspendAtCheck(2, 2*callerTimeout)
 		Expect(call("late").Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(b.deployment.Runs()).To(BeEmpty())
 	})
 
 	It("does not reuse connections that were idle during the suspension", func() {
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		Expect(call("before").Status).To(Equal(http.StatusOK))
 		suspendAtCheck(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
-		Expect(s.Accepted()).To(Equal(2))
+		Expect(s.AcceptedConnections()).To(Equal(2))
 	})
 })
--- a/gateway/testbed_test.go
+++ b/gateway/testbed_test.go
@@ -105,11 +105,11 @@
 
 func (b *testbed) call(method, path, id, body string) emulator.Outcome {
 	return b.caller.Do(context.Background(), emulator.Call{
-		ID:       id,
-		Method:   method,
-		Path:     path,
-		Body:     body,
-		Deadline: callerTimeout,
-		Forged:   true,
+		ID:            id,
+		Method:        method,
+		Path:          path,
+		Body:          body,
+		Deadline:      callerTimeout,
+		ForgesHeaders: true,
 	})
 }
