--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -11,32 +11,32 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// stepHome applies an event to the claims' home and carries out what it asks.
-func (s *Scheduler) stepHome(ctx context.Context, ev core.Event) []core.Command {
-	commands := s.stepHomeQuiet(ev)
+// stepClaims applies an event to the claims' home and carries out what it asks.
+func (s *Scheduler) stepClaims(ctx context.Context, ev core.Event) []core.Command {
+	commands := s.applyClaimEvent(ev)
 	for _, command := range commands {
 		switch c := command.(type) {
 		case core.HandoverWanted:
-			go s.askHandover(ctx, c)
+			go s.requestHandover(ctx, c)
 		case core.HandoverSent:
 			if _, asked := ev.(core.HandoverAsked); !asked {
-				go s.giveHandover(ctx, c.Handover)
+				go s.sendHandover(ctx, c.Handover)
 			}
 		}
 	}
 	return commands
 }
 
-func (s *Scheduler) stepHomeQuiet(ev core.Event) []core.Command {
-	s.homeLock.Lock()
-	defer s.homeLock.Unlock()
+func (s *Scheduler) applyClaimEvent(ev core.Event) []core.Command {
+	s.claimsLock.Lock()
+	defer s.claimsLock.Unlock()
 	now := time.Now()
 	s.recorder.Event(now, trace.Home, ev)
-	return s.home.Step(now, ev)
+	return s.claims.Step(now, ev)
 }
 
-func (s *Scheduler) claimAsk(ctx context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
-	for _, command := range s.stepHome(ctx, core.ClaimAsked{
+func (s *Scheduler) handleClaimAsk(ctx context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
+	for _, command := range s.stepClaims(ctx, core.ClaimAsked{
 		Key:         q.Key,
 		Attempt:     q.Attempt,
 		Asker:       q.Asker,
@@ -59,8 +59,8 @@
 	return wire.ClaimAnswer{}, errors.New("the claim got no verdict; ask again")
 }
 
-func (s *Scheduler) claimSettle(ctx context.Context, _ *wire.Conn, q wire.ClaimSettle) (wire.Done, error) {
-	s.stepHome(ctx, core.ClaimSettled{
+func (s *Scheduler) handleClaimSettle(ctx context.Context, _ *wire.Conn, q wire.ClaimSettle) (wire.Done, error) {
+	s.stepClaims(ctx, core.ClaimSettled{
 		Key:      q.Key,
 		Attempt:  q.Attempt,
 		Outcome:  q.Outcome,
@@ -70,8 +70,8 @@
 	return wire.Done{}, nil
 }
 
-func (s *Scheduler) handoverAsk(ctx context.Context, _ *wire.Conn, q wire.HandoverRequest) (wire.HandoverTransfer, error) {
-	for _, command := range s.stepHome(ctx, core.HandoverAsked{
+func (s *Scheduler) handleHandoverAsk(ctx context.Context, _ *wire.Conn, q wire.HandoverRequest) (wire.HandoverTransfer, error) {
+	for _, command := range s.stepClaims(ctx, core.HandoverAsked{
 		From:        q.From,
 		ListVersion: q.ListVersion,
 	}) {
@@ -82,20 +82,20 @@
 	return wire.HandoverTransfer{None: true}, nil
 }
 
-func (s *Scheduler) handoverGive(ctx context.Context, _ *wire.Conn, q wire.HandoverTransfer) (wire.Done, error) {
-	s.takeHandover(ctx, q)
+func (s *Scheduler) handleHandoverGive(ctx context.Context, _ *wire.Conn, q wire.HandoverTransfer) (wire.Done, error) {
+	s.receiveHandover(ctx, q)
 	return wire.Done{}, nil
 }
 
-func (s *Scheduler) takeHandover(ctx context.Context, q wire.HandoverTransfer) {
+func (s *Scheduler) receiveHandover(ctx context.Context, q wire.HandoverTransfer) {
 	if q.None {
 		return
 	}
-	s.owners.told(q.Handover.From.Name, q.Handover.ListVersion, q.Handover.Final)
-	s.stepHome(ctx, core.HandoverArrived{Handover: q.Handover})
+	s.owners.recordAdoption(q.Handover.From.Name, q.Handover.ListVersion, q.Handover.Final)
+	s.stepClaims(ctx, core.HandoverArrived{Handover: q.Handover})
 }
 
-func (s *Scheduler) askHandover(ctx context.Context, c core.HandoverWanted) {
+func (s *Scheduler) requestHandover(ctx context.Context, c core.HandoverWanted) {
 	list := s.state.View().List
 	m := list.Member(c.From)
 	if m == nil {
@@ -108,11 +108,11 @@
 		ListVersion: c.ListVersion,
 	})
 	if err == nil {
-		s.takeHandover(ctx, answer)
+		s.receiveHandover(ctx, answer)
 	}
 }
 
-func (s *Scheduler) giveHandover(ctx context.Context, h core.Handover) {
+func (s *Scheduler) sendHandover(ctx context.Context, h core.Handover) {
 	m := s.state.View().List.Member(h.To)
 	if m == nil {
 		return
@@ -120,10 +120,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := wire.Request[wire.Done](ctx, s.pool, m.Scheduler, wire.HandoverTransfer{Handover: h}); err == nil {
-		s.handedOver(h.To)
+		s.recordHandoverAck(h.To)
 	}
 }
 
-func (s *Scheduler) handoverDue(ctx context.Context) {
-	s.stepHome(ctx, core.HandoverDue{})
+func (s *Scheduler) retryHandovers(ctx context.Context) {
+	s.stepClaims(ctx, core.HandoverDue{})
 }
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -8,11 +8,11 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// handoverLimit bounds how long a stopping scheduler tries to hand over to
+// handoverTimeout bounds how long a stopping scheduler tries to hand over to
 // boxes that don't answer.
-const handoverLimit = 5 * time.Second
+const handoverTimeout = 5 * time.Second
 
-func (s *Scheduler) taking() bool {
+func (s *Scheduler) accepting() bool {
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
 	return s.drain.Accepting()
@@ -30,59 +30,59 @@
 		return
 	}
 	s.log.Info("planned stop")
-	s.follow(context.Background())
-	s.stepHome(context.Background(), core.Retire{})
-	go s.drainOut()
+	s.refresh(context.Background())
+	s.stepClaims(context.Background(), core.Retire{})
+	go s.waitAndExit()
 }
 
 // Done is closed when the process may end.
-func (s *Scheduler) Done() <-chan struct{} { return s.left }
+func (s *Scheduler) Done() <-chan struct{} { return s.done }
 
-func (s *Scheduler) drainOut() {
-	began := time.Now()
+func (s *Scheduler) waitAndExit() {
+	start := time.Now()
 	for {
 		time.Sleep(100 * time.Millisecond)
-		if s.drained(began) {
+		if s.isDrained(start) {
 			break
 		}
 	}
-	s.lastHandover()
+	s.sendFinalHandovers()
 	s.drainLock.Lock()
 	s.drain.Step(time.Now(), core.WorkChanged{})
 	s.drainLock.Unlock()
 	s.stop()
 	s.server.Close()
-	close(s.left)
+	close(s.done)
 }
 
-// lastHandover tells the successors how the last open claims ended.
-func (s *Scheduler) lastHandover() {
+// sendFinalHandovers tells the successors how the last open claims ended.
+func (s *Scheduler) sendFinalHandovers() {
 	var wait sync.WaitGroup
-	for _, command := range s.stepHomeQuiet(core.Retire{}) {
+	for _, command := range s.applyClaimEvent(core.Retire{}) {
 		if c, ok := command.(core.HandoverSent); ok {
-			wait.Go(func() { s.giveHandover(context.Background(), c.Handover) })
+			wait.Go(func() { s.sendHandover(context.Background(), c.Handover) })
 		}
 	}
 	wait.Wait()
 }
 
-func (s *Scheduler) drained(began time.Time) bool {
-	passed := time.Since(began)
-	if passed > s.settings.DrainTimeout {
+func (s *Scheduler) isDrained(start time.Time) bool {
+	elapsed := time.Since(start)
+	if elapsed > s.settings.DrainTimeout {
 		return true
 	}
-	if passed < core.DefaultLeaseRules().TTL {
+	if elapsed < core.DefaultLeaseRules().TTL {
 		return false
 	}
-	s.homeLock.Lock()
-	open := s.home.Open()
-	s.homeLock.Unlock()
-	return open == 0 && (s.allHandedOver() || passed > handoverLimit)
+	s.claimsLock.Lock()
+	open := s.claims.Open()
+	s.claimsLock.Unlock()
+	return open == 0 && (s.allHandoversAcked() || elapsed > handoverTimeout)
 }
 
-func (s *Scheduler) handedOver(to string) { s.successors.Store(to, true) }
+func (s *Scheduler) recordHandoverAck(to string) { s.handoverAcks.Store(to, true) }
 
-func (s *Scheduler) allHandedOver() bool {
+func (s *Scheduler) allHandoversAcked() bool {
 	list := s.state.View().List
 	if list == nil {
 		return true
@@ -92,7 +92,7 @@
 		if name == s.self.Name {
 			continue
 		}
-		if _, done := s.successors.Load(name); !done {
+		if _, acked := s.handoverAcks.Load(name); !acked {
 			return false
 		}
 	}
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -11,62 +11,62 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// targetStep is the longest time between tokens that the brief's limits allow.
-const targetStep = 30 * time.Millisecond
+// maxStepTime is the longest time between tokens that the brief's limits allow.
+const maxStepTime = 30 * time.Millisecond
 
-// silentLoad is after how long without a load report an endpoint is taken for
+// maxLoadAge is after how long without a load report an endpoint is taken for
 // dead and gets no lease.
-const silentLoad = 3 * time.Second
+const maxLoadAge = 3 * time.Second
 
-// hintCount bounds the cache hints on one lease.
-const hintCount = 16
+// maxHints bounds the cache hints on one lease.
+const maxHints = 16
 
 // endpoint is the half of one engine that this box may own; its lock is its own.
 type endpoint struct {
-	name     string
-	slot     int
-	mu       sync.Mutex
-	settings config.Endpoint
-	shares   *admission.Shares
-	owner    bool
-	lastLoad engine.Load
-	loadAt   time.Time
-	cacheSeq int
-	hints    []engine.CacheEvent
+	name          string
+	slot          int
+	mu            sync.Mutex
+	settings      config.Endpoint
+	shares        *admission.Shares
+	isOwner       bool
+	lastLoad      engine.Load
+	loadReadAt    time.Time
+	cacheSequence int
+	hints         []engine.CacheEvent
 }
 
 func newEndpoint(c config.Endpoint, slot int) *endpoint {
-	hold := core.NewOwnership(c.Name, core.DefaultLeaseRules())
+	own := core.NewOwnership(c.Name, core.DefaultLeaseRules())
 	return &endpoint{
 		name:     c.Name,
 		slot:     slot,
 		settings: c,
-		shares:   admission.NewShares(hold, c.MemoryTokens, c.BatchSlots, targetStep),
+		shares:   admission.NewShares(own, c.MemoryTokens, c.BatchSlots, maxStepTime),
 	}
 }
 
-// own follows the list: it takes or loses the half.
-func (e *endpoint) own(now time.Time, owner, fresh bool) {
+// setOwner follows the list: it takes or loses the half.
+func (e *endpoint) setOwner(now time.Time, isOwner, neverOwned bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if owner == e.owner {
+	if isOwner == e.isOwner {
 		return
 	}
-	e.owner = owner
-	if owner {
-		e.shares.Ownership().Step(now, core.HoldTaken{Fresh: fresh})
+	e.isOwner = isOwner
+	if isOwner {
+		e.shares.Ownership().Step(now, core.HoldTaken{Fresh: neverOwned})
 		return
 	}
 	e.shares.Ownership().Step(now, core.HoldLost{})
 }
 
-func (e *endpoint) foreign() bool {
+func (e *endpoint) hasUnknownUsage() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.shares.HasUnknownUsage()
 }
 
-func (e *endpoint) predecessorGone(now time.Time) {
+func (e *endpoint) confirmPredecessorGone(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.shares.Ownership().Step(now, core.PredecessorGone{})
@@ -81,7 +81,7 @@
 	e.shares.Slots = c.BatchSlots
 }
 
-func (e *endpoint) follow(now time.Time, leaving bool, confirmed time.Time) {
+func (e *endpoint) refresh(now time.Time, leaving bool, confirmed time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.shares.Ownership().Step(now, core.HoldTicked{})
@@ -89,20 +89,20 @@
 	e.shares.Ownership().Step(now, core.ListConfirmed{At: confirmed})
 }
 
-func (e *endpoint) grant(now time.Time, box string, w wire.LeaseDemand) (wire.LeaseGrant, bool) {
+func (e *endpoint) grant(now time.Time, box string, demand wire.LeaseDemand) (wire.LeaseGrant, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.owner || now.Sub(e.loadAt) > silentLoad {
+	if !e.isOwner || now.Sub(e.loadReadAt) > maxLoadAge {
 		return wire.LeaseGrant{}, false
 	}
-	g := e.shares.Grant(now, box+"/"+w.Model, admission.Demand{
-		Profile: admission.ProfileFrom(w.Mean, w.Deviation),
-		Running: w.Running,
-		Waiting: w.Waiting,
-		Rank:    w.Rank,
+	g := e.shares.Grant(now, box+"/"+demand.Model, admission.Demand{
+		Profile: admission.ProfileFrom(demand.Mean, demand.Deviation),
+		Running: demand.Running,
+		Waiting: demand.Waiting,
+		Rank:    demand.Rank,
 	})
 	out := wire.LeaseGrant{
-		Endpoint:     w.Endpoint,
+		Endpoint:     demand.Endpoint,
 		TTL:          g.TTL,
 		Tokens:       g.Tokens,
 		Slots:        g.Slots,
@@ -110,10 +110,10 @@
 		Growth:       g.Growth,
 		Incarnation:  uint64(e.lastLoad.Incarnation),
 		Step:         e.lastLoad.Step,
-		Model:        w.Model,
-		Slot:         w.Slot,
+		Model:        demand.Model,
+		Slot:         demand.Slot,
 	}
-	if w.WantOtherUsage {
+	if demand.WantOtherUsage {
 		out.OtherMean, out.OtherDeviation = g.Others.Floats()
 		out.HasOthers = true
 	}
@@ -126,14 +126,14 @@
 	return out, true
 }
 
-func (e *endpoint) loaded(now time.Time, l engine.Load) {
+func (e *endpoint) observeLoad(now time.Time, l engine.Load) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.Incarnation != e.lastLoad.Incarnation {
-		e.cacheSeq = 0
+		e.cacheSequence = 0
 	}
 	e.lastLoad = l
-	e.loadAt = now
+	e.loadReadAt = now
 	e.shares.Observe(admission.Report{
 		Batch: l.Running,
 		Step:  l.Step,
@@ -141,21 +141,21 @@
 	})
 }
 
-func (e *endpoint) cached(events []engine.CacheEvent) {
+func (e *endpoint) observeCacheEvents(events []engine.CacheEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(events) == 0 {
 		e.hints = nil
 		return
 	}
-	e.cacheSeq = events[len(events)-1].Sequence
-	e.hints = events[max(0, len(events)-hintCount):]
+	e.cacheSequence = events[len(events)-1].Sequence
+	e.hints = events[max(0, len(events)-maxHints):]
 }
 
-func (e *endpoint) isOwner() (bool, int) {
+func (e *endpoint) ownerState() (bool, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.owner, e.cacheSeq
+	return e.isOwner, e.cacheSequence
 }
 
 func (e *endpoint) status() wire.OwnedSlotStatus {
--- a/scheduler/ownership.go
+++ b/scheduler/ownership.go
@@ -12,86 +12,86 @@
 // slotKey names one half of an endpoint.
 func slotKey(endpoint string, slot int) string { return endpoint + "/" + strconv.Itoa(slot) }
 
-// goneAfter is how long a predecessor must be off the list, with no use of the
+// predecessorTimeout is how long a predecessor must be off the list, with no use of the
 // endpoint that this owner can't explain, until it counts as dead.
-const goneAfter = 5 * time.Minute
+const predecessorTimeout = 5 * time.Minute
 
-// ownership remembers who owned which half before, and what is known of it.
-type ownership struct {
-	mu      sync.Mutex
-	before  map[string]string // by half: the owner before the present one
-	owner   map[string]string
-	since   map[string]time.Time
-	version map[string]uint64 // by half: the list that made the owner
-	adopted map[string]uint64 // by box: the list that it told to have adopted
+// ownerHistory remembers who owned which half before, and what is known of it.
+type ownerHistory struct {
+	mu             sync.Mutex
+	previous       map[string]string // by half: the owner before the present one
+	owner          map[string]string
+	since          map[string]time.Time
+	ownerVersion   map[string]uint64 // by half: the list that made the owner
+	adoptedVersion map[string]uint64 // by box: the list that it told to have adopted
 }
 
-func newOwnership() *ownership {
-	return &ownership{
-		before:  make(map[string]string),
-		owner:   make(map[string]string),
-		since:   make(map[string]time.Time),
-		version: make(map[string]uint64),
-		adopted: make(map[string]uint64),
+func newOwnerHistory() *ownerHistory {
+	return &ownerHistory{
+		previous:       make(map[string]string),
+		owner:          make(map[string]string),
+		since:          make(map[string]time.Time),
+		ownerVersion:   make(map[string]uint64),
+		adoptedVersion: make(map[string]uint64),
 	}
 }
 
-// succession is a list with its owners, and those without this box.
-type succession struct {
-	list    *core.List
-	owners  *core.Owners
-	without *core.Owners
+// listOwners is a list with its owners, and those without this box.
+type listOwners struct {
+	list              *core.List
+	owners            *core.Owners
+	ownersWithoutSelf *core.Owners
 }
 
-func newSuccession(list *core.List, self string) *succession {
-	return &succession{
-		list:    list,
-		owners:  core.NewOwners(list),
-		without: core.NewOwners(list.Without(self)),
+func newListOwners(list *core.List, self string) *listOwners {
+	return &listOwners{
+		list:              list,
+		owners:            core.NewOwners(list),
+		ownersWithoutSelf: core.NewOwners(list.Without(self)),
 	}
 }
 
-// of gives the owner of a half, and whether nobody can have owned it before. A
+// ownerOf gives the owner of a half, and whether nobody can have owned it before. A
 // box that starts takes the list without itself as the one before.
-func (o *ownership) of(now time.Time, s *succession, c *config.Endpoint, slot int) (owner string, fresh bool) {
+func (o *ownerHistory) ownerOf(now time.Time, s *listOwners, c *config.Endpoint, slot int) (owner string, neverOwned bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	key := slotKey(c.Name, slot)
 	owner = s.owners.Of(c.Name, c.Zone, slot)
-	last, known := o.owner[key]
-	if known && last == owner {
+	previousOwner, known := o.owner[key]
+	if known && previousOwner == owner {
 		return owner, false
 	}
 	if !known {
-		last = s.without.Of(c.Name, c.Zone, slot)
+		previousOwner = s.ownersWithoutSelf.Of(c.Name, c.Zone, slot)
 	}
 	o.owner[key] = owner
-	o.before[key] = last
+	o.previous[key] = previousOwner
 	o.since[key] = now
-	o.version[key] = s.list.Version
-	return owner, !known && s.list.Age < youngFleet
+	o.ownerVersion[key] = s.list.Version
+	return owner, !known && s.list.Age < youngFleetAge
 }
 
-// told notes that a box has adopted a list.
-func (o *ownership) told(box string, version uint64, final bool) {
+// recordAdoption notes that a box has adopted a list.
+func (o *ownerHistory) recordAdoption(box string, version uint64, final bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if final {
 		version = ^uint64(0)
 	}
-	o.adopted[box] = max(o.adopted[box], version)
+	o.adoptedVersion[box] = max(o.adoptedVersion[box], version)
 }
 
-// gone reports whether the owner of a half before the present one is known to
+// predecessorStopped reports whether the owner of a half before the present one is known to
 // grant nothing more.
-func (o *ownership) gone(now time.Time, list *core.List, endpoint string, slot int, foreign bool) bool {
+func (o *ownerHistory) predecessorStopped(now time.Time, list *core.List, endpoint string, slot int, hasUnknownUsage bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	key := slotKey(endpoint, slot)
-	last := o.before[key]
-	if last == "" || last == o.owner[key] || o.adopted[last] >= o.version[key] {
+	previousOwner := o.previous[key]
+	if previousOwner == "" || previousOwner == o.owner[key] || o.adoptedVersion[previousOwner] >= o.ownerVersion[key] {
 		return true
 	}
-	unlisted := list.Member(last) == nil
-	return unlisted && !foreign && now.Sub(o.since[key]) > goneAfter
+	isUnlisted := list.Member(previousOwner) == nil
+	return isUnlisted && !hasUnknownUsage && now.Sub(o.since[key]) > predecessorTimeout
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -22,37 +22,37 @@
 
 // The times between what a scheduler does.
 const (
-	followEvery   = 250 * time.Millisecond
-	loadEvery     = 500 * time.Millisecond
-	handoverEvery = time.Second
-	callTimeout   = time.Second
+	refreshInterval  = 250 * time.Millisecond
+	loadInterval     = 500 * time.Millisecond
+	handoverInterval = time.Second
+	callTimeout      = time.Second
 )
 
-// youngFleet is the age of a fleet in which no owner can have had a lease long
+// youngFleetAge is the age of a fleet in which no owner can have had a lease long
 // enough to matter.
-const youngFleet = 10 * time.Second
+const youngFleetAge = 10 * time.Second
 
 // Scheduler is the endpoints' side of one box.
 type Scheduler struct {
-	settings   *settings.Box
-	self       core.Box
-	log        *zap.Logger
-	recorder   *trace.Recorder
-	state      *watch.State
-	handlers   *wire.Handlers
-	server     *wire.Server
-	pool       *wire.Pool
-	worker     engine.Worker
-	endpoints  *shard.Map[*endpoint]
-	homeLock   sync.Mutex
-	home       *core.ClaimOwner
-	drainLock  sync.Mutex
-	drain      *core.Drain
-	basis      basis // of the owners, under drainLock
-	owners     *ownership
-	successors sync.Map // boxes that took the handover of a planned stop
-	left       chan struct{}
-	stop       context.CancelFunc
+	settings     *settings.Box
+	self         core.Box
+	log          *zap.Logger
+	recorder     *trace.Recorder
+	state        *watch.State
+	handlers     *wire.Handlers
+	server       *wire.Server
+	pool         *wire.Pool
+	worker       engine.Worker
+	endpoints    *shard.Map[*endpoint]
+	claimsLock   sync.Mutex
+	claims       *core.ClaimOwner
+	drainLock    sync.Mutex
+	drain        *core.Drain
+	ownerInputs  ownerInputs // of the owners, under drainLock
+	owners       *ownerHistory
+	handoverAcks sync.Map // boxes that took the handover of a planned stop
+	done         chan struct{}
+	stop         context.CancelFunc
 }
 
 // Start starts a scheduler.
@@ -69,22 +69,22 @@
 		log:       log,
 		recorder:  recorder,
 		state:     watch.NewState(log),
-		worker:    engine.Guard(worker, panicSeen(log)),
+		worker:    engine.Guard(worker, onWorkerPanic(log)),
 		endpoints: shard.NewMap[*endpoint](),
-		home:      core.NewClaimOwner(self, core.DefaultClaimRules(), now),
+		claims:    core.NewClaimOwner(self, core.DefaultClaimRules(), now),
 		drain:     core.NewDrain(),
-		owners:    newOwnership(),
-		left:      make(chan struct{}),
+		owners:    newOwnerHistory(),
+		done:      make(chan struct{}),
 		stop:      cancel,
 	}
 	s.recorder.BeginHome(now, self, core.DefaultClaimRules())
 	s.handlers = wire.NewHandlers(wire.WithVersions(s.state.Versions))
-	wire.HandleRequest(s.handlers, s.leaseAsk)
-	wire.HandleRequest(s.handlers, s.claimAsk)
-	wire.HandleRequest(s.handlers, s.claimSettle)
-	wire.HandleRequest(s.handlers, s.handoverAsk)
-	wire.HandleRequest(s.handlers, s.handoverGive)
-	wire.HandleRequest(s.handlers, s.statusAsk)
+	wire.HandleRequest(s.handlers, s.handleLeaseAsk)
+	wire.HandleRequest(s.handlers, s.handleClaimAsk)
+	wire.HandleRequest(s.handlers, s.handleClaimSettle)
+	wire.HandleRequest(s.handlers, s.handleHandoverAsk)
+	wire.HandleRequest(s.handlers, s.handleHandoverGive)
+	wire.HandleRequest(s.handlers, s.handleStatusAsk)
 	s.pool = wire.NewPool(s.handlers)
 	server, err := wire.Listen(b.Scheduler, s.handlers)
 	if err != nil {
@@ -92,24 +92,24 @@
 		return nil, err
 	}
 	s.server = server
-	s.state.OnChange(s.changed)
+	s.state.OnChange(s.handleViewChange)
 	watch.Follow(ctx, b.Watch, s.state)
-	go every(ctx, followEvery, s.follow)
-	go every(ctx, loadEvery, s.readLoads)
-	go every(ctx, handoverEvery, s.handoverDue)
+	go runEvery(ctx, refreshInterval, s.refresh)
+	go runEvery(ctx, loadInterval, s.readLoads)
+	go runEvery(ctx, handoverInterval, s.retryHandovers)
 	return s, nil
 }
 
-// panicSeen counts a worker's panic and logs where it was.
-func panicSeen(log *zap.Logger) engine.PanicSeen {
+// onWorkerPanic counts a worker's panic and logs where it was.
+func onWorkerPanic(log *zap.Logger) engine.PanicSeen {
 	return func(fault any, stack []byte) {
 		workerPanics.Inc()
 		log.Error("a worker panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
 	}
 }
 
-func every(ctx context.Context, pause time.Duration, do func(context.Context)) {
-	tick := time.NewTicker(pause)
+func runEvery(ctx context.Context, interval time.Duration, do func(context.Context)) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -125,7 +125,7 @@
 func (s *Scheduler) Ready() string {
 	v := s.state.View()
 	switch {
-	case !s.taking():
+	case !s.accepting():
 		return "draining"
 	case v.Document == nil || v.List == nil:
 		return "no configuration or list of boxes from this box's watch yet"
@@ -139,116 +139,116 @@
 func (s *Scheduler) status() wire.SchedulerStatus {
 	var out wire.SchedulerStatus
 	s.endpoints.Each(func(_ string, e *endpoint) {
-		if owner, _ := e.isOwner(); owner {
+		if isOwner, _ := e.ownerState(); isOwner {
 			out.OwnedSlots = append(out.OwnedSlots, e.status())
 		}
 	})
 	slices.SortFunc(out.OwnedSlots, func(a, b wire.OwnedSlotStatus) int {
 		return cmp.Or(strings.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Slot, b.Slot))
 	})
-	s.homeLock.Lock()
-	out.Claims = s.home.Len()
-	s.homeLock.Unlock()
+	s.claimsLock.Lock()
+	out.Claims = s.claims.Len()
+	s.claimsLock.Unlock()
 	s.drainLock.Lock()
 	out.Drain = string(s.drain.State)
 	s.drainLock.Unlock()
 	return out
 }
 
-func (s *Scheduler) statusAsk(context.Context, *wire.Conn, wire.StatusRequest) (wire.SchedulerStatus, error) {
+func (s *Scheduler) handleStatusAsk(context.Context, *wire.Conn, wire.StatusRequest) (wire.SchedulerStatus, error) {
 	return s.status(), nil
 }
 
-// changed follows a new configuration or list.
-func (s *Scheduler) changed(v watch.View) {
+// handleViewChange follows a new configuration or list.
+func (s *Scheduler) handleViewChange(v watch.View) {
 	if v.Document != nil {
-		s.stepHomeQuiet(core.ClaimGuardSet{Guard: v.Document.Limits.ClaimGuard})
+		s.applyClaimEvent(core.ClaimGuardSet{Guard: v.Document.Limits.ClaimGuard})
 	}
 	if v.List != nil {
-		s.stepHome(context.Background(), core.ListAdopted{
+		s.stepClaims(context.Background(), core.ListAdopted{
 			List: v.List,
 			At:   v.ConfirmedAt,
 		})
 	}
-	s.follow(context.Background())
+	s.refresh(context.Background())
 }
 
-// follow gives the endpoints owned their leaving mark and reading age; owners are
+// refresh gives the endpoints owned their leaving mark and reading age; owners are
 // worked out anew only for a new list or configuration.
-func (s *Scheduler) follow(context.Context) {
+func (s *Scheduler) refresh(context.Context) {
 	v := s.state.View()
 	if v.Document == nil || v.List == nil {
 		return
 	}
 	now := time.Now()
-	s.stepHomeQuiet(core.ListConfirmed{
+	s.applyClaimEvent(core.ListConfirmed{
 		Version: v.List.Version,
 		At:      v.ConfirmedAt,
 	})
-	if s.basisChanged(v) {
-		s.reassign(now, v)
+	if s.updateOwnerInputs(v) {
+		s.reassignSlots(now, v)
 	}
-	s.endpoints.Each(func(_ string, e *endpoint) { s.followOne(now, v, e) })
+	s.endpoints.Each(func(_ string, e *endpoint) { s.refreshEndpoint(now, v, e) })
 }
 
-// basis is what owners are worked out from.
-type basis struct {
-	list     *core.List
-	document *config.Document
-	taking   bool
+// ownerInputs is what owners are worked out from.
+type ownerInputs struct {
+	list      *core.List
+	document  *config.Document
+	accepting bool
 }
 
-func (s *Scheduler) basisChanged(v watch.View) bool {
+func (s *Scheduler) updateOwnerInputs(v watch.View) bool {
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
-	next := basis{
-		list:     v.List,
-		document: v.Document,
-		taking:   s.drain.Accepting(),
+	inputs := ownerInputs{
+		list:      v.List,
+		document:  v.Document,
+		accepting: s.drain.Accepting(),
 	}
-	changed := next != s.basis
-	s.basis = next
+	changed := inputs != s.ownerInputs
+	s.ownerInputs = inputs
 	return changed
 }
 
-// reassign takes and loses halves.
-func (s *Scheduler) reassign(now time.Time, v watch.View) {
-	taking := s.taking()
-	mine := make(map[string]bool)
-	next := newSuccession(v.List, s.settings.Name)
+// reassignSlots takes and loses halves.
+func (s *Scheduler) reassignSlots(now time.Time, v watch.View) {
+	accepting := s.accepting()
+	owned := make(map[string]bool)
+	next := newListOwners(v.List, s.settings.Name)
 	for _, c := range v.Document.Endpoints {
 		for slot := range core.SlotCount {
-			owner, fresh := s.owners.of(now, next, &c, slot)
-			if owner != s.settings.Name || !taking {
+			owner, neverOwned := s.owners.ownerOf(now, next, &c, slot)
+			if owner != s.settings.Name || !accepting {
 				continue
 			}
 			key := slotKey(c.Name, slot)
-			mine[key] = true
+			owned[key] = true
 			e := s.endpoints.GetOrCreate(key, func() *endpoint { return newEndpoint(c, slot) })
 			e.configure(c)
-			e.own(now, true, fresh)
+			e.setOwner(now, true, neverOwned)
 		}
 	}
 	s.endpoints.Each(func(key string, e *endpoint) {
-		if !mine[key] {
-			e.own(now, false, false)
+		if !owned[key] {
+			e.setOwner(now, false, false)
 			s.endpoints.Delete(key)
 		}
 	})
 }
 
-func (s *Scheduler) followOne(now time.Time, v watch.View, e *endpoint) {
-	e.follow(now, v.List.Leaving(e.name), v.ConfirmedAt)
-	if s.owners.gone(now, v.List, e.name, e.slot, e.foreign()) {
-		e.predecessorGone(now)
+func (s *Scheduler) refreshEndpoint(now time.Time, v watch.View, e *endpoint) {
+	e.refresh(now, v.List.Leaving(e.name), v.ConfirmedAt)
+	if s.owners.predecessorStopped(now, v.List, e.name, e.slot, e.hasUnknownUsage()) {
+		e.confirmPredecessorGone(now)
 	}
 }
 
 // readLoads reads the load and the cache events of the endpoints it owns.
 func (s *Scheduler) readLoads(ctx context.Context) {
 	s.endpoints.Each(func(_ string, e *endpoint) {
-		owner, after := e.isOwner()
-		if !owner {
+		isOwner, after := e.ownerState()
+		if !isOwner {
 			return
 		}
 		go s.readLoad(ctx, e, after)
@@ -263,21 +263,21 @@
 		loadFaults.Inc()
 		return
 	}
-	e.loaded(time.Now(), load)
+	e.observeLoad(time.Now(), load)
 	if events, err := s.worker.CacheEvents(ctx, e.settings.Address, after); err == nil {
-		e.cached(events)
+		e.observeCacheEvents(events)
 	}
 }
 
-func (s *Scheduler) leaseAsk(_ context.Context, _ *wire.Conn, q wire.LeaseRequest) (wire.LeaseGrants, error) {
+func (s *Scheduler) handleLeaseAsk(_ context.Context, _ *wire.Conn, q wire.LeaseRequest) (wire.LeaseGrants, error) {
 	now := time.Now()
 	var out wire.LeaseGrants
-	for _, w := range q.Demands {
-		e, known := s.endpoints.Get(slotKey(w.Endpoint, w.Slot))
-		if !known {
+	for _, demand := range q.Demands {
+		e, found := s.endpoints.Get(slotKey(demand.Endpoint, demand.Slot))
+		if !found {
 			continue
 		}
-		if g, granted := e.grant(now, q.Box.Name, w); granted {
+		if g, granted := e.grant(now, q.Box.Name, demand); granted {
 			out.Grants = append(out.Grants, g)
 		}
 	}
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -9,8 +9,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// followPause is the time before a lost watch is connected to again.
-const followPause = 300 * time.Millisecond
+// redialDelay is the time before a lost watch is connected to again.
+const redialDelay = 300 * time.Millisecond
 
 // Follow keeps a process's state at what its box's watch has in force.
 func Follow(ctx context.Context, address netip.AddrPort, state *State) {
@@ -20,10 +20,10 @@
 	}
 	handlers := wire.NewHandlers(
 		wire.WithVersions(state.Versions),
-		wire.WithOnVersions(f.versionsSeen),
+		wire.WithOnVersions(f.handleVersions),
 	)
-	wire.HandlePush(handlers, f.take)
-	wire.HandleRequest(handlers, f.fetch)
+	wire.HandlePush(handlers, f.handleSnapshot)
+	wire.HandleRequest(handlers, f.handleFetch)
 	f.handlers = handlers
 	go f.run(ctx)
 }
@@ -35,31 +35,31 @@
 	fetching atomic.Bool
 }
 
-// followEvery is the time between two questions for what is in force. Only an
+// pollInterval is the time between two questions for what is in force. Only an
 // answer to a question says how old a reading is; a push may have been held up
 // on its way and serves as a hint to ask.
-const followEvery = 500 * time.Millisecond
+const pollInterval = 500 * time.Millisecond
 
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c, err := wire.Dial(ctx, f.address, f.handlers)
 		if err != nil {
-			time.Sleep(followPause)
+			time.Sleep(redialDelay)
 			continue
 		}
-		f.ask(ctx, c, wire.Subscribe{})
-		f.keepAsking(ctx, c)
+		f.request(ctx, c, wire.Subscribe{})
+		f.poll(ctx, c)
 		c.Close()
 	}
 }
 
-func (f *follower) keepAsking(ctx context.Context, c *wire.Conn) {
-	tick := time.NewTicker(followEvery)
+func (f *follower) poll(ctx context.Context, c *wire.Conn) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			f.ask(ctx, c, wire.Fetch(f.state.Versions()))
+			f.request(ctx, c, wire.Fetch(f.state.Versions()))
 		case <-c.Closed():
 			return
 		case <-ctx.Done():
@@ -68,37 +68,37 @@
 	}
 }
 
-// ask takes what the watch answers; a watch that doesn't answer is connected to
+// request takes what the watch answers; a watch that doesn't answer is connected to
 // anew, since a stalled link doesn't break by itself.
-func (f *follower) ask(ctx context.Context, c *wire.Conn, q wire.Message) {
-	ctx, cancel := context.WithTimeout(ctx, fetchMost)
+func (f *follower) request(ctx context.Context, c *wire.Conn, q wire.Message) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, q, peerTimeout)
 	if err != nil {
 		c.Close()
 		return
 	}
-	f.state.Suspect(s.Suspected)
-	f.state.Take(s, asked)
+	f.state.SetSuspected(s.Suspected)
+	f.state.Apply(s, requestedAt)
 }
 
-// versionsSeen asks the watch for what a push showed to be newer.
-func (f *follower) versionsSeen(c *wire.Conn, v wire.Versions) {
-	if !f.state.Heard(v) || !f.fetching.CompareAndSwap(false, true) {
+// handleVersions asks the watch for what a push showed to be newer.
+func (f *follower) handleVersions(c *wire.Conn, v wire.Versions) {
+	if !f.state.ObserveVersions(v) || !f.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer f.fetching.Store(false)
-		f.ask(context.Background(), c, wire.Fetch(f.state.Versions()))
+		f.request(context.Background(), c, wire.Fetch(f.state.Versions()))
 	}()
 }
 
-func (f *follower) take(_ context.Context, _ *wire.Conn, s wire.Snapshot) {
-	f.state.Suspect(s.Suspected)
+func (f *follower) handleSnapshot(_ context.Context, _ *wire.Conn, s wire.Snapshot) {
+	f.state.SetSuspected(s.Suspected)
 }
 
-// fetch gives the watch what this process has, after a watch started anew.
-func (f *follower) fetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
+// handleFetch gives the watch what this process has, after a watch started anew.
+func (f *follower) handleFetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
 	return f.state.Snapshot(wire.Versions(q)), nil
 }
--- a/watch/join.go
+++ b/watch/join.go
@@ -9,73 +9,73 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// joining is a starting watch's asking of its peers; when it may serve is the
+// peerQuery is a starting watch's asking of its peers; when it may serve is the
 // core's decision.
-type joining struct {
-	mu     sync.Mutex
-	core   *core.Join
-	once   sync.Once
-	served chan struct{}
+type peerQuery struct {
+	mu      sync.Mutex
+	core    *core.Join
+	once    sync.Once
+	serving chan struct{}
 }
 
-func newJoining(now time.Time) *joining {
-	return &joining{
-		core:   core.NewJoin(now, core.JoinRules{Timeout: peerTimeout}),
-		served: make(chan struct{}),
+func newPeerQuery(now time.Time) *peerQuery {
+	return &peerQuery{
+		core:    core.NewJoin(now, core.JoinRules{Timeout: peerTimeout}),
+		serving: make(chan struct{}),
 	}
 }
 
-func (j *joining) step(ev core.Event) {
+func (j *peerQuery) step(ev core.Event) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.core.Step(time.Now(), ev)
 	if j.core.State == core.JoinServing {
-		j.once.Do(func() { close(j.served) })
+		j.once.Do(func() { close(j.serving) })
 	}
 }
 
-// askPeers asks some peers for what they have in force before this box serves,
+// queryPeers asks some peers for what they have in force before this box serves,
 // since the platform may be down or show an older state.
-func (w *Watch) askPeers(ctx context.Context) {
+func (w *Watch) queryPeers(ctx context.Context) {
 	w.waitForList(ctx)
-	j := newJoining(time.Now())
-	addresses := w.startAddresses()
+	j := newPeerQuery(time.Now())
+	addresses := w.bootstrapAddresses()
 	names := make([]string, 0, len(addresses))
 	for _, address := range addresses {
 		names = append(names, address.String())
 	}
 	j.step(core.PeersListed{Boxes: names})
 	for _, address := range addresses {
-		go w.askPeer(ctx, j, address)
+		go w.queryPeer(ctx, j, address)
 	}
 	select {
-	case <-j.served:
+	case <-j.serving:
 	case <-time.After(peerTimeout):
 		j.step(core.JoinTicked{})
 	case <-ctx.Done():
 	}
 }
 
-// startAddresses are whom a starting watch asks: peers of the list and those that
+// bootstrapAddresses are whom a starting watch asks: peers of the list and those that
 // its settings name.
-func (w *Watch) startAddresses() []netip.AddrPort {
+func (w *Watch) bootstrapAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	if list := w.state.View().List; list != nil {
-		for _, m := range Peers(list, w.settings.Name, startPeers) {
+		for _, m := range Peers(list, w.settings.Name, bootstrapPeerCount) {
 			all = append(all, m.Watch)
 		}
 	}
 	return append(all, w.settings.Peers...)
 }
 
-func (w *Watch) askPeer(ctx context.Context, j *joining, address netip.AddrPort) {
-	dialing, cancel := context.WithTimeout(ctx, peerTimeout)
+func (w *Watch) queryPeer(ctx context.Context, j *peerQuery, address netip.AddrPort) {
+	dialCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	c, err := w.pool.Get(dialing, address)
+	c, err := w.pool.Get(dialCtx, address)
 	if err == nil {
-		fetching, cancel := context.WithTimeout(ctx, fetchMost)
+		fetchCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		defer cancel()
-		err = w.fetchFrom(fetching, c)
+		err = w.fetchFrom(fetchCtx, c)
 	}
 	if err != nil {
 		j.step(core.PeerUnreachable{Box: address.String()})
--- a/watch/owners.go
+++ b/watch/owners.go
@@ -14,7 +14,7 @@
 	list     *core.List
 	document *config.Document
 	owners   *core.Owners
-	by       map[string][core.SlotCount]string
+	cache    map[string][core.SlotCount]string
 }
 
 // Of gives the owner of a half.
@@ -24,10 +24,10 @@
 	if o.list != v.List || o.document != v.Document {
 		o.list, o.document = v.List, v.Document
 		o.owners = core.NewOwners(v.List)
-		o.by = make(map[string][core.SlotCount]string)
+		o.cache = make(map[string][core.SlotCount]string)
 	}
-	owners, known := o.by[endpoint]
-	if !known {
+	owners, cached := o.cache[endpoint]
+	if !cached {
 		zone := ""
 		if c := v.Document.Endpoint(endpoint); c != nil {
 			zone = c.Zone
@@ -35,7 +35,7 @@
 		for s := range owners {
 			owners[s] = o.owners.Of(endpoint, zone, s)
 		}
-		o.by[endpoint] = owners
+		o.cache[endpoint] = owners
 	}
 	return owners[slot]
 }
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -28,7 +28,7 @@
 	if me == nil {
 		me = &core.Member{Name: self}
 	}
-	var zone, region, rest []string
+	var zone, region, others []string
 	for i := range list.Boxes {
 		m := &list.Boxes[i]
 		switch {
@@ -38,14 +38,14 @@
 		case m.Region == me.Region:
 			region = append(region, m.Name)
 		default:
-			rest = append(rest, m.Name)
+			others = append(others, m.Name)
 		}
 	}
-	quota := count / peerCircles
+	quota := count / peerQuotaParts
 	names := core.TopByScore(self, zone, count-2*quota)
 	names = append(names, core.TopByScore(self, region, quota)...)
-	names = append(names, core.TopByScore(self, rest, quota)...)
-	for _, name := range core.TopByScore(self, slices.Concat(zone, region, rest), len(list.Boxes)) {
+	names = append(names, core.TopByScore(self, others, quota)...)
+	for _, name := range core.TopByScore(self, slices.Concat(zone, region, others), len(list.Boxes)) {
 		if len(names) >= count {
 			break
 		}
@@ -56,9 +56,9 @@
 	return members(list, names)
 }
 
-// peerCircles is the number of parts that peers are picked in: two parts from
+// peerQuotaParts is the number of parts that peers are picked in: two parts from
 // the zone, one from the region, one from beyond.
-const peerCircles = 4
+const peerQuotaParts = 4
 
 func members(list *core.List, names []string) []core.Member {
 	all := make([]core.Member, 0, len(names))
@@ -76,96 +76,96 @@
 	}
 }
 
-// beat exchanges heartbeats with the peers.
-func (w *Watch) beat(ctx context.Context) {
+// sendHeartbeats exchanges heartbeats with the peers.
+func (w *Watch) sendHeartbeats(ctx context.Context) {
 	peers := w.peers()
 	names := make([]string, 0, len(peers))
 	for _, m := range peers {
 		names = append(names, m.Name)
-		w.step(core.HeartbeatExpected{Box: m.Name})
+		w.stepDetector(core.HeartbeatExpected{Box: m.Name})
 	}
 	w.mu.Lock()
-	w.suspicion.Retain(names)
+	w.detector.Retain(names)
 	w.mu.Unlock()
 	var wait sync.WaitGroup
 	for _, m := range peers {
-		wait.Go(func() { w.beatOne(ctx, m) })
+		wait.Go(func() { w.sendHeartbeat(ctx, m) })
 	}
 	wait.Wait()
-	w.state.Suspect(w.suspects())
+	w.state.SetSuspected(w.suspects())
 }
 
-func (w *Watch) beatOne(ctx context.Context, m core.Member) {
+func (w *Watch) sendHeartbeat(ctx context.Context, m core.Member) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	asked := time.Now()
-	answer, err := wire.Request[wire.Heartbeat](ctx, w.pool, m.Watch, w.own())
+	requestedAt := time.Now()
+	answer, err := wire.Request[wire.Heartbeat](ctx, w.pool, m.Watch, w.ownHeartbeat())
 	if err != nil {
 		return
 	}
-	w.step(core.HeartbeatReceived{Box: m.Name})
-	w.heard(answer, asked)
+	w.stepDetector(core.HeartbeatReceived{Box: m.Name})
+	w.recordHeartbeat(answer, requestedAt)
 }
 
-func (w *Watch) own() wire.Heartbeat {
+func (w *Watch) ownHeartbeat() wire.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return wire.Heartbeat{
 		From:        w.self,
 		ListAge:     time.Since(w.state.View().ConfirmedAt),
-		Leaving:     w.leaving.Load(),
-		Suspected:   w.suspicion.Suspects(time.Now()),
+		Leaving:     w.isLeaving.Load(),
+		Suspected:   w.detector.Suspects(time.Now()),
 		ListVersion: w.state.Versions().List,
 	}
 }
 
-// heartbeat answers a peer's; only an answer to a question of one's own says
+// handleHeartbeat answers a peer's; only an answer to a question of one's own says
 // how old the peer's reading is, since a message may have been held up.
-func (w *Watch) heartbeat(_ context.Context, _ *wire.Conn, q wire.Heartbeat) (wire.Heartbeat, error) {
-	w.step(core.SuspectsReported{
+func (w *Watch) handleHeartbeat(_ context.Context, _ *wire.Conn, q wire.Heartbeat) (wire.Heartbeat, error) {
+	w.stepDetector(core.SuspectsReported{
 		From:  q.From.Name,
 		Boxes: q.Suspected,
 	})
-	w.noteLeaving(q)
-	return w.own(), nil
+	w.recordLeaving(q)
+	return w.ownHeartbeat(), nil
 }
 
-func (w *Watch) heard(h wire.Heartbeat, asked time.Time) {
-	w.step(core.SuspectsReported{
+func (w *Watch) recordHeartbeat(h wire.Heartbeat, requestedAt time.Time) {
+	w.stepDetector(core.SuspectsReported{
 		From:  h.From.Name,
 		Boxes: h.Suspected,
 	})
-	w.noteLeaving(h)
-	w.state.Confirm(w.state.Versions().List, w.confirmedBy(h, asked))
+	w.recordLeaving(h)
+	w.state.ConfirmList(w.state.Versions().List, w.listConfirmedAt(h, requestedAt))
 }
 
-// confirmedBy gives the moment for which a peer vouches that its list was the
+// listConfirmedAt gives the moment for which a peer vouches that its list was the
 // newest. The peer's version came with the same message; one that is behind
 // vouches for nothing.
-func (w *Watch) confirmedBy(h wire.Heartbeat, asked time.Time) time.Time {
+func (w *Watch) listConfirmedAt(h wire.Heartbeat, requestedAt time.Time) time.Time {
 	if h.ListVersion != w.state.Versions().List {
 		return time.Time{}
 	}
-	return asked.Add(-h.ListAge)
+	return requestedAt.Add(-h.ListAge)
 }
 
-func (w *Watch) noteLeaving(h wire.Heartbeat) {
+func (w *Watch) recordLeaving(h wire.Heartbeat) {
 	if !h.Leaving {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.retired[h.From.Name] = h.From.Incarnation
+	w.leftPeers[h.From.Name] = h.From.Incarnation
 }
 
-func (w *Watch) step(ev core.Event) {
+func (w *Watch) stepDetector(ev core.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.suspicion.Step(time.Now(), ev)
+	w.detector.Step(time.Now(), ev)
 }
 
 func (w *Watch) suspects() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.suspicion.Suspects(time.Now())
+	return w.detector.Suspects(time.Now())
 }
--- a/watch/platform.go
+++ b/watch/platform.go
@@ -19,11 +19,11 @@
 	client  *client.Client
 }
 
-func newPlatform(address netip.AddrPort, longest time.Duration) (*platform, error) {
+func newPlatform(address netip.AddrPort, maxWait time.Duration) (*platform, error) {
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
 		client.WithDialTimeout(time.Second),
-		client.WithClientReadTimeout(longest+2*time.Second),
+		client.WithClientReadTimeout(maxWait+2*time.Second),
 	)
 	if err != nil {
 		return nil, errors.Wrap(err, "build the platform client")
@@ -34,31 +34,31 @@
 	}, nil
 }
 
-// read asks for a value above a version and waits for one; an empty answer
+// fetch asks for a value above a version and waits for one; an empty answer
 // means that there was none.
-func (p *platform) read(ctx context.Context, what string, after uint64, wait time.Duration) ([]byte, error) {
+func (p *platform) fetch(ctx context.Context, resource string, after uint64, wait time.Duration) ([]byte, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
 	req.SetMethod(http.MethodGet)
-	req.SetRequestURI("http://" + p.address.String() + "/v1/" + what +
+	req.SetRequestURI("http://" + p.address.String() + "/v1/" + resource +
 		"?after=" + strconv.FormatUint(after, 10) + "&wait=" + wait.String())
 	req.Header.Set("Accept-Encoding", "gzip")
 	if err := p.client.Do(ctx, req, resp); err != nil {
-		return nil, errors.Wrap(err, "read the platform's "+what)
+		return nil, errors.Wrap(err, "read the platform's "+resource)
 	}
 	switch resp.StatusCode() {
 	case http.StatusOK:
 		platformBytes.Add(len(resp.Body()))
-		return plainBody(resp)
+		return decodedBody(resp)
 	case http.StatusNotModified:
 		return nil, nil
 	}
-	return nil, errors.Errorf("the platform answered %d for its %s", resp.StatusCode(), what)
+	return nil, errors.Errorf("the platform answered %d for its %s", resp.StatusCode(), resource)
 }
 
-// plainBody gives an answer's body, which the platform may have compressed.
-func plainBody(resp *protocol.Response) ([]byte, error) {
+// decodedBody gives an answer's body, which the platform may have compressed.
+func decodedBody(resp *protocol.Response) ([]byte, error) {
 	if string(resp.Header.ContentEncoding()) == "gzip" {
 		body, err := resp.BodyGunzip()
 		return body, errors.Wrap(err, "unpack the platform's answer")
--- a/watch/state.go
+++ b/watch/state.go
@@ -17,13 +17,13 @@
 // State is what a process has in force: one configuration and one list. It
 // never goes back to an older one.
 type State struct {
-	mu       sync.Mutex
-	versions *core.Versions
-	document *config.Document
-	reading  core.ListSnapshot
-	suspects []string
-	log      *zap.Logger
-	changed  []func(View)
+	mu        sync.Mutex
+	versions  *core.Versions
+	document  *config.Document
+	snapshot  core.ListSnapshot
+	suspected []string
+	log       *zap.Logger
+	listeners []func(View)
 }
 
 // View is a copy of what is in force.
@@ -46,7 +46,7 @@
 func (s *State) OnChange(f func(View)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed = append(s.changed, f)
+	s.listeners = append(s.listeners, f)
 }
 
 // View gives what is in force.
@@ -59,9 +59,9 @@
 func (s *State) view() View {
 	return View{
 		Document:    s.document,
-		List:        s.reading.List,
-		ConfirmedAt: s.reading.ConfirmedAt,
-		Suspected:   s.suspects,
+		List:        s.snapshot.List,
+		ConfirmedAt: s.snapshot.ConfirmedAt,
+		Suspected:   s.suspected,
 	}
 }
 
@@ -73,8 +73,8 @@
 		Config: s.versions.Active,
 		Digest: s.versions.Digest,
 	}
-	if s.reading.List != nil {
-		v.List = s.reading.List.Version
+	if s.snapshot.List != nil {
+		v.List = s.snapshot.List.Version
 	}
 	return v
 }
@@ -82,27 +82,27 @@
 func (s *State) notify() {
 	s.mu.Lock()
 	view := s.view()
-	callbacks := s.changed
+	callbacks := s.listeners
 	s.mu.Unlock()
 	for _, f := range callbacks {
 		f(view)
 	}
 }
 
-// Offer puts a configuration in force if it is newer and without fault.
-func (s *State) Offer(source []byte) bool {
+// Activate puts a configuration in force if it is newer and without fault.
+func (s *State) Activate(source []byte) bool {
 	if len(source) == 0 {
 		return false
 	}
 	d, faults := config.Parse("configuration", source)
-	if s.offer(d, faults, source) {
+	if s.activate(d, faults, source) {
 		s.notify()
 		return true
 	}
 	return false
 }
 
-func (s *State) offer(d *config.Document, faults config.Faults, source []byte) bool {
+func (s *State) activate(d *config.Document, faults config.Faults, source []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ev := core.VersionOffered{
@@ -118,13 +118,13 @@
 			s.log.Info("configuration in force", zap.Uint64("version", c.Version))
 			return true
 		case core.VersionRejected:
-			s.reject(c, faults)
+			s.recordRejection(c, faults)
 		}
 	}
 	return false
 }
 
-func (s *State) reject(c core.VersionRejected, faults config.Faults) {
+func (s *State) recordRejection(c core.VersionRejected, faults config.Faults) {
 	if c.Reason == core.RejectNotNewer {
 		return
 	}
@@ -147,9 +147,9 @@
 	return head.Version
 }
 
-// Heard tells that another process named the versions that it has; it reports
+// ObserveVersions tells that another process named the versions that it has; it reports
 // whether something newer can be fetched there.
-func (s *State) Heard(v wire.Versions) bool {
+func (s *State) ObserveVersions(v wire.Versions) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newer := false
@@ -159,29 +159,29 @@
 	}) {
 		_, newer = command.(core.FetchVersion)
 	}
-	return newer || s.reading.List == nil && v.List > 0 || s.reading.List != nil && v.List > s.reading.List.Version
+	return newer || s.snapshot.List == nil && v.List > 0 || s.snapshot.List != nil && v.List > s.snapshot.List.Version
 }
 
-// Adopt takes a list that was the newest at a moment.
-func (s *State) Adopt(list *core.List, at time.Time) {
-	if s.adopt(list, at) {
+// AdoptList takes a list that was the newest at a moment.
+func (s *State) AdoptList(list *core.List, at time.Time) {
+	if s.adoptList(list, at) {
 		s.notify()
 	}
 }
 
-func (s *State) adopt(list *core.List, at time.Time) bool {
+func (s *State) adoptList(list *core.List, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if list == nil || s.reading.List != nil && list.Version < s.reading.List.Version {
+	if list == nil || s.snapshot.List != nil && list.Version < s.snapshot.List.Version {
 		return false
 	}
-	if s.reading.List != nil && list.Version == s.reading.List.Version {
-		if at.After(s.reading.ConfirmedAt) {
-			s.reading.ConfirmedAt = at
+	if s.snapshot.List != nil && list.Version == s.snapshot.List.Version {
+		if at.After(s.snapshot.ConfirmedAt) {
+			s.snapshot.ConfirmedAt = at
 		}
 		return false
 	}
-	s.reading = core.ListSnapshot{
+	s.snapshot = core.ListSnapshot{
 		List:        list,
 		ConfirmedAt: at,
 	}
@@ -190,52 +190,52 @@
 	return true
 }
 
-// Confirm tells that the list of a version was the newest at a moment.
-func (s *State) Confirm(version uint64, at time.Time) {
+// ConfirmList tells that the list of a version was the newest at a moment.
+func (s *State) ConfirmList(version uint64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reading.List != nil && version == s.reading.List.Version && at.After(s.reading.ConfirmedAt) {
-		s.reading.ConfirmedAt = at
+	if s.snapshot.List != nil && version == s.snapshot.List.Version && at.After(s.snapshot.ConfirmedAt) {
+		s.snapshot.ConfirmedAt = at
 	}
 }
 
-// Suspect replaces the boxes that are suspected.
-func (s *State) Suspect(boxes []string) {
+// SetSuspected replaces the boxes that are suspected.
+func (s *State) SetSuspected(boxes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.suspects = boxes
+	s.suspected = boxes
 }
 
 // Snapshot gives what is in force as a message; texts only where they are newer
 // than what the other side has.
-func (s *State) Snapshot(have wire.Versions) wire.Snapshot {
+func (s *State) Snapshot(known wire.Versions) wire.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := wire.Snapshot{
 		ConfigVersion: s.versions.Active,
-		ListAge:       time.Since(s.reading.ConfirmedAt),
-		Suspected:     s.suspects,
+		ListAge:       time.Since(s.snapshot.ConfirmedAt),
+		Suspected:     s.suspected,
 	}
-	if s.document != nil && (s.versions.Active > have.Config || s.versions.Digest != have.Digest) {
+	if s.document != nil && (s.versions.Active > known.Config || s.versions.Digest != known.Digest) {
 		out.Config = s.document.Source()
 	}
-	if s.reading.List == nil {
+	if s.snapshot.List == nil {
 		return out
 	}
-	out.ListVersion = s.reading.List.Version
-	if out.ListVersion > have.List {
-		out.List = s.reading.List
+	out.ListVersion = s.snapshot.List.Version
+	if out.ListVersion > known.List {
+		out.List = s.snapshot.List
 	}
 	return out
 }
 
-// Take puts a snapshot of another process in force where it is newer; asked is
+// Apply puts a snapshot of another process in force where it is newer; asked is
 // the moment before it was asked for.
-func (s *State) Take(in wire.Snapshot, asked time.Time) {
-	confirmed := asked.Add(-in.ListAge)
-	s.Offer(in.Config)
-	s.Adopt(in.List, confirmed)
-	s.Confirm(in.ListVersion, confirmed)
+func (s *State) Apply(in wire.Snapshot, requestedAt time.Time) {
+	confirmed := requestedAt.Add(-in.ListAge)
+	s.Activate(in.Config)
+	s.AdoptList(in.List, confirmed)
+	s.ConfirmList(in.ListVersion, confirmed)
 }
 
 func parseList(data []byte) (*core.List, error) {
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -16,19 +16,19 @@
 
 // The times between what a watch does.
 const (
-	longPoll       = 10 * time.Second
-	confirmAfter   = 2500 * time.Millisecond
-	heartbeatEvery = time.Second
-	pollFaultPause = time.Second
-	peerTimeout    = time.Second
-	fetchMost      = 10 * time.Second // a configuration of a megabyte over 1 Mbit/s takes 8
+	longPollTimeout   = 10 * time.Second
+	maxListAge        = 2500 * time.Millisecond
+	heartbeatInterval = time.Second
+	pollRetryDelay    = time.Second
+	peerTimeout       = time.Second
+	fetchTimeout      = 10 * time.Second // a configuration of a megabyte over 1 Mbit/s takes 8
 )
 
 // peerCount is how many boxes a watch compares versions with.
 const peerCount = 4
 
-// startPeers is how many boxes a starting watch asks before it serves.
-const startPeers = 8
+// bootstrapPeerCount is how many boxes a starting watch asks before it serves.
+const bootstrapPeerCount = 8
 
 // Watch is the platform's side of one box.
 type Watch struct {
@@ -41,18 +41,18 @@
 	pool      *wire.Pool
 	handlers  *wire.Handlers
 	mu        sync.Mutex
-	suspicion *core.FailureDetector
-	retired   map[string]core.Incarnation
-	asked     atomic.Bool
-	leaving   atomic.Bool
+	detector  *core.FailureDetector
+	leftPeers map[string]core.Incarnation
+	joined    atomic.Bool
+	isLeaving atomic.Bool
 	fetching  atomic.Bool
-	left      chan struct{}
+	done      chan struct{}
 	stop      context.CancelFunc
 }
 
 // Start starts a watch.
 func Start(b *settings.Box, log *zap.Logger) (*Watch, error) {
-	p, err := newPlatform(b.Platform, longPoll)
+	p, err := newPlatform(b.Platform, longPollTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -66,18 +66,18 @@
 		log:       log,
 		state:     NewState(log),
 		platform:  p,
-		suspicion: core.NewFailureDetector(core.DefaultFailureDetectorRules()),
-		retired:   make(map[string]core.Incarnation),
-		left:      make(chan struct{}),
+		detector:  core.NewFailureDetector(core.DefaultFailureDetectorRules()),
+		leftPeers: make(map[string]core.Incarnation),
+		done:      make(chan struct{}),
 		stop:      cancel,
 	}
 	w.handlers = wire.NewHandlers(
 		wire.WithVersions(w.state.Versions),
-		wire.WithOnVersions(w.versionsSeen),
+		wire.WithOnVersions(w.handleVersions),
 	)
-	wire.HandleRequest(w.handlers, w.subscribe)
-	wire.HandleRequest(w.handlers, w.heartbeat)
-	wire.HandleRequest(w.handlers, w.fetch)
+	wire.HandleRequest(w.handlers, w.handleSubscribe)
+	wire.HandleRequest(w.handlers, w.handleHeartbeat)
+	wire.HandleRequest(w.handlers, w.handleFetch)
 	w.pool = wire.NewPool(w.handlers)
 	w.server, err = wire.Listen(b.Watch, w.handlers)
 	if err != nil {
@@ -91,17 +91,17 @@
 func (w *Watch) run(ctx context.Context) {
 	go w.pollConfig(ctx)
 	go w.pollList(ctx)
-	w.askPeers(ctx)
-	w.asked.Store(true)
-	w.state.OnChange(func(View) { w.push(ctx) })
-	go w.every(ctx, confirmAfter/5, w.confirm)
-	w.every(ctx, heartbeatEvery, w.beat)
+	w.queryPeers(ctx)
+	w.joined.Store(true)
+	w.state.OnChange(func(View) { w.broadcast(ctx) })
+	go w.runEvery(ctx, maxListAge/5, w.confirmList)
+	w.runEvery(ctx, heartbeatInterval, w.sendHeartbeats)
 }
 
-func (w *Watch) every(ctx context.Context, pause time.Duration, do func(context.Context)) {
+func (w *Watch) runEvery(ctx context.Context, interval time.Duration, do func(context.Context)) {
 	do(ctx)
 	for {
-		jittered := pause*9/10 + rand.N(pause/5)
+		jittered := interval*9/10 + rand.N(interval/5)
 		select {
 		case <-time.After(jittered):
 			do(ctx)
@@ -115,7 +115,7 @@
 func (w *Watch) Ready() string {
 	v := w.state.View()
 	switch {
-	case !w.asked.Load():
+	case !w.joined.Load():
 		return "peers are being asked for newer versions"
 	case v.Document == nil:
 		return "no configuration was read yet; see the platform's address in the settings"
@@ -158,122 +158,122 @@
 // box's other processes go on with what they have. A second call changes
 // nothing.
 func (w *Watch) Stop() {
-	if !w.leaving.CompareAndSwap(false, true) {
+	if !w.isLeaving.CompareAndSwap(false, true) {
 		return
 	}
 	w.log.Info("planned stop")
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	w.beat(ctx)
+	w.sendHeartbeats(ctx)
 	w.stop()
 	w.server.Close()
-	close(w.left)
+	close(w.done)
 }
 
 // Done is closed when the process may end.
-func (w *Watch) Done() <-chan struct{} { return w.left }
+func (w *Watch) Done() <-chan struct{} { return w.done }
 
 func (w *Watch) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		platformCalls.Inc()
-		body, err := w.platform.read(ctx, "config", w.state.Versions().Config, longPoll)
+		body, err := w.platform.fetch(ctx, "config", w.state.Versions().Config, longPollTimeout)
 		if err != nil {
-			w.pollFailed(ctx)
+			w.handlePollError(ctx)
 			continue
 		}
-		if body != nil && !w.state.Offer(body) {
-			w.pollPause(ctx)
+		if body != nil && !w.state.Activate(body) {
+			w.waitBeforeRetry(ctx)
 		}
 	}
 }
 
 func (w *Watch) pollList(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.readList(ctx, longPoll)
+		w.readList(ctx, longPollTimeout)
 	}
 }
 
 func (w *Watch) readList(ctx context.Context, wait time.Duration) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	have := w.state.Versions().List
 	platformCalls.Inc()
-	body, err := w.platform.read(ctx, "list", have, wait)
+	body, err := w.platform.fetch(ctx, "list", have, wait)
 	if err != nil {
-		w.pollFailed(ctx)
+		w.handlePollError(ctx)
 		return
 	}
 	if body == nil {
-		w.state.Confirm(have, asked)
+		w.state.ConfirmList(have, requestedAt)
 		return
 	}
 	list, err := parseList(body)
 	if err != nil {
 		w.log.Warn("list of boxes not used", zap.Error(err))
-		w.pollPause(ctx)
+		w.waitBeforeRetry(ctx)
 		return
 	}
-	w.state.Adopt(list, asked)
+	w.state.AdoptList(list, requestedAt)
 }
 
-func (w *Watch) pollFailed(ctx context.Context) {
+func (w *Watch) handlePollError(ctx context.Context) {
 	platformFaults.Inc()
-	w.pollPause(ctx)
+	w.waitBeforeRetry(ctx)
 }
 
-// pollPause spreads the return of all watches after the platform's outage.
-func (w *Watch) pollPause(ctx context.Context) {
+// waitBeforeRetry spreads the return of all watches after the platform's outage.
+func (w *Watch) waitBeforeRetry(ctx context.Context) {
 	select {
-	case <-time.After(pollFaultPause + rand.N(pollFaultPause)):
+	case <-time.After(pollRetryDelay + rand.N(pollRetryDelay)):
 	case <-ctx.Done():
 	}
 }
 
-// confirm asks the platform whether the list is still the newest, unless a peer
+// confirmList asks the platform whether the list is still the newest, unless a peer
 // told so lately.
-func (w *Watch) confirm(ctx context.Context) {
-	if time.Since(w.state.View().ConfirmedAt) > confirmAfter {
+func (w *Watch) confirmList(ctx context.Context) {
+	if time.Since(w.state.View().ConfirmedAt) > maxListAge {
 		w.readList(ctx, 0)
 	}
 }
 
-func (w *Watch) subscribe(_ context.Context, _ *wire.Conn, _ wire.Subscribe) (wire.Snapshot, error) {
-	if !w.asked.Load() {
+func (w *Watch) handleSubscribe(_ context.Context, _ *wire.Conn, _ wire.Subscribe) (wire.Snapshot, error) {
+	if !w.joined.Load() {
 		return wire.Snapshot{}, nil
 	}
 	return w.state.Snapshot(wire.Versions{}), nil
 }
 
-func (w *Watch) fetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
+func (w *Watch) handleFetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
 	return w.state.Snapshot(wire.Versions(q)), nil
 }
 
-func (w *Watch) push(ctx context.Context) {
-	if !w.asked.Load() {
+func (w *Watch) broadcast(ctx context.Context) {
+	if !w.joined.Load() {
 		return
 	}
 	w.server.Broadcast(ctx, w.state.Snapshot(w.state.Versions()))
 }
 
-// versionsSeen fetches what another process has newer, from that process.
-func (w *Watch) versionsSeen(c *wire.Conn, v wire.Versions) {
-	if !w.state.Heard(v) || !w.fetching.CompareAndSwap(false, true) {
+// handleVersions fetches what another process has newer, from that process.
+func (w *Watch) handleVersions(c *wire.Conn, v wire.Versions) {
+	if !w.state.ObserveVersions(v) || !w.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer w.fetching.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), fetchMost)
+		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		_ = w.fetchFrom(ctx, c)
 	}()
 }
 
 func (w *Watch) fetchFrom(ctx context.Context, c *wire.Conn) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	have := w.state.Versions()
 	peerFetches.Inc()
 	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, wire.Fetch(have), peerTimeout)
 	if err == nil {
-		w.state.Take(s, asked)
+		w.state.Apply(s, requestedAt)
 	}
 	return err
 }
