--- a/clock/suspension_test.go
+++ b/clock/suspension_test.go
@@ -13,22 +13,22 @@
 // machine is a machine's three clocks.
 type machine struct {
 	readings clock.Readings
-	step     time.Duration // of the time of day
-	asked    int
-	fault    error
+	timeStep time.Duration // of the time of day
+	reads    int
+	readErr  error
 }
 
 func (m *machine) read() (clock.Readings, error) {
-	m.asked++
-	return m.readings, m.fault
+	m.reads++
+	return m.readings, m.readErr
 }
 
 // drift is how far the time of day, which goes on while the machine is suspended, is ahead.
-func (m *machine) drift() time.Duration { return m.readings.Boot + m.step - m.readings.Steady }
+func (m *machine) drift() time.Duration { return m.readings.Boot + m.timeStep - m.readings.Monotonic }
 
 func (m *machine) run(d time.Duration) {
 	m.readings.Boot += d
-	m.readings.Steady += d
+	m.readings.Monotonic += d
 }
 
 func (m *machine) suspend(d time.Duration) { m.readings.Boot += d }
@@ -50,33 +50,33 @@
 		begin()
 		m.run(time.Hour)
 		s.Check()
-		Expect(m.asked).To(Equal(1))
+		Expect(m.reads).To(Equal(1))
 
 		m.suspend(3 * time.Second)
 		s.Check()
 		s.Check()
 		Expect(told).To(Equal([]time.Duration{3 * time.Second}))
 
-		m.step = -2 * time.Second
+		m.timeStep = -2 * time.Second
 		s.Check()
-		m.step = 0
+		m.timeStep = 0
 		s.Check()
 		Expect(told).To(HaveLen(1))
 
 		m.run(time.Second)
 		m.suspend(700 * time.Millisecond)
-		m.step = 5 * time.Second
+		m.timeStep = 5 * time.Second
 		s.Check()
 		Expect(told).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
 	})
 
 	It("aren't told while the clocks can't be read, nor what came before their first reading", func() {
-		m.fault = errors.New("no such clock")
+		m.readErr = errors.New("no such clock")
 		begin()
 		m.suspend(time.Second)
 		s.Check()
 		Expect(faults).To(Equal(2))
-		m.fault = nil
+		m.readErr = nil
 		m.suspend(time.Second)
 		s.Check()
 		Expect(told).To(BeEmpty())
--- a/commands/check.go
+++ b/commands/check.go
@@ -23,9 +23,9 @@
 
 func check(_ context.Context, out io.Writer, files []string) error {
 	if len(files) == 0 {
-		return &UsageError{What: "check needs one file or more"}
+		return &UsageError{Problem: "check needs one file or more"}
 	}
-	bad := 0
+	invalid := 0
 	for _, file := range files {
 		source, err := os.ReadFile(file)
 		if err != nil {
@@ -36,14 +36,14 @@
 			fmt.Fprintln(out, f)
 		}
 		if d == nil {
-			bad++
+			invalid++
 			continue
 		}
 		fmt.Fprintf(out, "%s: version %d can be published: %d customers, %d tiers, %d models, %d endpoints, %d services\n",
 			file, d.Version, len(d.Customers), len(d.Tiers), len(d.Models), len(d.Endpoints), len(d.Services))
 	}
-	if bad > 0 {
-		return errors.Errorf("%d of %d documents can't be published; correct the errors above", bad, len(files))
+	if invalid > 0 {
+		return errors.Errorf("%d of %d documents can't be published; correct the errors above", invalid, len(files))
 	}
 	return nil
 }
--- a/commands/completion.go
+++ b/commands/completion.go
@@ -20,12 +20,12 @@
 
 func completion(_ context.Context, out io.Writer, arguments []string) error {
 	if len(arguments) != 1 || arguments[0] != "bash" {
-		return &UsageError{What: "completion knows one shell: bash"}
+		return &UsageError{Problem: "completion knows one shell: bash"}
 	}
 	var names, cases []string
 	for _, c := range registry {
 		names = append(names, c.name)
-		cases = append(cases, "    "+c.name+`) COMPREPLY=( $(compgen -W "`+strings.Join(c.words(), " ")+`" -- "$word") $(compgen -f -- "$word") ) ;;`)
+		cases = append(cases, "    "+c.name+`) COMPREPLY=( $(compgen -W "`+strings.Join(c.suggestions(), " ")+`" -- "$word") $(compgen -f -- "$word") ) ;;`)
 	}
 	_, err := fmt.Fprintf(out, `_dillsaddle() {
   local word=${COMP_WORDS[COMP_CWORD]}
@@ -39,20 +39,20 @@
 	return err
 }
 
-func (c *command) words() []string {
-	var words []string
+func (c *command) suggestions() []string {
+	var suggestions []string
 	fs := flag.NewFlagSet(c.name, flag.ContinueOnError)
 	if c.flags != nil {
 		c.flags(fs)
 	}
-	fs.VisitAll(func(f *flag.Flag) { words = append(words, "-"+f.Name) })
+	fs.VisitAll(func(f *flag.Flag) { suggestions = append(suggestions, "-"+f.Name) })
 	if c.suggest == nil {
-		return words
+		return suggestions
 	}
 	for _, s := range c.suggest() {
 		if !strings.ContainsRune(s, '*') {
-			words = append(words, s)
+			suggestions = append(suggestions, s)
 		}
 	}
-	return words
+	return suggestions
 }
--- a/commands/explain.go
+++ b/commands/explain.go
@@ -47,7 +47,7 @@
 
 func explain(_ context.Context, out io.Writer, files []string) error {
 	if len(files) != 1 {
-		return &UsageError{What: "explain needs one file"}
+		return &UsageError{Problem: "explain needs one file"}
 	}
 	source, err := os.ReadFile(files[0])
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	c := d.Customer(explainFlags.customer)
 	if c == nil {
-		return &UsageError{What: fmt.Sprintf("no customer is named %q in %s", explainFlags.customer, files[0])}
+		return &UsageError{Problem: fmt.Sprintf("no customer is named %q in %s", explainFlags.customer, files[0])}
 	}
 	return explainFor(out, d, c)
 }
--- a/commands/losses.go
+++ b/commands/losses.go
@@ -27,12 +27,12 @@
 	})
 }
 
-// stdin is the name of the standard input among files.
-const stdin = "-"
+// stdinName is the name of the standard input among files.
+const stdinName = "-"
 
 func runLosses(_ context.Context, out io.Writer, files []string) error {
 	if len(files) == 0 {
-		return &UsageError{What: "losses needs the logs of boxes, or - for the standard input"}
+		return &UsageError{Problem: "losses needs the logs of boxes, or - for the standard input"}
 	}
 	r := losses.NewReader()
 	for _, name := range files {
@@ -54,7 +54,7 @@
 }
 
 func readLog(r *losses.Reader, name string) error {
-	if name == stdin {
+	if name == stdinName {
 		return r.Read(os.Stdin)
 	}
 	f, err := os.Open(name)
--- a/commands/ready.go
+++ b/commands/ready.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-var readyWait time.Duration
+var readyTimeout time.Duration
 
 func init() {
 	register(&command{
@@ -19,20 +19,20 @@
 		usage: "[-wait TIME] ADDRESS",
 		help:  "wait until a process can serve, or say what is missing",
 		flags: func(fs *flag.FlagSet) {
-			fs.DurationVar(&readyWait, "wait", 0, "longest `time` to wait")
+			fs.DurationVar(&readyTimeout, "wait", 0, "longest `time` to wait")
 		},
 		run: ready,
 	})
 }
 
-// readyPause is the time between two looks.
-const readyPause = 100 * time.Millisecond
+// readyPollInterval is the time between two looks.
+const readyPollInterval = 100 * time.Millisecond
 
 func ready(ctx context.Context, out io.Writer, arguments []string) error {
 	if len(arguments) != 1 {
-		return &UsageError{What: "ready needs one address"}
+		return &UsageError{Problem: "ready needs one address"}
 	}
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		code, body, err := fetch(ctx, arguments[0], "/readyz")
 		if err == nil && code == 200 {
@@ -44,13 +44,13 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("not ready: %s%v", strings.TrimSpace(string(body)), orEmpty(err))
+			return errors.Errorf("not ready: %s%v", strings.TrimSpace(string(body)), errorText(err))
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-func orEmpty(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/commands/registry.go
+++ b/commands/registry.go
@@ -29,16 +29,16 @@
 
 // UsageError reports a command line that can't be carried out.
 type UsageError struct {
-	What string
+	Problem string
 }
 
 // Error names what is wrong and the remedy.
-func (e *UsageError) Error() string { return e.What + "; see dillsaddle -h" }
+func (e *UsageError) Error() string { return e.Problem + "; see dillsaddle -h" }
 
 // The exit codes of the command line.
 const (
-	exitDone  = 0
-	exitFault = 1
+	exitOK    = 0
+	exitError = 1
 	exitUsage = 2
 )
 
@@ -58,7 +58,7 @@
 	var usage *UsageError
 	switch {
 	case err == nil:
-		return exitDone
+		return exitOK
 	case errors.Is(err, flag.ErrHelp):
 		return exitUsage
 	case errors.As(err, &usage):
@@ -66,7 +66,7 @@
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "dillsaddle:", err)
-	return exitFault
+	return exitError
 }
 
 func (c *command) build(out io.Writer) *ffcli.Command {
--- a/commands/replay.go
+++ b/commands/replay.go
@@ -23,9 +23,9 @@
 
 func replay(_ context.Context, out io.Writer, files []string) error {
 	if len(files) == 0 {
-		return &UsageError{What: "replay needs one file or more"}
+		return &UsageError{Problem: "replay needs one file or more"}
 	}
-	bad := 0
+	mismatches := 0
 	for _, file := range files {
 		report, err := replayFile(file)
 		if err != nil {
@@ -35,10 +35,10 @@
 		for _, m := range report.Mismatches {
 			fmt.Fprintf(out, "%s: %v\n", file, m)
 		}
-		bad += len(report.Mismatches)
+		mismatches += len(report.Mismatches)
 	}
-	if bad > 0 {
-		return errors.Errorf("%d stated outcomes don't hold; the lines above name them", bad)
+	if mismatches > 0 {
+		return errors.Errorf("%d stated outcomes don't hold; the lines above name them", mismatches)
 	}
 	return nil
 }
--- a/commands/status.go
+++ b/commands/status.go
@@ -41,7 +41,7 @@
 func fetch(ctx context.Context, address, path string) (int, []byte, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return 0, nil, &UsageError{What: fmt.Sprintf("%q is no address by IP number and port", address)}
+		return 0, nil, &UsageError{Problem: fmt.Sprintf("%q is no address by IP number and port", address)}
 	}
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
@@ -57,7 +57,7 @@
 
 func status(ctx context.Context, out io.Writer, arguments []string) error {
 	if len(arguments) != 1 {
-		return &UsageError{What: "status needs one address"}
+		return &UsageError{Problem: "status needs one address"}
 	}
 	code, body, err := fetch(ctx, arguments[0], "/status")
 	if err != nil {
@@ -91,10 +91,10 @@
 	fmt.Fprintf(w, "configuration\tversion %d\n", s.ConfigVersion)
 	fmt.Fprintf(w, "list of boxes\tversion %d, confirmed %s ago\n", s.ListVersion, s.ListAge)
 	fmt.Fprintf(w, "state\tentry %s, scheduler %s, %d requests, %d claims\n", s.Drain, s.Scheduler.Drain, s.Requests, s.Scheduler.Claims)
-	fmt.Fprintf(w, "suspected\t%s\n", orNone(s.Suspected))
+	fmt.Fprintf(w, "suspected\t%s\n", joinOrNone(s.Suspected))
 	fmt.Fprintln(w, "\nMODEL\tRUNNING\tWAITING\tLEASES")
 	for _, m := range s.Models {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", m.Model, m.Running, waiting(m.Waiting), leases(m.Leases))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", m.Model, m.Running, waitingByTier(m.Waiting), leaseList(m.Leases))
 	}
 	fmt.Fprintln(w, "\nOWNED HALF\tSTATE\tBOXES\tUSED\tMEMORY")
 	for _, h := range s.Scheduler.OwnedSlots {
@@ -116,13 +116,13 @@
 		fmt.Fprintln(w, "\nREQUEST KEPT FROM ENDPOINTS\tFOR\tENDED UNDER IT")
 	}
 	for _, h := range s.Held {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", h.Content, h.For, orNone(h.Ended))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", h.Content, h.For, joinOrNone(h.Ended))
 	}
 	if len(s.Restrained) > 0 {
 		fmt.Fprintln(w, "\nENDPOINT THAT ASKED FOR LESS\tREQUESTS/S OF ALL BOXES\tRESTS FOR")
 	}
 	for _, r := range s.Restrained {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Endpoint, perSecond(r.PerSecond), cmp.Or(r.Rest, "-"))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Endpoint, formatRate(r.PerSecond), cmp.Or(r.Rest, "-"))
 	}
 	fmt.Fprintln(w, "\nBOX\tZONE\tSILENCE\tLEAVING")
 	for _, b := range s.Boxes {
@@ -131,33 +131,33 @@
 	return w.Flush()
 }
 
-func perSecond(limit *float64) string {
+func formatRate(limit *float64) string {
 	if limit == nil {
 		return "any"
 	}
 	return strconv.FormatFloat(*limit, 'f', 1, 64)
 }
 
-func orNone(names []string) string {
+func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
 	return strings.Join(names, " ")
 }
 
-func waiting(byTier map[string]int) string {
+func waitingByTier(byTier map[string]int) string {
 	parts := make([]string, 0, len(byTier))
 	for tier, n := range byTier {
 		parts = append(parts, fmt.Sprintf("%s:%d", tier, n))
 	}
 	slices.Sort(parts)
-	return orNone(parts)
+	return joinOrNone(parts)
 }
 
-func leases(all []entry.LeaseStatus) string {
+func leaseList(all []entry.LeaseStatus) string {
 	parts := make([]string, 0, len(all))
 	for _, l := range all {
 		parts = append(parts, l.Endpoint+"("+l.TimeLeft+")")
 	}
-	return orNone(parts)
+	return joinOrNone(parts)
 }
--- a/config/check.go
+++ b/config/check.go
@@ -9,35 +9,35 @@
 // check reports what no single section can see: names that stand twice, names
 // that nothing defines, and what is legal but surely unmeant.
 func (r *reader) check(d *Document) {
-	unique(r, d.Customers, "customer", func(c *Customer) (string, int) { return c.Name, c.line })
-	unique(r, d.Tiers, "tier", func(t *Tier) (string, int) { return t.Name, t.line })
-	unique(r, d.Policies, "policy", func(p *Policy) (string, int) { return p.Name, p.line })
-	unique(r, d.Models, "model", func(m *Model) (string, int) { return m.Name, m.line })
-	unique(r, d.Endpoints, "endpoint", func(e *Endpoint) (string, int) { return e.Name, e.line })
-	unique(r, d.Services, "service", func(s *Service) (string, int) { return s.Name, s.line })
+	checkUnique(r, d.Customers, "customer", func(c *Customer) (string, int) { return c.Name, c.line })
+	checkUnique(r, d.Tiers, "tier", func(t *Tier) (string, int) { return t.Name, t.line })
+	checkUnique(r, d.Policies, "policy", func(p *Policy) (string, int) { return p.Name, p.line })
+	checkUnique(r, d.Models, "model", func(m *Model) (string, int) { return m.Name, m.line })
+	checkUnique(r, d.Endpoints, "endpoint", func(e *Endpoint) (string, int) { return e.Name, e.line })
+	checkUnique(r, d.Services, "service", func(s *Service) (string, int) { return s.Name, s.line })
 	r.checkCustomers(d)
 	r.checkTiers(d)
 	r.checkModels(d)
 }
 
-func unique[T any](r *reader, all []T, what string, name func(*T) (string, int)) {
+func checkUnique[T any](r *reader, all []T, kind string, name func(*T) (string, int)) {
 	seen := make(map[string]int)
 	for i := range all {
-		one, line := name(&all[i])
-		if first, twice := seen[one]; twice {
-			r.faultAt(line, fmt.Sprintf("%s %q stands twice, first at line %d", what, one, first), "rename or remove one of them")
+		value, line := name(&all[i])
+		if first, isDuplicate := seen[value]; isDuplicate {
+			r.addFaultAtLine(line, fmt.Sprintf("%s %q stands twice, first at line %d", kind, value, first), "rename or remove one of them")
 			continue
 		}
-		seen[one] = line
+		seen[value] = line
 	}
 }
 
-func (r *reader) faultAt(line int, what, remedy string) {
+func (r *reader) addFaultAtLine(line int, problem, remedy string) {
 	r.faults = append(r.faults, Fault{
-		File:   r.file,
-		Line:   line,
-		What:   what,
-		Remedy: remedy,
+		File:    r.file,
+		Line:    line,
+		Problem: problem,
+		Remedy:  remedy,
 	})
 }
 
@@ -46,11 +46,11 @@
 	for i := range d.Customers {
 		c := &d.Customers[i]
 		if d.Tier(c.Tier) == nil {
-			r.faultAt(c.line, fmt.Sprintf("customer %q names the tier %q, which is not there", c.Name, c.Tier), "name a tier of this document")
+			r.addFaultAtLine(c.line, fmt.Sprintf("customer %q names the tier %q, which is not there", c.Name, c.Tier), "name a tier of this document")
 		}
 		for _, key := range c.KeySHA256 {
-			if other, twice := keys[key]; twice {
-				r.faultAt(c.line, fmt.Sprintf("customers %q and %q share a key", other, c.Name), "give each customer its own key")
+			if other, isDuplicate := keys[key]; isDuplicate {
+				r.addFaultAtLine(c.line, fmt.Sprintf("customers %q and %q share a key", other, c.Name), "give each customer its own key")
 			}
 			keys[key] = c.Name
 		}
@@ -62,16 +62,16 @@
 		t := &d.Tiers[i]
 		p := d.Policy(t.Policy)
 		if p == nil {
-			r.faultAt(t.line, fmt.Sprintf("tier %q names the policy %q, which is not there", t.Name, t.Policy), "name a policy of this document")
+			r.addFaultAtLine(t.line, fmt.Sprintf("tier %q names the policy %q, which is not there", t.Name, t.Policy), "name a policy of this document")
 		}
 		if find(d.Customers, func(c *Customer) bool { return c.Tier == t.Name }) == nil {
-			r.warn(t.line, fmt.Sprintf("no customer uses tier %q", t.Name), "remove it or give it a customer")
+			r.addWarning(t.line, fmt.Sprintf("no customer uses tier %q", t.Name), "remove it or give it a customer")
 		}
 	}
 	for i := range d.Policies {
 		p := &d.Policies[i]
 		if p.Program != nil && neverRuns(p.Program) {
-			r.warn(p.line, fmt.Sprintf("policy %q doesn't run even a small request on an idle fleet", p.Name), "let it give 'run' for some request")
+			r.addWarning(p.line, fmt.Sprintf("policy %q doesn't run even a small request on an idle fleet", p.Name), "let it give 'run' for some request")
 		}
 	}
 }
@@ -93,13 +93,13 @@
 		for _, model := range d.Endpoints[i].Models {
 			served[model] = true
 			if d.Model(model) == nil {
-				r.faultAt(d.Endpoints[i].line, fmt.Sprintf("endpoint %q serves the model %q, which is not there", d.Endpoints[i].Name, model), "add the model or remove the name")
+				r.addFaultAtLine(d.Endpoints[i].line, fmt.Sprintf("endpoint %q serves the model %q, which is not there", d.Endpoints[i].Name, model), "add the model or remove the name")
 			}
 		}
 	}
 	for i := range d.Models {
 		if !served[d.Models[i].Name] {
-			r.warn(d.Models[i].line, fmt.Sprintf("no endpoint serves model %q", d.Models[i].Name), "add it to an endpoint's models")
+			r.addWarning(d.Models[i].line, fmt.Sprintf("no endpoint serves model %q", d.Models[i].Name), "add it to an endpoint's models")
 		}
 	}
 }
--- a/config/customer.go
+++ b/config/customer.go
@@ -20,31 +20,31 @@
 	line        int
 }
 
-func parseCustomer(o *object) Customer {
+func parseCustomer(o *jsonObject) Customer {
 	c := Customer{
 		Class:       "standard",
 		Weight:      1,
 		MaxStreams:  256,
 		MaxWaiting:  512,
 		RetryBudget: 0.1,
-		line:        o.r.line(o.at),
+		line:        o.r.line(o.offset),
 	}
-	o.name(&c.Name)
-	o.text("tier", &c.Tier)
-	o.text("class", &c.Class)
-	at := o.at
-	o.texts("key_sha256", &c.KeySHA256)
+	o.readName(&c.Name)
+	o.readString("tier", &c.Tier)
+	o.readString("class", &c.Class)
+	offset := o.offset
+	o.readStrings("key_sha256", &c.KeySHA256)
 	o.real("weight", &c.Weight, 0.01, 1000)
-	o.whole("max_streams", &c.MaxStreams, 1, 1000000)
-	o.whole("max_waiting", &c.MaxWaiting, 0, 1000000)
+	o.readInt("max_streams", &c.MaxStreams, 1, 1000000)
+	o.readInt("max_waiting", &c.MaxWaiting, 0, 1000000)
 	o.real("tokens_per_second", &c.TokenRate, 0, 1e9)
 	o.real("retry_budget", &c.RetryBudget, 0, 1)
 	if len(c.KeySHA256) == 0 {
-		o.r.fault(at, "customer "+c.Name+" has no key", `add "key_sha256" with the SHA-256 of each key, in hex`)
+		o.r.addFault(offset, "customer "+c.Name+" has no key", `add "key_sha256" with the SHA-256 of each key, in hex`)
 	}
 	for _, key := range c.KeySHA256 {
-		if raw, err := hex.DecodeString(key); err != nil || len(raw) != sha256.Size {
-			o.r.fault(at, "customer "+c.Name+" has a key that is no SHA-256", "write 64 hex digits: printf KEY | sha256sum")
+		if digest, err := hex.DecodeString(key); err != nil || len(digest) != sha256.Size {
+			o.r.addFault(offset, "customer "+c.Name+" has a key that is no SHA-256", "write 64 hex digits: printf KEY | sha256sum")
 		}
 	}
 	return c
@@ -53,12 +53,12 @@
 // KeyMatches reports whether a key is this customer's, in constant time.
 func (c *Customer) KeyMatches(key string) bool {
 	sum := sha256.Sum256([]byte(key))
-	given := []byte(hex.EncodeToString(sum[:]))
-	found := 0
+	hexDigest := []byte(hex.EncodeToString(sum[:]))
+	match := 0
 	for _, known := range c.KeySHA256 {
-		found |= subtle.ConstantTimeCompare(given, []byte(known))
+		match |= subtle.ConstantTimeCompare(hexDigest, []byte(known))
 	}
-	return found == 1
+	return match == 1
 }
 
 // Authenticate finds the customer that a key belongs to, or nil; it looks at
--- a/config/document.go
+++ b/config/document.go
@@ -31,13 +31,13 @@
 	}
 	value, err := hujson.Parse(source)
 	if err != nil {
-		r.fault(errorOffset(source), "not JSON: "+err.Error(), "correct the syntax at this line")
+		r.addFault(errorOffset(source), "not JSON: "+err.Error(), "correct the syntax at this line")
 		return nil, r.faults
 	}
 	if !value.IsStandard() {
-		r.fault(0, "comments or trailing commas", "remove them: the document is standard JSON")
+		r.addFault(0, "comments or trailing commas", "remove them: the document is standard JSON")
 	}
-	d := r.document(&value)
+	d := r.readDocument(&value)
 	r.check(d)
 	if r.faults.Fatal() {
 		return nil, r.faults.sorted()
@@ -55,28 +55,28 @@
 	return 0
 }
 
-func (r *reader) document(v *hujson.Value) *Document {
-	o := r.object(v, "the document")
+func (r *reader) readDocument(v *hujson.Value) *Document {
+	o := r.jsonObject(v, "the document")
 	d := &Document{
 		Limits: defaultLimits(),
 		source: r.source,
 	}
-	scalar(o, "version", &d.Version, "write a whole number above every earlier version")
+	readScalar(o, "version", &d.Version, "write a whole number above every earlier version")
 	if d.Version == 0 {
-		r.fault(0, "the document has no version", `add "version", a whole number above every earlier one`)
+		r.addFault(0, "the document has no version", `add "version", a whole number above every earlier one`)
 	}
-	d.Customers = list(o, "customers", "customer", parseCustomer)
-	d.Tiers = list(o, "tiers", "tier", parseTier)
-	d.Policies = list(o, "policies", "policy", parsePolicy)
-	d.Models = list(o, "models", "model", parseModel)
-	d.Endpoints = list(o, "endpoints", "endpoint", parseEndpoint)
-	d.Services = list(o, "services", "service", parseService)
-	if limits := o.take("limits"); limits != nil {
-		inner := r.object(limits, "limits")
-		parseLimits(inner, &d.Limits)
-		inner.done()
+	d.Customers = readList(o, "customers", "customer", parseCustomer)
+	d.Tiers = readList(o, "tiers", "tier", parseTier)
+	d.Policies = readList(o, "policies", "policy", parsePolicy)
+	d.Models = readList(o, "models", "model", parseModel)
+	d.Endpoints = readList(o, "endpoints", "endpoint", parseEndpoint)
+	d.Services = readList(o, "services", "service", parseService)
+	if limits := o.takeMember("limits"); limits != nil {
+		section := r.jsonObject(limits, "limits")
+		parseLimits(section, &d.Limits)
+		section.reportUnknownMembers()
 	}
-	o.done()
+	o.reportUnknownMembers()
 	return d
 }
 
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -41,7 +41,7 @@
 			Expect(d).To(BeNil())
 			Expect(faults).To(ContainElement(And(
 				HaveField("Line", lineOf(source, changed)),
-				HaveField("What", ContainSubstring(what)),
+				HaveField("Problem", ContainSubstring(what)),
 				HaveField("Remedy", ContainSubstring(remedy)),
 			)))
 		},
@@ -79,7 +79,7 @@
 		source := strings.Replace(example("buscodigo"), `request.fits ? 'run' : 'wait'`, `request.fits`, 1)
 		d, faults := config.Parse("config.json", []byte(source))
 		Expect(d).To(BeNil())
-		Expect(faults[0].What).To(ContainSubstring("not string"))
+		Expect(faults[0].Problem).To(ContainSubstring("not string"))
 	})
 
 	It("is warned of when a tier has no customer or a policy runs nothing", func() {
--- a/config/endpoint.go
+++ b/config/endpoint.go
@@ -15,23 +15,23 @@
 	line         int
 }
 
-func parseEndpoint(o *object) Endpoint {
+func parseEndpoint(o *jsonObject) Endpoint {
 	e := Endpoint{
 		Protocol:     "completions",
 		MemoryTokens: 100000,
 		BatchSlots:   64,
-		line:         o.r.line(o.at),
+		line:         o.r.line(o.offset),
 	}
-	o.name(&e.Name)
-	o.address("address", &e.Address)
-	o.text("zone", &e.Zone)
-	o.text("protocol", &e.Protocol)
-	o.texts("models", &e.Models)
-	o.whole("memory_tokens", &e.MemoryTokens, 64, 1<<30)
-	o.whole("batch_slots", &e.BatchSlots, 1, 65536)
-	o.flag("checks_fences", &e.ChecksFences)
+	o.readName(&e.Name)
+	o.readAddress("address", &e.Address)
+	o.readString("zone", &e.Zone)
+	o.readString("protocol", &e.Protocol)
+	o.readStrings("models", &e.Models)
+	o.readInt("memory_tokens", &e.MemoryTokens, 64, 1<<30)
+	o.readInt("batch_slots", &e.BatchSlots, 1, 65536)
+	o.readBool("checks_fences", &e.ChecksFences)
 	if e.Protocol != "completions" {
-		o.r.fault(o.at, "endpoint "+e.Name+" speaks the unknown protocol "+e.Protocol, `write "completions", the only one of this version`)
+		o.r.addFault(o.offset, "endpoint "+e.Name+" speaks the unknown protocol "+e.Protocol, `write "completions", the only one of this version`)
 	}
 	return e
 }
--- a/config/fault.go
+++ b/config/fault.go
@@ -11,7 +11,7 @@
 type Fault struct {
 	File    string
 	Line    int
-	What    string
+	Problem string
 	Remedy  string
 	Warning bool
 }
@@ -22,7 +22,7 @@
 	if f.Warning {
 		kind = "warning"
 	}
-	return fmt.Sprintf("%s:%d: %s: %s; %s", f.File, f.Line, kind, f.What, f.Remedy)
+	return fmt.Sprintf("%s:%d: %s: %s; %s", f.File, f.Line, kind, f.Problem, f.Remedy)
 }
 
 // Faults is the error of a document that is not accepted.
@@ -31,8 +31,8 @@
 // Error lists every fault.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, one := range f {
-		lines = append(lines, one.String())
+	for _, fault := range f {
+		lines = append(lines, fault.String())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -40,15 +40,15 @@
 // sorted gives the faults by line, the same in every run.
 func (f Faults) sorted() Faults {
 	slices.SortStableFunc(f, func(a, b Fault) int {
-		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Problem, b.Problem))
 	})
 	return f
 }
 
 // Fatal reports whether any fault forbids putting the document in force.
 func (f Faults) Fatal() bool {
-	for _, one := range f {
-		if !one.Warning {
+	for _, fault := range f {
+		if !fault.Warning {
 			return true
 		}
 	}
--- a/config/limits.go
+++ b/config/limits.go
@@ -23,11 +23,11 @@
 	}
 }
 
-func parseLimits(o *object, l *Limits) {
-	o.whole("body_bytes", &l.BodyBytes, 1024, 16<<20)
-	o.duration("slow_caller", &l.SlowCallerTimeout, 100*time.Millisecond, 10*time.Minute)
-	o.duration("progress", &l.ProgressTimeout, 100*time.Millisecond, 10*time.Minute)
-	o.duration("resume_window", &l.ResumeWindow, 100*time.Millisecond, 10*time.Minute)
-	o.duration("max_wait", &l.MaxWait, 10*time.Millisecond, time.Hour)
-	o.duration("claim_guard", &l.ClaimGuard, 150*time.Second, 24*time.Hour)
+func parseLimits(o *jsonObject, l *Limits) {
+	o.readInt("body_bytes", &l.BodyBytes, 1024, 16<<20)
+	o.readDuration("slow_caller", &l.SlowCallerTimeout, 100*time.Millisecond, 10*time.Minute)
+	o.readDuration("progress", &l.ProgressTimeout, 100*time.Millisecond, 10*time.Minute)
+	o.readDuration("resume_window", &l.ResumeWindow, 100*time.Millisecond, 10*time.Minute)
+	o.readDuration("max_wait", &l.MaxWait, 10*time.Millisecond, time.Hour)
+	o.readDuration("claim_guard", &l.ClaimGuard, 150*time.Second, 24*time.Hour)
 }
--- a/config/model.go
+++ b/config/model.go
@@ -8,14 +8,14 @@
 	line         int
 }
 
-func parseModel(o *object) Model {
+func parseModel(o *jsonObject) Model {
 	m := Model{
 		MaxTokens:    32768,
 		ExpectTokens: 256,
-		line:         o.r.line(o.at),
+		line:         o.r.line(o.offset),
 	}
-	o.name(&m.Name)
-	o.whole("max_tokens", &m.MaxTokens, 1, 1000000)
-	o.whole("expect_tokens", &m.ExpectTokens, 1, 1000000)
+	o.readName(&m.Name)
+	o.readInt("max_tokens", &m.MaxTokens, 1, 1000000)
+	o.readInt("expect_tokens", &m.ExpectTokens, 1, 1000000)
 	return m
 }
--- a/config/policy.go
+++ b/config/policy.go
@@ -11,14 +11,14 @@
 	line    int
 }
 
-func parsePolicy(o *object) Policy {
-	p := Policy{line: o.r.line(o.at)}
-	o.name(&p.Name)
-	o.text("decide", &p.Decide)
-	o.text("rank", &p.Rank)
+func parsePolicy(o *jsonObject) Policy {
+	p := Policy{line: o.r.line(o.offset)}
+	o.readName(&p.Name)
+	o.readString("decide", &p.Decide)
+	o.readString("rank", &p.Rank)
 	program, err := policy.Compile(p.Name, p.Decide, p.Rank)
 	if err != nil {
-		o.r.fault(o.at, err.Error(), "docs/CONFIGURATION.md lists what a program sees")
+		o.r.addFault(o.offset, err.Error(), "docs/CONFIGURATION.md lists what a program sees")
 		return p
 	}
 	p.Program = program
--- a/config/service.go
+++ b/config/service.go
@@ -24,40 +24,40 @@
 	Path   string
 }
 
-func parseService(o *object) Service {
+func parseService(o *jsonObject) Service {
 	s := Service{
 		Deadline:    2 * time.Second,
 		Concurrency: 64,
-		line:        o.r.line(o.at),
+		line:        o.r.line(o.offset),
 	}
-	o.name(&s.Name)
+	o.readName(&s.Name)
 	var addresses []string
-	o.texts("addresses", &addresses)
+	o.readStrings("addresses", &addresses)
 	for _, text := range addresses {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			o.r.fault(o.at, "service "+s.Name+" has an address that is no IP number and port", `write "IP:port"`)
+			o.r.addFault(o.offset, "service "+s.Name+" has an address that is no IP number and port", `write "IP:port"`)
 			continue
 		}
 		s.Addresses = append(s.Addresses, address)
 	}
 	if len(s.Addresses) == 0 {
-		o.r.fault(o.at, "service "+s.Name+" has no address", `add "addresses" with one "IP:port" or more`)
+		o.r.addFault(o.offset, "service "+s.Name+" has no address", `add "addresses" with one "IP:port" or more`)
 	}
-	o.duration("deadline", &s.Deadline, time.Millisecond, 10*time.Minute)
-	o.whole("concurrency", &s.Concurrency, 1, 100000)
-	o.flag("hedge", &s.Hedge)
-	scalar(o, "refusal_statuses", &s.RefusalStatuses, "write a list of HTTP statuses")
-	s.NotRepeatable = list(o, "not_repeatable", "call of service "+s.Name, parseCallPattern)
+	o.readDuration("deadline", &s.Deadline, time.Millisecond, 10*time.Minute)
+	o.readInt("concurrency", &s.Concurrency, 1, 100000)
+	o.readBool("hedge", &s.Hedge)
+	readScalar(o, "refusal_statuses", &s.RefusalStatuses, "write a list of HTTP statuses")
+	s.NotRepeatable = readList(o, "not_repeatable", "call of service "+s.Name, parseCallPattern)
 	return s
 }
 
-func parseCallPattern(o *object) CallPattern {
+func parseCallPattern(o *jsonObject) CallPattern {
 	p := CallPattern{Path: "/"}
-	o.text("method", &p.Method)
-	o.text("path", &p.Path)
+	o.readString("method", &p.Method)
+	o.readString("path", &p.Path)
 	if p.Method == "" || !strings.HasPrefix(p.Path, "/") {
-		o.r.fault(o.at, o.what+" names no method or a path without a leading /", `write {"method": "POST", "path": "/records"}`)
+		o.r.addFault(o.offset, o.description+" names no method or a path without a leading /", `write {"method": "POST", "path": "/records"}`)
 	}
 	return p
 }
--- a/config/tier.go
+++ b/config/tier.go
@@ -9,17 +9,17 @@
 	line   int
 }
 
-func parseTier(o *object) Tier {
+func parseTier(o *jsonObject) Tier {
 	t := Tier{
 		Risk: 0.05,
-		line: o.r.line(o.at),
+		line: o.r.line(o.offset),
 	}
-	o.name(&t.Name)
+	o.readName(&t.Name)
 	if o.members["rank"] == nil {
-		o.r.fault(o.at, "tier "+t.Name+" has no rank", `add "rank": 0 is served first`)
+		o.r.addFault(o.offset, "tier "+t.Name+" has no rank", `add "rank": 0 is served first`)
 	}
-	o.whole("rank", &t.Rank, 0, 15)
-	o.text("policy", &t.Policy)
+	o.readInt("rank", &t.Rank, 0, 15)
+	o.readString("policy", &t.Policy)
 	o.real("risk", &t.Risk, 0.00001, 0.5)
 	return t
 }
--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// queueLines bounds the lines that wait for a slow reader.
-	queueLines = 1024
-	// budgetRate and budgetBurst bound the lines in a second: a box with a
+	// maxQueuedLines bounds the lines that wait for a slow reader.
+	maxQueuedLines = 1024
+	// linesPerSecond and budgetBurst bound the lines in a second: a box with a
 	// hundred requests a second logs them all, one in a storm does not.
-	budgetRate  = 400.0
-	budgetBurst = 1200.0
+	linesPerSecond = 400.0
+	burstLines     = 1200.0
 )
 
 // Sink is a writer that drops and counts what doesn't fit.
 type Sink struct {
-	mu      sync.Mutex
-	tokens  float64
-	filled  time.Time
-	queue   chan []byte
-	done    chan struct{}
-	leftOut atomic.Int64
-	now     func() time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	queue      chan []byte
+	writerDone chan struct{}
+	dropped    atomic.Int64
+	now        func() time.Time
 }
 
 // SinkOption changes how a sink is built.
@@ -41,48 +41,48 @@
 // NewSink starts a sink that writes to out.
 func NewSink(out io.Writer, options ...SinkOption) *Sink {
 	s := &Sink{
-		tokens: budgetBurst,
-		queue:  make(chan []byte, queueLines),
-		done:   make(chan struct{}),
-		now:    time.Now,
+		tokens:     burstLines,
+		queue:      make(chan []byte, maxQueuedLines),
+		writerDone: make(chan struct{}),
+		now:        time.Now,
 	}
 	for _, o := range options {
 		o(s)
 	}
-	s.filled = s.now()
+	s.refilledAt = s.now()
 	go s.write(out)
 	return s
 }
 
 func (s *Sink) write(out io.Writer) {
-	defer close(s.done)
+	defer close(s.writerDone)
 	for line := range s.queue {
 		if _, err := out.Write(line); err != nil {
-			s.leftOut.Add(1)
+			s.dropped.Add(1)
 		}
 	}
 }
 
 // Write takes one line, or drops and counts it. It never blocks.
 func (s *Sink) Write(line []byte) (int, error) {
-	if !s.afford() {
-		s.leftOut.Add(1)
+	if !s.takeToken() {
+		s.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
 	case s.queue <- append([]byte(nil), line...):
 	default:
-		s.leftOut.Add(1)
+		s.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-func (s *Sink) afford() bool {
+func (s *Sink) takeToken() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.tokens = min(budgetBurst, s.tokens+budgetRate*now.Sub(s.filled).Seconds())
-	s.filled = now
+	s.tokens = min(burstLines, s.tokens+linesPerSecond*now.Sub(s.refilledAt).Seconds())
+	s.refilledAt = now
 	if s.tokens < 1 {
 		return false
 	}
@@ -94,16 +94,16 @@
 func (s *Sink) Sync() error { return nil }
 
 // DroppedLines counts the lines that were dropped.
-func (s *Sink) DroppedLines() int64 { return s.leftOut.Load() }
+func (s *Sink) DroppedLines() int64 { return s.dropped.Load() }
 
 // Close writes what waits, for at most a time. Nothing may be written after it.
-func (s *Sink) Close(most time.Duration) {
+func (s *Sink) Close(timeout time.Duration) {
 	close(s.queue)
-	t := time.NewTimer(most)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-s.done:
-	case <-t.C:
+	case <-s.writerDone:
+	case <-timer.C:
 	}
 }
 
@@ -119,5 +119,5 @@
 		EncodeDuration: zapcore.StringDurationEncoder,
 		EncodeName:     zapcore.FullNameEncoder,
 	})
-	return zap.New(plainErrors{zapcore.NewCore(encoder, s, level)})
+	return zap.New(stacklessCore{zapcore.NewCore(encoder, s, level)})
 }
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -15,37 +15,37 @@
 	"dillsaddle.example/dillsaddle/eventlog"
 )
 
-// lines is a writer that may be read while it is written to.
-type lines struct {
-	mu  sync.Mutex
-	all bytes.Buffer
+// lockedBuffer is a writer that may be read while it is written to.
+type lockedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(p)
+	return l.buffer.Write(p)
 }
 
 var _ = Describe("the log", func() {
 	It("writes errors by their messages, without stacks", func() {
-		out := &lines{}
+		out := &lockedBuffer{}
 		s := eventlog.NewSink(out)
 		eventlog.New(s, zap.InfoLevel).Info("send failed", zap.Error(errors.New("connection reset")), zap.Error(nil))
 		s.Close(time.Second)
 		var line map[string]any
-		Expect(json.Unmarshal(out.all.Bytes(), &line)).To(Succeed())
+		Expect(json.Unmarshal(out.buffer.Bytes(), &line)).To(Succeed())
 		Expect(line).To(HaveKeyWithValue("error", "connection reset"))
 		Expect(line).NotTo(HaveKey("errorVerbose"))
 	})
 
 	It("writes one object of JSON a line", func() {
-		out := &lines{}
+		out := &lockedBuffer{}
 		s := eventlog.NewSink(out)
 		eventlog.New(s, zap.InfoLevel).Named("gateway").Info("placed", zap.String("request", "r1"), zap.Duration("age", time.Second))
 		s.Close(time.Second)
 		var line map[string]any
-		Expect(json.Unmarshal(out.all.Bytes(), &line)).To(Succeed())
+		Expect(json.Unmarshal(out.buffer.Bytes(), &line)).To(Succeed())
 		Expect(line).To(HaveKeyWithValue("event", "placed"))
 		Expect(line).To(HaveKeyWithValue("request", "r1"))
 		Expect(line).To(HaveKeyWithValue("age", "1s"))
--- a/events/read.go
+++ b/events/read.go
@@ -9,34 +9,34 @@
 	"github.com/pkg/errors"
 )
 
-// breaker is a stream that can be closed while somebody reads it.
-type breaker interface{ ForceClose() error }
+// forceCloser is a stream that can be closed while somebody reads it.
+type forceCloser interface{ ForceClose() error }
 
 // Each calls a function for each event until the stream ends, the function fails
 // or the context ends. The event must not be kept.
-func Each(ctx context.Context, resp *protocol.Response, do func(*sse.Event) error) error {
+func Each(ctx context.Context, resp *protocol.Response, handle func(*sse.Event) error) error {
 	reader, err := sse.NewReader(resp)
 	if err != nil {
 		return errors.Wrap(err, "no event stream was answered")
 	}
-	ended, watched := make(chan struct{}), make(chan struct{})
+	done, watcherDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		select {
 		case <-ctx.Done():
-			if b, ok := resp.BodyStream().(breaker); ok {
+			if b, ok := resp.BodyStream().(forceCloser); ok {
 				_ = b.ForceClose()
 			}
-		case <-ended:
+		case <-done:
 		}
 	}()
-	err = read(ctx, reader, do)
-	close(ended)
-	<-watched
+	err = read(ctx, reader, handle)
+	close(done)
+	<-watcherDone
 	return err
 }
 
-func read(ctx context.Context, reader *sse.Reader, do func(*sse.Event) error) error {
+func read(ctx context.Context, reader *sse.Reader, handle func(*sse.Event) error) error {
 	event := sse.NewEvent()
 	defer event.Release()
 	for ctx.Err() == nil {
@@ -47,7 +47,7 @@
 		if err != nil {
 			return err
 		}
-		if err := do(event); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -11,15 +11,15 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// stepper is what every aggregate of the core is.
-type stepper interface {
+// aggregate is what every aggregate of the core is.
+type aggregate interface {
 	Step(now time.Time, ev core.Event) []core.Command
 }
 
 // Node is one node's decisions.
 type Node struct {
-	parts   map[string]stepper
-	options []core.Option
+	aggregates map[string]aggregate
+	options    []core.Option
 }
 
 // Option changes how a node is built.
@@ -33,7 +33,7 @@
 
 // New builds a node without any aggregate.
 func New(options ...Option) *Node {
-	n := &Node{parts: make(map[string]stepper)}
+	n := &Node{aggregates: make(map[string]aggregate)}
 	for _, o := range options {
 		o(n)
 	}
@@ -46,47 +46,47 @@
 // Step applies one event; versions need no time.
 func (v versions) Step(_ time.Time, ev core.Event) []core.Command { return v.Versions.Step(ev) }
 
-// UnknownPart reports an event for an aggregate that was not begun.
-type UnknownPart struct {
-	On string
+// UnknownAggregateError reports an event for an aggregate that was not begun.
+type UnknownAggregateError struct {
+	Name string
 }
 
 // Error names the aggregate and the remedy.
-func (e *UnknownPart) Error() string {
-	return "nothing named " + e.On + " was begun; give its Begun event first"
+func (e *UnknownAggregateError) Error() string {
+	return "nothing named " + e.Name + " was begun; give its Begun event first"
 }
 
 // Step gives an aggregate an event; a Begun event makes the aggregate.
-func (n *Node) Step(now time.Time, on string, ev core.Event) ([]core.Command, error) {
-	if n.begin(now, on, ev) {
+func (n *Node) Step(now time.Time, name string, ev core.Event) ([]core.Command, error) {
+	if n.create(now, name, ev) {
 		return nil, nil
 	}
-	part := n.parts[on]
-	if part == nil && on == trace.Versions {
-		part = versions{core.NewVersions(n.options...)}
-		n.parts[on] = part
+	a := n.aggregates[name]
+	if a == nil && name == trace.Versions {
+		a = versions{core.NewVersions(n.options...)}
+		n.aggregates[name] = a
 	}
-	if part == nil {
-		return nil, &UnknownPart{On: on}
+	if a == nil {
+		return nil, &UnknownAggregateError{Name: name}
 	}
-	return part.Step(now, ev), nil
+	return a.Step(now, ev), nil
 }
 
-func (n *Node) begin(now time.Time, on string, ev core.Event) bool {
+func (n *Node) create(now time.Time, name string, ev core.Event) bool {
 	switch e := ev.(type) {
 	case trace.HomeBegun:
-		n.parts[on] = core.NewClaimOwner(e.Self, e.Rules, now, n.options...)
+		n.aggregates[name] = core.NewClaimOwner(e.Self, e.Rules, now, n.options...)
 	case trace.GenerationBegun:
-		n.parts[on] = core.NewGeneration(e.Repeatable, e.Rules, n.options...)
+		n.aggregates[name] = core.NewGeneration(e.Repeatable, e.Rules, n.options...)
 	case trace.HoldBegun:
-		n.parts[on] = core.NewOwnership(strings.TrimPrefix(on, trace.Hold), e.Rules, n.options...)
+		n.aggregates[name] = core.NewOwnership(strings.TrimPrefix(name, trace.Hold), e.Rules, n.options...)
 	case trace.CallBegun:
-		n.parts[on] = core.NewCall(e.Rules, func() bool { return e.Budget }, n.options...)
+		n.aggregates[name] = core.NewCall(e.Rules, func() bool { return e.Budget }, n.options...)
 	case trace.ModelBegun:
 		rules := admission.DefaultRules()
 		rules.ExpectTokens = e.ExpectTokens
 		rules.MaxWait = e.MaxWait
-		n.parts[on] = admission.NewModel(admission.WithRules(rules))
+		n.aggregates[name] = admission.NewModel(admission.WithRules(rules))
 	default:
 		return false
 	}
@@ -95,16 +95,16 @@
 
 // Generation gives a stream's decisions, or nil.
 func (n *Node) Generation(id string) *core.Generation {
-	g, _ := n.parts[trace.Generation+id].(*core.Generation)
+	g, _ := n.aggregates[trace.Generation+id].(*core.Generation)
 	return g
 }
 
 // Grantable gives how much of an endpoint's half an owner would lease now.
-func (n *Node) Grantable(now time.Time, on string, capacity int) (int, error) {
-	h, ok := n.parts[on].(*core.Ownership)
+func (n *Node) Grantable(now time.Time, name string, capacity int) (int, error) {
+	ownership, ok := n.aggregates[name].(*core.Ownership)
 	if !ok {
-		return 0, errors.WithStack(&UnknownPart{On: on})
+		return 0, errors.WithStack(&UnknownAggregateError{Name: name})
 	}
-	tokens, _ := h.Grantable(now, capacity)
+	tokens, _ := ownership.Grantable(now, capacity)
 	return tokens, nil
 }
--- a/node/replay.go
+++ b/node/replay.go
@@ -55,7 +55,7 @@
 		if text == "" {
 			continue
 		}
-		if err := r.line(number, text); err != nil {
+		if err := r.processLine(number, text); err != nil {
 			return nil, errors.Wrapf(err, "line %d", number)
 		}
 	}
@@ -71,7 +71,7 @@
 	report   *Report
 }
 
-func (r *replay) line(number int, text string) error {
+func (r *replay) processLine(number int, text string) error {
 	var l trace.Line
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
 		return errors.Wrap(err, "not a line of a trace; docs/TRACES.md gives the form")
@@ -90,16 +90,16 @@
 		r.commands[l.On] = append(r.commands[l.On], commands...)
 	}
 	if l.Expect != "" {
-		r.expect(number, l)
+		r.checkExpectation(number, l)
 	}
 	return nil
 }
 
-func (r *replay) expect(number int, l trace.Line) {
+func (r *replay) checkExpectation(number int, l trace.Line) {
 	r.report.Expectations++
 	commands := r.commands[l.On]
 	r.commands[l.On] = nil
-	if holds(l.Expect, commands) {
+	if isMet(l.Expect, commands) {
 		return
 	}
 	m := &Mismatch{
@@ -112,26 +112,26 @@
 	r.report.Mismatches = append(r.report.Mismatches, m)
 }
 
-func holds(want string, commands []core.Command) bool {
-	if want == "nothing" {
+func isMet(expectation string, commands []core.Command) bool {
+	if expectation == "nothing" {
 		return len(commands) == 0
 	}
-	wanted, none := strings.CutPrefix(want, "!")
+	pattern, isNegated := strings.CutPrefix(expectation, "!")
 	for _, c := range commands {
-		if matches(strings.Fields(wanted), c) {
-			return !none
+		if matchesPattern(strings.Fields(pattern), c) {
+			return !isNegated
 		}
 	}
-	return none
+	return isNegated
 }
 
-func matches(parts []string, c core.Command) bool {
+func matchesPattern(fields []string, c core.Command) bool {
 	v := reflect.ValueOf(c)
-	if len(parts) == 0 || v.Type().Name() != parts[0] {
+	if len(fields) == 0 || v.Type().Name() != fields[0] {
 		return false
 	}
-	for _, part := range parts[1:] {
-		name, value, _ := strings.Cut(part, "=")
+	for _, condition := range fields[1:] {
+		name, value, _ := strings.Cut(condition, "=")
 		field := v.FieldByName(name)
 		if !field.IsValid() || fmt.Sprint(field.Interface()) != value {
 			return false
--- a/node/replay_test.go
+++ b/node/replay_test.go
@@ -12,7 +12,7 @@
 	"dillsaddle.example/dillsaddle/node"
 )
 
-func recorded() []string {
+func traceFiles() []string {
 	files, err := filepath.Glob("../traces/*/*.jsonl")
 	Expect(err).NotTo(HaveOccurred())
 	return files
@@ -29,8 +29,8 @@
 
 var _ = Describe("a recorded trace", func() {
 	It("gives its stated outcomes", func() {
-		Expect(len(recorded())).To(BeNumerically(">=", 9))
-		for _, file := range recorded() {
+		Expect(len(traceFiles())).To(BeNumerically(">=", 9))
+		for _, file := range traceFiles() {
 			report := replay(file)
 			Expect(report.Mismatches).To(BeEmpty(), file)
 			Expect(report.Expectations).To(BeNumerically(">", 0), file)
--- a/process/main.go
+++ b/process/main.go
@@ -30,8 +30,8 @@
 
 // The exit codes of a process.
 const (
-	exitDone  = 0
-	exitFault = 1
+	exitOK    = 0
+	exitError = 1
 	exitUsage = 2
 )
 
@@ -40,33 +40,33 @@
 func Main(name string, start func(*Process) (Service, error)) int {
 	box, err := settings.Parse(name, os.Args[1:])
 	if errors.Is(err, flag.ErrHelp) {
-		return exitDone
+		return exitOK
 	}
 	if err != nil {
-		return fault(name, err, exitUsage)
+		return exitWithError(name, err, exitUsage)
 	}
 	p := &Process{Box: box}
 	if p.Log, err = box.Logger(name); err != nil {
-		return fault(name, err, exitUsage)
+		return exitWithError(name, err, exitUsage)
 	}
-	if p.Recorder, err = trace.NewRecorder(box.Record); err != nil {
-		return fault(name, err, exitUsage)
+	if p.Recorder, err = trace.NewRecorder(box.RecordFile); err != nil {
+		return exitWithError(name, err, exitUsage)
 	}
 	s, err := start(p)
 	if err != nil {
-		return fault(name, err, exitFault)
+		return exitWithError(name, err, exitError)
 	}
-	wait(s)
+	waitUntilDone(s)
 	_ = p.Log.Sync()
-	return exitDone
+	return exitOK
 }
 
-func fault(name string, err error, code int) int {
+func exitWithError(name string, err error, code int) int {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 	return code
 }
 
-func wait(s Service) {
+func waitUntilDone(s Service) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	for {
--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -11,7 +11,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// stepClaims applies an event to the claims' home and carries out what it asks.
+// stepClaims applies an event to the claim owner and executes the resulting
+// handover commands. The reply to a handover request is left to its handler.
 func (s *Scheduler) stepClaims(ctx context.Context, ev core.Event) []core.Command {
 	commands := s.applyClaimEvent(ev)
 	for _, command := range commands {
@@ -19,7 +20,7 @@
 		case core.HandoverWanted:
 			go s.requestHandover(ctx, c)
 		case core.HandoverSent:
-			if _, asked := ev.(core.HandoverAsked); !asked {
+			if _, isRequest := ev.(core.HandoverAsked); !isRequest {
 				go s.sendHandover(ctx, c.Handover)
 			}
 		}
@@ -27,6 +28,8 @@
 	return commands
 }
 
+// applyClaimEvent records an event, applies it to the claim owner and returns
+// the resulting commands without executing them.
 func (s *Scheduler) applyClaimEvent(ev core.Event) []core.Command {
 	s.claimsLock.Lock()
 	defer s.claimsLock.Unlock()
@@ -35,7 +38,7 @@
 	return s.claims.Step(now, ev)
 }
 
-func (s *Scheduler) handleClaimAsk(ctx context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
+func (s *Scheduler) handleClaimRequest(ctx context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
 	for _, command := range s.stepClaims(ctx, core.ClaimAsked{
 		Key:         q.Key,
 		Attempt:     q.Attempt,
@@ -56,7 +59,7 @@
 			}, nil
 		}
 	}
-	return wire.ClaimAnswer{}, errors.New("the claim got no verdict; ask again")
+	return wire.ClaimAnswer{}, errors.New("claim request got no verdict; retry it")
 }
 
 func (s *Scheduler) handleClaimSettle(ctx context.Context, _ *wire.Conn, q wire.ClaimSettle) (wire.Done, error) {
@@ -70,7 +73,7 @@
 	return wire.Done{}, nil
 }
 
-func (s *Scheduler) handleHandoverAsk(ctx context.Context, _ *wire.Conn, q wire.HandoverRequest) (wire.HandoverTransfer, error) {
+func (s *Scheduler) handleHandoverRequest(ctx context.Context, _ *wire.Conn, q wire.HandoverRequest) (wire.HandoverTransfer, error) {
 	for _, command := range s.stepClaims(ctx, core.HandoverAsked{
 		From:        q.From,
 		ListVersion: q.ListVersion,
@@ -82,7 +85,7 @@
 	return wire.HandoverTransfer{None: true}, nil
 }
 
-func (s *Scheduler) handleHandoverGive(ctx context.Context, _ *wire.Conn, q wire.HandoverTransfer) (wire.Done, error) {
+func (s *Scheduler) handleHandover(ctx context.Context, _ *wire.Conn, q wire.HandoverTransfer) (wire.Done, error) {
 	s.receiveHandover(ctx, q)
 	return wire.Done{}, nil
 }
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,4 +1,4 @@
-// Package scheduler is the endpoints' side of a box: for the endpoints and keys
-// that rendezvous hashing gives the box, it keeps their load, hands out memory
-// leases, and keeps the records of requests that may run at most once.
+// Package scheduler manages the endpoints and claims that rendezvous hashing
+// assigns to a box. It polls the load of the endpoints, grants memory leases on
+// them, and keeps the claim records of requests that may run at most once.
 package scheduler
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -8,8 +8,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// handoverTimeout bounds how long a stopping scheduler tries to hand over to
-// boxes that don't answer.
+// handoverTimeout bounds how long a stopping scheduler waits for successors to
+// acknowledge their handovers.
 const handoverTimeout = 5 * time.Second
 
 func (s *Scheduler) accepting() bool {
@@ -18,9 +18,9 @@
 	return s.drain.Accepting()
 }
 
-// Stop starts a planned stop: no lease is granted any more, the claims go to
-// their next homes, and the process may leave when the last lease has ended
-// and no granted claim is open. A second call changes nothing.
+// Stop starts a planned stop. The scheduler grants no more leases and hands its
+// claims over to their successors; Done is closed when the last lease has expired
+// and no granted claim is open. Further calls have no effect.
 func (s *Scheduler) Stop() {
 	s.drainLock.Lock()
 	commands := s.drain.Step(time.Now(), core.WorkChanged{Pending: 1})
@@ -29,15 +29,17 @@
 	if len(commands) == 0 {
 		return
 	}
-	s.log.Info("planned stop")
+	s.log.Info("planned stop started; granting no more leases")
 	s.refresh(context.Background())
 	s.stepClaims(context.Background(), core.Retire{})
 	go s.waitAndExit()
 }
 
-// Done is closed when the process may end.
+// Done returns a channel that is closed when the process may exit.
 func (s *Scheduler) Done() <-chan struct{} { return s.done }
 
+// waitAndExit waits until the scheduler is drained, sends the final handovers and
+// closes the server.
 func (s *Scheduler) waitAndExit() {
 	start := time.Now()
 	for {
@@ -55,7 +57,7 @@
 	close(s.done)
 }
 
-// sendFinalHandovers tells the successors how the last open claims ended.
+// sendFinalHandovers sends the outcomes of the last open claims to the successors.
 func (s *Scheduler) sendFinalHandovers() {
 	var wait sync.WaitGroup
 	for _, command := range s.applyClaimEvent(core.Retire{}) {
@@ -66,6 +68,8 @@
 	wait.Wait()
 }
 
+// isDrained reports whether all leases have expired, no claim is open and every
+// box has acknowledged its handover, or one of the timeouts has passed.
 func (s *Scheduler) isDrained(start time.Time) bool {
 	elapsed := time.Since(start)
 	if elapsed > s.settings.DrainTimeout {
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -11,17 +11,18 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// maxStepTime is the longest time between tokens that the brief's limits allow.
+// maxStepTime is the longest time between two tokens of a stream.
 const maxStepTime = 30 * time.Millisecond
 
-// maxLoadAge is after how long without a load report an endpoint is taken for
+// maxLoadAge is the age of the last load report above which an endpoint counts as
 // dead and gets no lease.
 const maxLoadAge = 3 * time.Second
 
-// maxHints bounds the cache hints on one lease.
+// maxHints bounds the cache hints in one lease.
 const maxHints = 16
 
-// endpoint is the half of one engine that this box may own; its lock is its own.
+// endpoint is one owner slot of an engine: a fixed part of its memory that this
+// box leases out while it owns the slot. mu guards the mutable fields.
 type endpoint struct {
 	name          string
 	slot          int
@@ -45,7 +46,7 @@
 	}
 }
 
-// setOwner follows the list: it takes or loses the half.
+// setOwner takes or releases the slot's ownership.
 func (e *endpoint) setOwner(now time.Time, isOwner, neverOwned bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,7 +73,7 @@
 	e.shares.Ownership().Step(now, core.PredecessorGone{})
 }
 
-// configure follows a new configuration.
+// configure applies the endpoint's section of a new configuration.
 func (e *endpoint) configure(c config.Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,6 +82,8 @@
 	e.shares.Slots = c.BatchSlots
 }
 
+// refresh updates the ownership with the time, the endpoint's leaving state and
+// the time at which the list was last confirmed.
 func (e *endpoint) refresh(now time.Time, leaving bool, confirmed time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,6 +92,8 @@
 	e.shares.Ownership().Step(now, core.ListConfirmed{At: confirmed})
 }
 
+// grant leases a part of the slot to a box. It grants nothing if this box isn't
+// the owner or the load report is too old.
 func (e *endpoint) grant(now time.Time, box string, demand wire.LeaseDemand) (wire.LeaseGrant, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,6 +157,8 @@
 	e.hints = events[max(0, len(events)-maxHints):]
 }
 
+// ownerState reports whether this box owns the slot, and returns the sequence
+// number of the last cache event.
 func (e *endpoint) ownerState() (bool, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/scheduler/ownership.go
+++ b/scheduler/ownership.go
@@ -9,21 +9,22 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// slotKey names one half of an endpoint.
+// slotKey returns the map key of one owner slot of an endpoint.
 func slotKey(endpoint string, slot int) string { return endpoint + "/" + strconv.Itoa(slot) }
 
-// predecessorTimeout is how long a predecessor must be off the list, with no use of the
-// endpoint that this owner can't explain, until it counts as dead.
+// predecessorTimeout is how long a previous owner must be off the list, without
+// unexplained usage of the endpoint, before it counts as dead.
 const predecessorTimeout = 5 * time.Minute
 
-// ownerHistory remembers who owned which half before, and what is known of it.
+// ownerHistory records the current and the previous owner of each owner slot, and
+// the list version that each box has adopted.
 type ownerHistory struct {
 	mu             sync.Mutex
-	previous       map[string]string // by half: the owner before the present one
+	previous       map[string]string // previous owner, by slot
 	owner          map[string]string
 	since          map[string]time.Time
-	ownerVersion   map[string]uint64 // by half: the list that made the owner
-	adoptedVersion map[string]uint64 // by box: the list that it told to have adopted
+	ownerVersion   map[string]uint64 // version of the list that assigned the owner, by slot
+	adoptedVersion map[string]uint64 // highest list version adopted, by box
 }
 
 func newOwnerHistory() *ownerHistory {
@@ -36,7 +37,7 @@
 	}
 }
 
-// listOwners is a list with its owners, and those without this box.
+// listOwners holds the owners under a list, and the owners without this box.
 type listOwners struct {
 	list              *core.List
 	owners            *core.Owners
@@ -51,8 +52,9 @@
 	}
 }
 
-// ownerOf gives the owner of a half, and whether nobody can have owned it before. A
-// box that starts takes the list without itself as the one before.
+// ownerOf records and returns the owner of a slot, and reports whether no other
+// box can have owned it before. A starting box assumes that the previous list was
+// the same list without itself.
 func (o *ownerHistory) ownerOf(now time.Time, s *listOwners, c *config.Endpoint, slot int) (owner string, neverOwned bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -72,7 +74,8 @@
 	return owner, !known && s.list.Age < youngFleetAge
 }
 
-// recordAdoption notes that a box has adopted a list.
+// recordAdoption records that a box has adopted a list version. A final adoption
+// covers all later versions, since the box has stopped granting leases.
 func (o *ownerHistory) recordAdoption(box string, version uint64, final bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,8 +85,8 @@
 	o.adoptedVersion[box] = max(o.adoptedVersion[box], version)
 }
 
-// predecessorStopped reports whether the owner of a half before the present one is known to
-// grant nothing more.
+// predecessorStopped reports whether the previous owner of a slot is known to
+// grant no more leases on it.
 func (o *ownerHistory) predecessorStopped(now time.Time, list *core.List, endpoint string, slot int, hasUnknownUsage bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -20,7 +20,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// The times between what a scheduler does.
+// Intervals of the periodic tasks, and the timeout of a call.
 const (
 	refreshInterval  = 250 * time.Millisecond
 	loadInterval     = 500 * time.Millisecond
@@ -28,11 +28,11 @@
 	callTimeout      = time.Second
 )
 
-// youngFleetAge is the age of a fleet in which no owner can have had a lease long
-// enough to matter.
+// youngFleetAge is the age up to which a list is too young for an earlier owner to
+// have granted leases.
 const youngFleetAge = 10 * time.Second
 
-// Scheduler is the endpoints' side of one box.
+// Scheduler owns endpoints and claims on behalf of one box.
 type Scheduler struct {
 	settings     *settings.Box
 	self         core.Box
@@ -48,14 +48,14 @@
 	claims       *core.ClaimOwner
 	drainLock    sync.Mutex
 	drain        *core.Drain
-	ownerInputs  ownerInputs // of the owners, under drainLock
+	ownerInputs  ownerInputs // guarded by drainLock
 	owners       *ownerHistory
-	handoverAcks sync.Map // boxes that took the handover of a planned stop
+	handoverAcks sync.Map // names of the boxes that acknowledged their handover
 	done         chan struct{}
 	stop         context.CancelFunc
 }
 
-// Start starts a scheduler.
+// Start starts a scheduler and its periodic tasks.
 func Start(b *settings.Box, log *zap.Logger, worker engine.Worker, recorder *trace.Recorder) (*Scheduler, error) {
 	now := time.Now()
 	self := core.Box{
@@ -79,12 +79,12 @@
 	}
 	s.recorder.BeginHome(now, self, core.DefaultClaimRules())
 	s.handlers = wire.NewHandlers(wire.WithVersions(s.state.Versions))
-	wire.HandleRequest(s.handlers, s.handleLeaseAsk)
-	wire.HandleRequest(s.handlers, s.handleClaimAsk)
+	wire.HandleRequest(s.handlers, s.handleLeaseRequest)
+	wire.HandleRequest(s.handlers, s.handleClaimRequest)
 	wire.HandleRequest(s.handlers, s.handleClaimSettle)
-	wire.HandleRequest(s.handlers, s.handleHandoverAsk)
-	wire.HandleRequest(s.handlers, s.handleHandoverGive)
-	wire.HandleRequest(s.handlers, s.handleStatusAsk)
+	wire.HandleRequest(s.handlers, s.handleHandoverRequest)
+	wire.HandleRequest(s.handlers, s.handleHandover)
+	wire.HandleRequest(s.handlers, s.handleStatusRequest)
 	s.pool = wire.NewPool(s.handlers)
 	server, err := wire.Listen(b.Scheduler, s.handlers)
 	if err != nil {
@@ -100,11 +100,11 @@
 	return s, nil
 }
 
-// onWorkerPanic counts a worker's panic and logs where it was.
+// onWorkerPanic returns a callback that counts and logs a worker's panic.
 func onWorkerPanic(log *zap.Logger) engine.PanicSeen {
 	return func(fault any, stack []byte) {
 		workerPanics.Inc()
-		log.Error("a worker panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
+		log.Error("worker panicked; the call failed", zap.Any("fault", fault), zap.ByteString("stack", stack))
 	}
 }
 
@@ -121,19 +121,19 @@
 	}
 }
 
-// Ready says what is missing before leases are granted.
+// Ready returns the reason why no leases are granted yet, or "" if they are.
 func (s *Scheduler) Ready() string {
 	v := s.state.View()
 	switch {
 	case !s.accepting():
 		return "draining"
 	case v.Document == nil || v.List == nil:
-		return "no configuration or list of boxes from this box's watch yet"
+		return "no configuration or list of boxes received from this box's watch yet"
 	}
 	return ""
 }
 
-// Status gives the scheduler's part of a box's status.
+// Status returns the scheduler's section of a box's status.
 func (s *Scheduler) Status() any { return s.status() }
 
 func (s *Scheduler) status() wire.SchedulerStatus {
@@ -155,11 +155,11 @@
 	return out
 }
 
-func (s *Scheduler) handleStatusAsk(context.Context, *wire.Conn, wire.StatusRequest) (wire.SchedulerStatus, error) {
+func (s *Scheduler) handleStatusRequest(context.Context, *wire.Conn, wire.StatusRequest) (wire.SchedulerStatus, error) {
 	return s.status(), nil
 }
 
-// handleViewChange follows a new configuration or list.
+// handleViewChange applies a new configuration or list.
 func (s *Scheduler) handleViewChange(v watch.View) {
 	if v.Document != nil {
 		s.applyClaimEvent(core.ClaimGuardSet{Guard: v.Document.Limits.ClaimGuard})
@@ -173,8 +173,8 @@
 	s.refresh(context.Background())
 }
 
-// refresh gives the endpoints owned their leaving mark and reading age; owners are
-// worked out anew only for a new list or configuration.
+// refresh updates all owned endpoints from the current view. Owners are recomputed
+// only if the list, the configuration or the draining state has changed.
 func (s *Scheduler) refresh(context.Context) {
 	v := s.state.View()
 	if v.Document == nil || v.List == nil {
@@ -191,13 +191,14 @@
 	s.endpoints.Each(func(_ string, e *endpoint) { s.refreshEndpoint(now, v, e) })
 }
 
-// ownerInputs is what owners are worked out from.
+// ownerInputs holds the inputs from which owners are computed.
 type ownerInputs struct {
 	list      *core.List
 	document  *config.Document
 	accepting bool
 }
 
+// updateOwnerInputs stores the current inputs and reports whether they changed.
 func (s *Scheduler) updateOwnerInputs(v watch.View) bool {
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
@@ -211,7 +212,8 @@
 	return changed
 }
 
-// reassignSlots takes and loses halves.
+// reassignSlots takes over newly assigned owner slots and releases the others. A
+// stopping scheduler releases all of them.
 func (s *Scheduler) reassignSlots(now time.Time, v watch.View) {
 	accepting := s.accepting()
 	owned := make(map[string]bool)
@@ -244,7 +246,7 @@
 	}
 }
 
-// readLoads reads the load and the cache events of the endpoints it owns.
+// readLoads reads the load and the cache events of the owned endpoints.
 func (s *Scheduler) readLoads(ctx context.Context) {
 	s.endpoints.Each(func(_ string, e *endpoint) {
 		isOwner, after := e.ownerState()
@@ -269,7 +271,7 @@
 	}
 }
 
-func (s *Scheduler) handleLeaseAsk(_ context.Context, _ *wire.Conn, q wire.LeaseRequest) (wire.LeaseGrants, error) {
+func (s *Scheduler) handleLeaseRequest(_ context.Context, _ *wire.Conn, q wire.LeaseRequest) (wire.LeaseGrants, error) {
 	now := time.Now()
 	var out wire.LeaseGrants
 	for _, demand := range q.Demands {
--- a/settings/box.go
+++ b/settings/box.go
@@ -10,8 +10,8 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// leastSecret is the shortest accepted fleet secret, in bytes.
-const leastSecret = 16
+// minSecretBytes is the shortest accepted fleet secret, in bytes.
+const minSecretBytes = 16
 
 // Box holds the settings of one box.
 type Box struct {
@@ -27,7 +27,7 @@
 	Platform       netip.AddrPort
 	Peers          []netip.AddrPort
 	Secret         string
-	Record         string
+	RecordFile     string
 	LogLevel       string
 	DrainTimeout   time.Duration
 	LeaseInterval  time.Duration
@@ -36,50 +36,50 @@
 // Error reports a setting that can't be used, with its remedy.
 type Error struct {
 	Setting string
-	What    string
+	Problem string
 	Remedy  string
 }
 
 // Error names the setting, what is wrong and the remedy.
 func (e *Error) Error() string {
-	return fmt.Sprintf("setting %q %s; %s", e.Setting, e.What, e.Remedy)
+	return fmt.Sprintf("setting %q %s; %s", e.Setting, e.Problem, e.Remedy)
 }
 
-// address is a flag value for an address by IP number.
-type address struct{ into *netip.AddrPort }
+// addressValue is a flag value for an address by IP number.
+type addressValue struct{ dst *netip.AddrPort }
 
 // String gives the address.
-func (a address) String() string {
-	if a.into == nil || !a.into.IsValid() {
+func (a addressValue) String() string {
+	if a.dst == nil || !a.dst.IsValid() {
 		return ""
 	}
-	return a.into.String()
+	return a.dst.String()
 }
 
 // Set parses the address.
-func (a address) Set(text string) error {
+func (a addressValue) Set(text string) error {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return fmt.Errorf("write an IP number and a port, such as 127.0.0.1:7101")
 	}
-	*a.into = parsed
+	*a.dst = parsed
 	return nil
 }
 
-// addresses is a flag value for addresses with commas between them.
-type addresses struct{ into *[]netip.AddrPort }
+// addressesValue is a flag value for addresses with commas between them.
+type addressesValue struct{ dst *[]netip.AddrPort }
 
 // String gives the addresses.
-func (a addresses) String() string { return "" }
+func (a addressesValue) String() string { return "" }
 
 // Set parses the addresses.
-func (a addresses) Set(text string) error {
-	for _, one := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
-		parsed, err := netip.ParseAddrPort(strings.TrimSpace(one))
+func (a addressesValue) Set(text string) error {
+	for _, part := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
+		parsed, err := netip.ParseAddrPort(strings.TrimSpace(part))
 		if err != nil {
 			return fmt.Errorf("write IP numbers and ports with commas between them")
 		}
-		*a.into = append(*a.into, parsed)
+		*a.dst = append(*a.dst, parsed)
 	}
 	return nil
 }
@@ -92,16 +92,16 @@
 	fs.StringVar(&b.Name, "box", "", "`name` of the box, as the platform lists it")
 	fs.StringVar(&b.Zone, "zone", "", "availability `zone` of the box")
 	fs.StringVar(&b.Region, "region", "", "`region` of the box")
-	fs.Var(address{&b.Entry}, "entry", "`address` for callers")
-	fs.Var(address{&b.Scheduler}, "scheduler", "`address` of the scheduler for other processes")
-	fs.Var(address{&b.Watch}, "watch", "`address` of the watch for other processes")
-	fs.Var(address{&b.EntryAdmin}, "entry-admin", "operators' `address` of the entry")
-	fs.Var(address{&b.SchedulerAdmin}, "scheduler-admin", "operators' `address` of the scheduler")
-	fs.Var(address{&b.WatchAdmin}, "watch-admin", "operators' `address` of the watch")
-	fs.Var(address{&b.Platform}, "platform", "`address` of the platform's configuration service")
-	fs.Var(addresses{&b.Peers}, "peers", "watch `addresses` of other boxes, for a start while the platform is down")
+	fs.Var(addressValue{&b.Entry}, "entry", "`address` for callers")
+	fs.Var(addressValue{&b.Scheduler}, "scheduler", "`address` of the scheduler for other processes")
+	fs.Var(addressValue{&b.Watch}, "watch", "`address` of the watch for other processes")
+	fs.Var(addressValue{&b.EntryAdmin}, "entry-admin", "operators' `address` of the entry")
+	fs.Var(addressValue{&b.SchedulerAdmin}, "scheduler-admin", "operators' `address` of the scheduler")
+	fs.Var(addressValue{&b.WatchAdmin}, "watch-admin", "operators' `address` of the watch")
+	fs.Var(addressValue{&b.Platform}, "platform", "`address` of the platform's configuration service")
+	fs.Var(addressesValue{&b.Peers}, "peers", "watch `addresses` of other boxes, for a start while the platform is down")
 	fs.StringVar(&b.Secret, "secret", "", "fleet `secret` that authenticates stream ids")
-	fs.StringVar(&b.Record, "record", "", "`FILE` to record core events to, for replay")
+	fs.StringVar(&b.RecordFile, "record", "", "`FILE` to record core events to, for replay")
 	fs.StringVar(&b.LogLevel, "log-level", "info", "least `level` of log lines: debug, info, warn, error")
 	fs.DurationVar(&b.DrainTimeout, "drain-limit", time.Hour, "longest `time` that a planned stop waits for streams")
 	fs.DurationVar(&b.LeaseInterval, "lease-every", 500*time.Millisecond, "`time` between lease renewals")
@@ -113,24 +113,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return b, b.check()
+	return b, b.validate()
 }
 
-func (b *Box) check() error {
+func (b *Box) validate() error {
 	if b.Name == "" {
-		return missing("box", "give the box's name as the platform lists it")
+		return missingError("box", "give the box's name as the platform lists it")
 	}
 	if b.Zone == "" {
-		return missing("zone", "give the box's availability zone")
+		return missingError("zone", "give the box's availability zone")
 	}
-	if len(b.Secret) < leastSecret {
+	if len(b.Secret) < minSecretBytes {
 		return &Error{
 			Setting: "secret",
-			What:    fmt.Sprintf("is shorter than %d bytes", leastSecret),
+			Problem: fmt.Sprintf("is shorter than %d bytes", minSecretBytes),
 			Remedy:  "give all boxes the same random text, by the settings file or DILLSADDLE_SECRET",
 		}
 	}
-	needed := map[string]netip.AddrPort{
+	addresses := map[string]netip.AddrPort{
 		"entry":           b.Entry,
 		"scheduler":       b.Scheduler,
 		"watch":           b.Watch,
@@ -140,35 +140,35 @@
 		"platform":        b.Platform,
 	}
 	for _, name := range []string{"entry", "scheduler", "watch", "entry-admin", "scheduler-admin", "watch-admin", "platform"} {
-		if !needed[name].IsValid() {
-			return missing(name, `give it as "IP:port"`)
+		if !addresses[name].IsValid() {
+			return missingError(name, `give it as "IP:port"`)
 		}
 	}
-	return b.checkRanges()
+	return b.validateRanges()
 }
 
-func (b *Box) checkRanges() error {
+func (b *Box) validateRanges() error {
 	if b.LeaseInterval < 50*time.Millisecond || b.LeaseInterval > time.Second {
 		return &Error{
 			Setting: "lease-every",
-			What:    "is " + b.LeaseInterval.String(),
+			Problem: "is " + b.LeaseInterval.String(),
 			Remedy:  "write a time from 50ms to 1s: a lease ends after 4s",
 		}
 	}
 	if b.DrainTimeout < time.Second {
 		return &Error{
 			Setting: "drain-limit",
-			What:    "is " + b.DrainTimeout.String(),
+			Problem: "is " + b.DrainTimeout.String(),
 			Remedy:  "write 1s or more: a planned stop waits for streams",
 		}
 	}
 	return nil
 }
 
-func missing(name, remedy string) error {
+func missingError(name, remedy string) error {
 	return &Error{
 		Setting: name,
-		What:    "is missing",
+		Problem: "is missing",
 		Remedy:  remedy,
 	}
 }
--- a/settings/box_test.go
+++ b/settings/box_test.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/settings"
 )
 
-func parse(change func(string) string) (*settings.Box, error) {
+func parseExample(change func(string) string) (*settings.Box, error) {
 	text, err := os.ReadFile("../examples/buscodigo/box-1.json")
 	Expect(err).NotTo(HaveOccurred())
 	file := filepath.Join(GinkgoT().TempDir(), "box.json")
@@ -19,13 +19,13 @@
 	return settings.Parse("test", []string{"-settings", file})
 }
 
-func replace(old, changed string) func(string) string {
+func replaceText(old, changed string) func(string) string {
 	return func(text string) string { return strings.Replace(text, old, changed, 1) }
 }
 
 var _ = Describe("a box's settings", func() {
 	It("are read from the example", func() {
-		b, err := parse(func(text string) string { return text })
+		b, err := parseExample(func(text string) string { return text })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Name).To(Equal("box-1"))
 		Expect(b.Zone).To(Equal("mty-a"))
@@ -34,7 +34,7 @@
 
 	DescribeTable("are refused with the setting and the remedy",
 		func(old, changed, setting, remedy string) {
-			_, err := parse(replace(old, changed))
+			_, err := parseExample(replaceText(old, changed))
 			Expect(err).To(MatchError(And(ContainSubstring(setting), ContainSubstring(remedy))))
 		},
 		Entry("no zone", `"zone": "mty-a",`, ``, "zone", "availability zone"),
--- a/settings/log.go
+++ b/settings/log.go
@@ -10,7 +10,7 @@
 	if err != nil {
 		return nil, &Error{
 			Setting: "log-level",
-			What:    "is " + b.LogLevel,
+			Problem: "is " + b.LogLevel,
 			Remedy:  "write debug, info, warn or error",
 		}
 	}
--- a/watch/doc.go
+++ b/watch/doc.go
@@ -1,4 +1,4 @@
-// Package watch is the platform's side of a box: it reads the configuration and
-// the list of boxes, checks them, compares versions with a few peers, and gives
-// both to the other processes of the box.
+// Package watch keeps a box's configuration and list of boxes up to date. It polls
+// the platform, validates what it reads, compares versions with a few peers, and
+// distributes both to the other processes of the box.
 package watch
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -9,10 +9,10 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// redialDelay is the time before a lost watch is connected to again.
+// redialDelay is the time between two attempts to connect to the watch.
 const redialDelay = 300 * time.Millisecond
 
-// Follow keeps a process's state at what its box's watch has in force.
+// Follow keeps a process's state in step with its box's watch.
 func Follow(ctx context.Context, address netip.AddrPort, state *State) {
 	f := &follower{
 		address: address,
@@ -28,6 +28,7 @@
 	go f.run(ctx)
 }
 
+// follower polls the watch of its box and applies the snapshots.
 type follower struct {
 	address  netip.AddrPort
 	state    *State
@@ -35,9 +36,9 @@
 	fetching atomic.Bool
 }
 
-// pollInterval is the time between two questions for what is in force. Only an
-// answer to a question says how old a reading is; a push may have been held up
-// on its way and serves as a hint to ask.
+// pollInterval is the time between two requests for a snapshot. Only the response
+// to a request confirms the age of the list: a push may have been delayed, so it
+// just triggers a request.
 const pollInterval = 500 * time.Millisecond
 
 func (f *follower) run(ctx context.Context) {
@@ -53,6 +54,7 @@
 	}
 }
 
+// poll requests snapshots until the connection closes.
 func (f *follower) poll(ctx context.Context, c *wire.Conn) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -68,8 +70,8 @@
 	}
 }
 
-// request takes what the watch answers; a watch that doesn't answer is connected to
-// anew, since a stalled link doesn't break by itself.
+// request sends a request to the watch and applies the snapshot that it returns.
+// On failure it closes the connection, since a stalled one doesn't fail by itself.
 func (f *follower) request(ctx context.Context, c *wire.Conn, q wire.Message) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -83,7 +85,7 @@
 	f.state.Apply(s, requestedAt)
 }
 
-// handleVersions asks the watch for what a push showed to be newer.
+// handleVersions requests a snapshot if the watch announces a newer version.
 func (f *follower) handleVersions(c *wire.Conn, v wire.Versions) {
 	if !f.state.ObserveVersions(v) || !f.fetching.CompareAndSwap(false, true) {
 		return
@@ -98,7 +100,7 @@
 	f.state.SetSuspected(s.Suspected)
 }
 
-// handleFetch gives the watch what this process has, after a watch started anew.
+// handleFetch returns this process's snapshot, for a watch that has restarted.
 func (f *follower) handleFetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
 	return f.state.Snapshot(wire.Versions(q)), nil
 }
--- a/watch/join.go
+++ b/watch/join.go
@@ -9,8 +9,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// peerQuery is a starting watch's asking of its peers; when it may serve is the
-// core's decision.
+// peerQuery tracks the peers that a starting watch queries; core.Join decides when
+// the watch may serve.
 type peerQuery struct {
 	mu      sync.Mutex
 	core    *core.Join
@@ -34,8 +34,8 @@
 	}
 }
 
-// queryPeers asks some peers for what they have in force before this box serves,
-// since the platform may be down or show an older state.
+// queryPeers fetches the snapshots of some peers before this watch serves, since
+// the platform may be down or return an older state.
 func (w *Watch) queryPeers(ctx context.Context) {
 	w.waitForList(ctx)
 	j := newPeerQuery(time.Now())
@@ -56,8 +56,8 @@
 	}
 }
 
-// bootstrapAddresses are whom a starting watch asks: peers of the list and those that
-// its settings name.
+// bootstrapAddresses returns the addresses to query at the start: peers from the
+// list, and those from the settings.
 func (w *Watch) bootstrapAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	if list := w.state.View().List; list != nil {
--- a/watch/owners.go
+++ b/watch/owners.go
@@ -7,8 +7,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Owners remembers the owners of endpoints' halves under one list and
-// configuration, since each is worked out over all boxes.
+// Owners caches the owners of endpoints' slots under one list and configuration,
+// since computing an owner takes a pass over all boxes.
 type Owners struct {
 	mu       sync.Mutex
 	list     *core.List
@@ -17,7 +17,7 @@
 	cache    map[string][core.SlotCount]string
 }
 
-// Of gives the owner of a half.
+// Of returns the name of the box that owns a slot of an endpoint.
 func (o *Owners) Of(v View, endpoint string, slot int) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -10,9 +10,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// peers gives the boxes that this box compares versions with: two of its own
-// zone, one of its region and one beyond, so that no box talks to all. Where a
-// circle is too small, the next one fills up.
+// peers returns the boxes with which this box compares versions.
 func (w *Watch) peers() []core.Member {
 	list := w.state.View().List
 	if list == nil {
@@ -21,8 +19,10 @@
 	return Peers(list, w.settings.Name, peerCount)
 }
 
-// Peers picks the peers of a box: zone first, then region, then the rest, each
-// circle ranked by rendezvous so that a change moves few.
+// Peers selects count peers for a box: half of them from its availability zone, a
+// quarter from its region and a quarter from other regions. If one of these has too
+// few boxes, boxes from the others fill the gap. Rendezvous ranking keeps the
+// selection stable when the list changes.
 func Peers(list *core.List, self string, count int) []core.Member {
 	me := list.Member(self)
 	if me == nil {
@@ -56,8 +56,8 @@
 	return members(list, names)
 }
 
-// peerQuotaParts is the number of parts that peers are picked in: two parts from
-// the zone, one from the region, one from beyond.
+// peerQuotaParts is the number of equal parts of a peer selection: two for the
+// zone, one for the region, one for other regions.
 const peerQuotaParts = 4
 
 func members(list *core.List, names []string) []core.Member {
@@ -68,7 +68,7 @@
 	return all
 }
 
-// waitForList waits a moment for the platform's list, which names the peers.
+// waitForList waits up to peerTimeout for the first list, which names the peers.
 func (w *Watch) waitForList(ctx context.Context) {
 	deadline := time.Now().Add(peerTimeout)
 	for w.state.View().List == nil && time.Now().Before(deadline) && ctx.Err() == nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-// handleHeartbeat answers a peer's; only an answer to a question of one's own says
-// how old the peer's reading is, since a message may have been held up.
+// handleHeartbeat answers a peer's heartbeat. It ignores the age of the peer's list,
+// since the message may have been delayed in transit.
 func (w *Watch) handleHeartbeat(_ context.Context, _ *wire.Conn, q wire.Heartbeat) (wire.Heartbeat, error) {
 	w.stepDetector(core.SuspectsReported{
 		From:  q.From.Name,
@@ -130,6 +130,7 @@
 	return w.ownHeartbeat(), nil
 }
 
+// recordHeartbeat applies a peer's answer to a heartbeat sent at requestedAt.
 func (w *Watch) recordHeartbeat(h wire.Heartbeat, requestedAt time.Time) {
 	w.stepDetector(core.SuspectsReported{
 		From:  h.From.Name,
@@ -139,9 +140,8 @@
 	w.state.ConfirmList(w.state.Versions().List, w.listConfirmedAt(h, requestedAt))
 }
 
-// listConfirmedAt gives the moment for which a peer vouches that its list was the
-// newest. The peer's version came with the same message; one that is behind
-// vouches for nothing.
+// listConfirmedAt returns the time at which, according to a peer, this box's list
+// was the newest, or the zero time if the peer has another version.
 func (w *Watch) listConfirmedAt(h wire.Heartbeat, requestedAt time.Time) time.Time {
 	if h.ListVersion != w.state.Versions().List {
 		return time.Time{}
--- a/watch/platform.go
+++ b/watch/platform.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// platform reads the configuration service; every read is one call there.
+// platform is a client of the platform's configuration service.
 type platform struct {
 	address netip.AddrPort
 	client  *client.Client
@@ -34,8 +34,8 @@
 	}, nil
 }
 
-// fetch asks for a value above a version and waits for one; an empty answer
-// means that there was none.
+// fetch reads a resource if its version is above after, waiting up to wait for one.
+// It returns nil if there is none.
 func (p *platform) fetch(ctx context.Context, resource string, after uint64, wait time.Duration) ([]byte, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
@@ -57,11 +57,11 @@
 	return nil, errors.Errorf("the platform answered %d for its %s", resp.StatusCode(), resource)
 }
 
-// decodedBody gives an answer's body, which the platform may have compressed.
+// decodedBody returns a copy of a response's body, decompressed if necessary.
 func decodedBody(resp *protocol.Response) ([]byte, error) {
 	if string(resp.Header.ContentEncoding()) == "gzip" {
 		body, err := resp.BodyGunzip()
-		return body, errors.Wrap(err, "unpack the platform's answer")
+		return body, errors.Wrap(err, "decompress the platform's response")
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
--- a/watch/state.go
+++ b/watch/state.go
@@ -14,8 +14,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// State is what a process has in force: one configuration and one list. It
-// never goes back to an older one.
+// State holds a process's active configuration and list of boxes. Neither is ever
+// replaced by an older version.
 type State struct {
 	mu        sync.Mutex
 	versions  *core.Versions
@@ -26,7 +26,7 @@
 	listeners []func(View)
 }
 
-// View is a copy of what is in force.
+// View is a copy of the state at one time.
 type View struct {
 	Document    *config.Document
 	List        *core.List
@@ -34,7 +34,7 @@
 	Suspected   []string
 }
 
-// NewState starts with nothing in force.
+// NewState returns a state without a configuration or list.
 func NewState(log *zap.Logger) *State {
 	return &State{
 		versions: core.NewVersions(),
@@ -42,14 +42,14 @@
 	}
 }
 
-// OnChange calls a function after each change, outside the lock.
+// OnChange registers a function to call, without the lock, after each change.
 func (s *State) OnChange(f func(View)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners = append(s.listeners, f)
 }
 
-// View gives what is in force.
+// View returns a copy of the current state.
 func (s *State) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// Versions gives the versions in force, for messages.
+// Versions returns the active versions, as announced in messages.
 func (s *State) Versions() wire.Versions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,8 @@
 	}
 }
 
-// Activate puts a configuration in force if it is newer and without fault.
+// Activate makes a configuration active if it is newer and valid, and reports
+// whether it did.
 func (s *State) Activate(source []byte) bool {
 	if len(source) == 0 {
 		return false
@@ -115,7 +116,7 @@
 		case core.PutInForce:
 			s.document = d
 			configVersion.Set(float64(c.Version))
-			s.log.Info("configuration in force", zap.Uint64("version", c.Version))
+			s.log.Info("configuration activated", zap.Uint64("version", c.Version))
 			return true
 		case core.VersionRejected:
 			s.recordRejection(c, faults)
@@ -129,13 +130,13 @@
 		return
 	}
 	configRejected(string(c.Reason)).Inc()
-	s.log.Warn("configuration not put in force",
+	s.log.Warn("configuration rejected; keeping the active one",
 		zap.Uint64("version", c.Version),
 		zap.String("reason", string(c.Reason)),
 		zap.Error(faults))
 }
 
-// versionOf reads the version of a faulty document as far as it can be read.
+// versionOf returns the version of a document, even of an invalid one if possible.
 func versionOf(d *config.Document, source []byte) uint64 {
 	if d != nil {
 		return uint64(d.Version)
@@ -147,8 +148,8 @@
 	return head.Version
 }
 
-// ObserveVersions tells that another process named the versions that it has; it reports
-// whether something newer can be fetched there.
+// ObserveVersions records the versions announced by another process, and reports
+// whether it has something newer to fetch.
 func (s *State) ObserveVersions(v wire.Versions) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +163,7 @@
 	return newer || s.snapshot.List == nil && v.List > 0 || s.snapshot.List != nil && v.List > s.snapshot.List.Version
 }
 
-// AdoptList takes a list that was the newest at a moment.
+// AdoptList makes a list active that was the newest at a given time.
 func (s *State) AdoptList(list *core.List, at time.Time) {
 	if s.adoptList(list, at) {
 		s.notify()
@@ -186,11 +187,12 @@
 		ConfirmedAt: at,
 	}
 	listVersion.Set(float64(list.Version))
-	s.log.Info("list of boxes in use", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
+	s.log.Info("list of boxes activated", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
 	return true
 }
 
-// ConfirmList tells that the list of a version was the newest at a moment.
+// ConfirmList records that the active list, if it has this version, was the newest
+// at a given time.
 func (s *State) ConfirmList(version uint64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,15 +201,15 @@
 	}
 }
 
-// SetSuspected replaces the boxes that are suspected.
+// SetSuspected replaces the names of the suspected boxes.
 func (s *State) SetSuspected(boxes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.suspected = boxes
 }
 
-// Snapshot gives what is in force as a message; texts only where they are newer
-// than what the other side has.
+// Snapshot returns the state as a message. It includes the configuration and the
+// list only where they differ from or are newer than the known versions.
 func (s *State) Snapshot(known wire.Versions) wire.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,8 +231,8 @@
 	return out
 }
 
-// Apply puts a snapshot of another process in force where it is newer; asked is
-// the moment before it was asked for.
+// Apply activates whatever is newer in another process's snapshot. requestedAt is a
+// time before the snapshot was requested.
 func (s *State) Apply(in wire.Snapshot, requestedAt time.Time) {
 	confirmed := requestedAt.Add(-in.ListAge)
 	s.Activate(in.Config)
@@ -241,10 +243,10 @@
 func parseList(data []byte) (*core.List, error) {
 	var l core.List
 	if err := json.Unmarshal(data, &l); err != nil {
-		return nil, errors.Wrap(err, "read the platform's list; it must be JSON as docs/API.md says")
+		return nil, errors.Wrap(err, "parse the platform's list; docs/API.md describes its JSON")
 	}
 	if l.Version == 0 {
-		return nil, errors.New("the platform's list has no version; it must be a whole number above 0")
+		return nil, errors.New("the platform's list has version 0 or none; it must be a whole number above 0")
 	}
 	return &l, nil
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -14,23 +14,23 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// The times between what a watch does.
+// Timeouts and intervals of a watch.
 const (
 	longPollTimeout   = 10 * time.Second
 	maxListAge        = 2500 * time.Millisecond
 	heartbeatInterval = time.Second
 	pollRetryDelay    = time.Second
 	peerTimeout       = time.Second
-	fetchTimeout      = 10 * time.Second // a configuration of a megabyte over 1 Mbit/s takes 8
+	fetchTimeout      = 10 * time.Second // enough for 1 MB at 1 Mbit/s
 )
 
-// peerCount is how many boxes a watch compares versions with.
+// peerCount is the number of boxes with which a watch compares versions.
 const peerCount = 4
 
-// bootstrapPeerCount is how many boxes a starting watch asks before it serves.
+// bootstrapPeerCount is the number of listed boxes that a starting watch queries.
 const bootstrapPeerCount = 8
 
-// Watch is the platform's side of one box.
+// Watch polls the platform and distributes its state on behalf of one box.
 type Watch struct {
 	settings  *settings.Box
 	self      core.Box
@@ -50,7 +50,7 @@
 	stop      context.CancelFunc
 }
 
-// Start starts a watch.
+// Start starts a watch and its periodic tasks.
 func Start(b *settings.Box, log *zap.Logger) (*Watch, error) {
 	p, err := newPlatform(b.Platform, longPollTimeout)
 	if err != nil {
@@ -98,6 +98,7 @@
 	w.runEvery(ctx, heartbeatInterval, w.sendHeartbeats)
 }
 
+// runEvery runs a task at once and then periodically, with jitter, until ctx ends.
 func (w *Watch) runEvery(ctx context.Context, interval time.Duration, do func(context.Context)) {
 	do(ctx)
 	for {
@@ -111,21 +112,21 @@
 	}
 }
 
-// Ready says what is missing before this box's processes can be served.
+// Ready returns the reason why this box's processes can't be served yet, or "".
 func (w *Watch) Ready() string {
 	v := w.state.View()
 	switch {
 	case !w.joined.Load():
-		return "peers are being asked for newer versions"
+		return "querying peers for newer versions"
 	case v.Document == nil:
-		return "no configuration was read yet; see the platform's address in the settings"
+		return "no configuration has been read yet; check the platform's address in the settings"
 	case v.List == nil:
-		return "no list of boxes was read yet; see the platform's address in the settings"
+		return "no list of boxes has been read yet; check the platform's address in the settings"
 	}
 	return ""
 }
 
-// Status is a watch's part of a box's status.
+// Status is the watch's section of a box's status.
 type Status struct {
 	Config    uint64   `json:"config"`
 	List      uint64   `json:"list"`
@@ -136,7 +137,7 @@
 	Received  uint64   `json:"received_bytes"`
 }
 
-// Status gives what is in force.
+// Status returns the active versions, the peers and the traffic.
 func (w *Watch) Status() any {
 	v := w.state.View()
 	versions := w.state.Versions()
@@ -154,14 +155,14 @@
 	return s
 }
 
-// Stop starts a planned stop: the peers are told, then the watch leaves. The
-// box's other processes go on with what they have. A second call changes
-// nothing.
+// Stop starts a planned stop: the watch sends a last heartbeat to its peers and
+// closes. The box's other processes continue with their current state. Further
+// calls have no effect.
 func (w *Watch) Stop() {
 	if !w.isLeaving.CompareAndSwap(false, true) {
 		return
 	}
-	w.log.Info("planned stop")
+	w.log.Info("planned stop started; notifying peers")
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
 	w.sendHeartbeats(ctx)
@@ -170,7 +171,7 @@
 	close(w.done)
 }
 
-// Done is closed when the process may end.
+// Done returns a channel that is closed when the process may exit.
 func (w *Watch) Done() <-chan struct{} { return w.done }
 
 func (w *Watch) pollConfig(ctx context.Context) {
@@ -193,6 +194,7 @@
 	}
 }
 
+// readList reads the list if it is newer than the active one, waiting up to wait.
 func (w *Watch) readList(ctx context.Context, wait time.Duration) {
 	requestedAt := time.Now()
 	have := w.state.Versions().List
@@ -208,7 +210,7 @@
 	}
 	list, err := parseList(body)
 	if err != nil {
-		w.log.Warn("list of boxes not used", zap.Error(err))
+		w.log.Warn("list of boxes rejected; keeping the active one", zap.Error(err))
 		w.waitBeforeRetry(ctx)
 		return
 	}
@@ -220,7 +222,8 @@
 	w.waitBeforeRetry(ctx)
 }
 
-// waitBeforeRetry spreads the return of all watches after the platform's outage.
+// waitBeforeRetry waits with jitter, so that the watches don't all return at once
+// after an outage of the platform.
 func (w *Watch) waitBeforeRetry(ctx context.Context) {
 	select {
 	case <-time.After(pollRetryDelay + rand.N(pollRetryDelay)):
@@ -228,8 +231,8 @@
 	}
 }
 
-// confirmList asks the platform whether the list is still the newest, unless a peer
-// told so lately.
+// confirmList asks the platform whether the list is still the newest, unless that
+// was confirmed recently.
 func (w *Watch) confirmList(ctx context.Context) {
 	if time.Since(w.state.View().ConfirmedAt) > maxListAge {
 		w.readList(ctx, 0)
@@ -254,7 +257,7 @@
 	w.server.Broadcast(ctx, w.state.Snapshot(w.state.Versions()))
 }
 
-// handleVersions fetches what another process has newer, from that process.
+// handleVersions fetches newer versions from the process that announced them.
 func (w *Watch) handleVersions(c *wire.Conn, v wire.Versions) {
 	if !w.state.ObserveVersions(v) || !w.fetching.CompareAndSwap(false, true) {
 		return
