--- a/GNUmakefile
+++ b/GNUmakefile
@@ -1,4 +1,4 @@
-# The targets that a newcomer, an operator and CI use.
+# Targets for developers, operators and CI.
 GO ?= go
 DEPLOYMENT ?= buscodigo
 STATICCHECK := bin/staticcheck
@@ -14,7 +14,7 @@
 run: build
 	@exec scripts/run.sh $(DEPLOYMENT)
 
-# What CI runs: formatter, linters, then every test with the race detector.
+# Runs what CI runs: format check, linters, then all tests with the race detector.
 test: format lint unit
 
 format:
@@ -32,16 +32,16 @@
 unit:
 	@scripts/test.sh
 
-# Explores the core protocol to its deep bounds, replays the recorded traces and
-# brings about failures on real processes; prints a line for each promise.
+# Checks the models of the core protocol to their full depth, replays the recorded
+# traces and injects failures into real processes. Prints a line per guarantee.
 prove: build
 	@bin/dillsaddle-lab prove
 
-# The decision tables, in virtual time.
+# Runs the experiments behind the design decisions, in virtual time.
 measure: build
 	@bin/dillsaddle-lab measure
 
-# What each part costs, worked out for the size of docs/CAPACITY.md.
+# Extrapolates the cost of each part to the fleet size in docs/CAPACITY.md.
 slopes: build
 	@bin/dillsaddle-lab slopes
 
--- a/admin/doc.go
+++ b/admin/doc.go
@@ -1,3 +1,3 @@
-// Package admin serves a process's operators: metrics, health, readiness and
-// status, on an address apart from the callers'.
+// Package admin serves metrics, health, readiness and status to operators, on an
+// address separate from the callers'.
 package admin
--- a/admin/server.go
+++ b/admin/server.go
@@ -13,22 +13,22 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// Server answers operators.
+// Server is the HTTP server for operators.
 type Server struct {
 	http *server.Hertz
 }
 
-// Option adds to what a server answers.
+// Option configures a server.
 type Option func(*server.Hertz)
 
-// WithStatus answers /status with a value as JSON.
+// WithStatus serves the value that status returns as JSON at /status.
 func WithStatus(status func() any) Option {
 	return func(h *server.Hertz) {
 		h.GET("/status", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, status()) })
 	}
 }
 
-// Listen starts a server; ready says what is missing, or nothing when ready.
+// Listen starts a server. ready returns what is missing, or "" when the process is ready.
 func Listen(address netip.AddrPort, ready func() string, options ...Option) *Server {
 	hlog.SetLevel(hlog.LevelError)
 	h := server.New(
@@ -56,7 +56,7 @@
 	return &Server{http: h}
 }
 
-// Close ends the server.
+// Close stops the server without waiting for requests in progress.
 func (s *Server) Close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,3 +1,3 @@
-// Package clock tells when the machine was suspended: its steady clock stands still then,
-// so that everything whose age is reckoned by it looks younger than it is.
+// Package clock detects suspensions of the machine. The monotonic clock stands still
+// during a suspension, so ages computed from it are too low afterwards.
 package clock
--- a/clock/suspension.go
+++ b/clock/suspension.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// minDrift is by how much the time of day must have moved against the steady clock
-	// for the system to be asked: far above what is corrected between two looks, and below
-	// the shortest of the ages that matter, that of a resting connection.
+	// minDrift is the change in the drift between wall clock and monotonic clock above
+	// which the system's clocks are read. It is above the usual clock corrections between
+	// two checks, and below the shortest timeout, that of an idle connection.
 	minDrift = 100 * time.Millisecond
-	// minSuspension is the shortest suspension that is told; less is the time between the
-	// readings of the two clocks.
+	// minSuspension is the shortest suspension that is reported. Shorter ones can't be told
+	// from the time between reading the two clocks.
 	minSuspension = 50 * time.Millisecond
 )
 
-// Readings are the system's two clocks since its start.
+// Readings holds the times since the start of the system by its two clocks.
 type Readings struct {
-	Boot      time.Duration // with the time in which the machine was suspended
-	Monotonic time.Duration // without
+	Boot      time.Duration // includes suspensions
+	Monotonic time.Duration // excludes suspensions
 }
 
-// DriftFunc gives how far the time of day is ahead of the steady clock, from any origin.
+// DriftFunc returns how far the wall clock is ahead of the monotonic clock, plus a constant.
 type DriftFunc func() time.Duration
 
-// SuspensionDetector finds out that the machine was suspended, before anything else is decided by
-// ages. A look costs no system call: the time of day moves against the steady clock then,
-// and only when it did is the system asked whether it was a suspension or a step of the
-// time of day.
+// SuspensionDetector detects that the machine was suspended. A check needs no system call
+// unless the wall clock has moved against the monotonic clock; then the system's clocks show
+// whether that was a suspension or a step of the wall clock.
 type SuspensionDetector struct {
 	drift        DriftFunc
 	readClocks   func() (Readings, error)
@@ -38,14 +37,14 @@
 	onError      func(error)
 
 	mu            sync.Mutex
-	observedDrift time.Duration  // as last seen
-	gap           *time.Duration // between the system's clocks, as last read; nil before
+	observedDrift time.Duration  // at the last check that read the clocks
+	gap           *time.Duration // Boot minus Monotonic at the last reading; nil before the first
 }
 
-// Option changes how suspensions are found.
+// Option configures a SuspensionDetector.
 type Option func(*SuspensionDetector)
 
-// WithClocks gives the clocks; without it, they are the system's.
+// WithClocks replaces the system's clocks.
 func WithClocks(drift DriftFunc, readClocks func() (Readings, error)) Option {
 	return func(s *SuspensionDetector) {
 		s.drift = drift
@@ -53,13 +52,13 @@
 	}
 }
 
-// WithErrorHandler is called when the clocks can't be read.
+// WithErrorHandler sets a function to call when the clocks can't be read.
 func WithErrorHandler(onError func(error)) Option {
 	return func(s *SuspensionDetector) { s.onError = onError }
 }
 
-// New begins at the present; onSuspended is called with the length of each suspension, and
-// who looks meanwhile waits until it has returned.
+// New returns a detector of suspensions from now on. Check calls onSuspension with the length
+// of a suspension; concurrent calls of Check wait until it has returned.
 func New(onSuspension func(time.Duration), options ...Option) *SuspensionDetector {
 	s := &SuspensionDetector{
 		drift:        driftSince(time.Now()),
@@ -75,7 +74,7 @@
 	return s
 }
 
-// Check tells of a suspension since the last look, if there was one.
+// Check reports a suspension since the last check to onSuspension.
 func (s *SuspensionDetector) Check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +88,7 @@
 	}
 }
 
-// driftSince reckons from a time that carries both readings.
+// driftSince returns the drift since origin, which must have a monotonic reading.
 func driftSince(origin time.Time) DriftFunc {
 	return func() time.Duration {
 		now := time.Now()
@@ -97,8 +96,8 @@
 	}
 }
 
-// updateGap gives how long the machine was suspended since the clocks were last read. Clocks
-// that can't be read, or never were before, tell of no suspension.
+// updateGap reads the clocks and returns how long the machine was suspended since they were
+// last read. It returns 0 if the clocks can't be read or haven't been read before.
 func (s *SuspensionDetector) updateGap() time.Duration {
 	r, err := s.readClocks()
 	if err != nil {
@@ -114,8 +113,8 @@
 	return gap - *previous
 }
 
-// readClocks reads the system's clocks. The steady one is read twice, since the process may wait
-// between two readings.
+// readClocks reads the system's clocks. It reads the monotonic clock before and after the other
+// one and takes the mean, since the process may be delayed between two readings.
 func readClocks() (Readings, error) {
 	before, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
@@ -138,7 +137,7 @@
 func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
-		return 0, errors.Wrapf(err, "read clock %d; suspensions of the machine aren't noticed", id)
+		return 0, errors.Wrapf(err, "read clock %d; suspensions of the machine can't be detected", id)
 	}
 	return time.Duration(t.Nano()), nil
 }
--- a/clock/suspension_test.go
+++ b/clock/suspension_test.go
@@ -10,10 +10,10 @@
 	"dillsaddle.example/dillsaddle/clock"
 )
 
-// machine is a machine's three clocks.
+// machine simulates the clocks of a machine.
 type machine struct {
 	readings clock.Readings
-	timeStep time.Duration // of the time of day
+	timeStep time.Duration // step of the wall clock
 	reads    int
 	readErr  error
 }
@@ -23,7 +23,7 @@
 	return m.readings, m.readErr
 }
 
-// drift is how far the time of day, which goes on while the machine is suspended, is ahead.
+// drift returns how far the wall clock, which includes suspensions, is ahead.
 func (m *machine) drift() time.Duration { return m.readings.Boot + m.timeStep - m.readings.Monotonic }
 
 func (m *machine) run(d time.Duration) {
@@ -33,7 +33,7 @@
 
 func (m *machine) suspend(d time.Duration) { m.readings.Boot += d }
 
-var _ = Describe("suspensions", func() {
+var _ = Describe("the suspension detector", func() {
 	var m *machine
 	var told []time.Duration
 	faults := 0
@@ -46,7 +46,7 @@
 	}
 	BeforeEach(func() { m = &machine{} })
 
-	It("are told from steps of the time of day, and looked for without a system call", func() {
+	It("distinguishes suspensions from wall clock steps, and reads the clocks only on drift", func() {
 		begin()
 		m.run(time.Hour)
 		s.Check()
@@ -70,8 +70,8 @@
 		Expect(told).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
 	})
 
-	It("aren't told while the clocks can't be read, nor what came before their first reading", func() {
-		m.readErr = errors.New("no such clock")
+	It("reports no suspension while the clocks can't be read, or from before they first were", func() {
+		m.readErr = errors.New("clock unavailable")
 		begin()
 		m.suspend(time.Second)
 		s.Check()
@@ -82,7 +82,7 @@
 		Expect(told).To(BeEmpty())
 	})
 
-	It("are looked for by the system's own clocks", func() {
+	It("reads the system's clocks by default", func() {
 		s := clock.New(func(d time.Duration) { Fail("suspended for " + d.String()) },
 			clock.WithErrorHandler(func(err error) { Fail(err.Error()) }))
 		s.Check()
--- a/cmd/dillsaddle-entry/main.go
+++ b/cmd/dillsaddle-entry/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-entry is the callers' side of a box.
+// Command dillsaddle-entry runs the entry of a box, which serves callers.
 package main
 
 import (
--- a/cmd/dillsaddle-lab/main.go
+++ b/cmd/dillsaddle-lab/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-lab is the maintainers' load and experiment tool.
+// Command dillsaddle-lab runs the maintainers' load tests and experiments.
 package main
 
 import (
--- a/cmd/dillsaddle-node/main.go
+++ b/cmd/dillsaddle-node/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-node is the one process of a box on the operators'
+// Command dillsaddle-node runs a whole box as one process on the operators'
 // platform.
 package main
 
--- a/cmd/dillsaddle-scheduler/main.go
+++ b/cmd/dillsaddle-scheduler/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-scheduler is the endpoints' side of a box.
+// Command dillsaddle-scheduler runs the scheduler of a box, which owns endpoints and claims.
 package main
 
 import (
--- a/cmd/dillsaddle-standin/main.go
+++ b/cmd/dillsaddle-standin/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-standin runs one small fake: the platform, an engine or a
+// Command dillsaddle-standin runs a stand-in for the platform, an engine or a
 // service.
 package main
 
--- a/cmd/dillsaddle-watch/main.go
+++ b/cmd/dillsaddle-watch/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-watch is the platform's side of a box.
+// Command dillsaddle-watch runs the watch of a box, which polls the platform.
 package main
 
 import (
--- a/cmd/dillsaddle/main.go
+++ b/cmd/dillsaddle/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle is the operators' command line.
+// Command dillsaddle is the operators' command-line tool.
 package main
 
 import (
--- a/commands/check.go
+++ b/commands/check.go
@@ -15,7 +15,7 @@
 	register(&command{
 		name:    "check",
 		usage:   "FILE...",
-		help:    "check configuration documents and list every fault",
+		help:    "check configuration documents and list all faults",
 		run:     check,
 		suggest: func() []string { return []string{"*.json"} },
 	})
@@ -23,7 +23,7 @@
 
 func check(_ context.Context, out io.Writer, files []string) error {
 	if len(files) == 0 {
-		return &UsageError{Problem: "check needs one file or more"}
+		return &UsageError{Problem: "check needs at least one file"}
 	}
 	invalid := 0
 	for _, file := range files {
@@ -43,7 +43,7 @@
 			file, d.Version, len(d.Customers), len(d.Tiers), len(d.Models), len(d.Endpoints), len(d.Services))
 	}
 	if invalid > 0 {
-		return errors.Errorf("%d of %d documents can't be published; correct the errors above", invalid, len(files))
+		return errors.Errorf("%d of %d documents can't be published; correct the errors listed above", invalid, len(files))
 	}
 	return nil
 }
--- a/commands/commands_test.go
+++ b/commands/commands_test.go
@@ -26,7 +26,7 @@
 		Expect(code).To(Equal(1))
 	})
 
-	It("explains a policy's answer", func() {
+	It("explains a policy's verdict", func() {
 		code, out := run("explain", "-customer", "summaries", "-fits=false", "-ahead", "300", "../examples/buscodigo/config.json")
 		Expect(code).To(Equal(0))
 		Expect(out).To(ContainSubstring("verdict: refuse"))
@@ -39,14 +39,14 @@
 		Expect(out).To(ContainSubstring("13 of 13 stated outcomes hold"))
 	})
 
-	It("offers completion for every command", func() {
+	It("completes every command", func() {
 		_, out := run("completion", "bash")
 		for _, name := range []string{"check", "explain", "status", "replay", "version", "ready", "key"} {
 			Expect(out).To(ContainSubstring("    " + name + ")"))
 		}
 	})
 
-	It("tells usage faults from others by the exit code", func() {
+	It("exits with 2 on usage errors and with 1 on other errors", func() {
 		code, _ := run("status", "localhost:1")
 		Expect(code).To(Equal(2))
 		code, _ = run("check", "missing.json")
@@ -63,7 +63,7 @@
 		return name
 	}
 
-	It("tells what was lost, as tables and as JSON", func() {
+	It("reports lost requests as tables and as JSON", func() {
 		name := write(`{"event":"placed","request":"r-1","route":"long","endpoint":"e-1"}` + "\n")
 		code, out := run("losses", name)
 		Expect(code).To(Equal(0))
@@ -73,7 +73,7 @@
 		Expect(out).To(ContainSubstring(`"count": 1`))
 	})
 
-	It("refuses a file that isn't a box's log, and a call without one", func() {
+	It("rejects a file that isn't a box's log, and a command line without files", func() {
 		for _, one := range []struct {
 			arguments []string
 			code      int
--- a/commands/completion.go
+++ b/commands/completion.go
@@ -20,7 +20,7 @@
 
 func completion(_ context.Context, out io.Writer, arguments []string) error {
 	if len(arguments) != 1 || arguments[0] != "bash" {
-		return &UsageError{Problem: "completion knows one shell: bash"}
+		return &UsageError{Problem: "completion supports one shell: bash"}
 	}
 	var names, cases []string
 	for _, c := range registry {
--- a/commands/doc.go
+++ b/commands/doc.go
@@ -1,3 +1,3 @@
-// Package commands holds the operators' command line, one file a command, each
-// of which registers itself with its name, flags and completion.
+// Package commands implements the operators' command line. Each command has a file
+// and registers its name, flags and completion.
 package commands
--- a/commands/explain.go
+++ b/commands/explain.go
@@ -28,16 +28,16 @@
 	register(&command{
 		name:  "explain",
 		usage: "-customer NAME [flags] FILE",
-		help:  "say what a policy answers for a request and a load, and why",
+		help:  "show a policy's verdict for a request under a load, and the reason",
 		flags: func(fs *flag.FlagSet) {
 			f := &explainFlags
-			fs.StringVar(&f.customer, "customer", "", "`name` of the customer that asks")
-			fs.Int64Var(&f.prompt, "prompt", 200, "prompt in `tokens`")
-			fs.Int64Var(&f.expect, "expect", 200, "expected output in `tokens`")
-			fs.Float64Var(&f.free, "free", 0.5, "free `part` of the memory, 0 to 1")
-			fs.Float64Var(&f.wait, "waited", 0, "`seconds` that the request waited")
-			fs.Int64Var(&f.ahead, "ahead", 0, "`requests` that wait before it")
-			fs.Float64Var(&f.share, "share", 0, "the customer's `part` of what runs, 0 to 1")
+			fs.StringVar(&f.customer, "customer", "", "`name` of the customer")
+			fs.Int64Var(&f.prompt, "prompt", 200, "prompt length in `tokens`")
+			fs.Int64Var(&f.expect, "expect", 200, "expected output length in `tokens`")
+			fs.Float64Var(&f.free, "free", 0.5, "free `fraction` of the memory, 0 to 1")
+			fs.Float64Var(&f.wait, "waited", 0, "`seconds` that the request has waited")
+			fs.Int64Var(&f.ahead, "ahead", 0, "number of `requests` queued ahead of it")
+			fs.Float64Var(&f.share, "share", 0, "the customer's `fraction` of the running requests, 0 to 1")
 			fs.BoolVar(&f.fits, "fits", true, "whether an engine has room for it")
 		},
 		run:     explain,
@@ -59,7 +59,7 @@
 	}
 	c := d.Customer(explainFlags.customer)
 	if c == nil {
-		return &UsageError{Problem: fmt.Sprintf("no customer is named %q in %s", explainFlags.customer, files[0])}
+		return &UsageError{Problem: fmt.Sprintf("no customer %q in %s", explainFlags.customer, files[0])}
 	}
 	return explainFor(out, d, c)
 }
--- a/commands/key.go
+++ b/commands/key.go
@@ -21,7 +21,7 @@
 
 func key(_ context.Context, out io.Writer, arguments []string) error {
 	if len(arguments) != 0 {
-		return &UsageError{Problem: "key reads the key from standard input, so that it stays out of the shell's history"}
+		return &UsageError{Problem: "key takes no arguments; pass the key on standard input, which keeps it out of the shell's history"}
 	}
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	if err != nil && err != io.EOF {
@@ -29,7 +29,7 @@
 	}
 	text := strings.TrimSpace(line)
 	if text == "" {
-		return &UsageError{Problem: "standard input holds no key"}
+		return &UsageError{Problem: "standard input is empty; pass the key on it"}
 	}
 	_, err = fmt.Fprintf(out, "%x\n", sha256.Sum256([]byte(text)))
 	return err
--- a/commands/losses.go
+++ b/commands/losses.go
@@ -18,21 +18,21 @@
 	register(&command{
 		name:  "losses",
 		usage: "[-json] LOG...",
-		help:  "say from boxes' logs which requests were lost or late, when in their lives and why",
+		help:  "report from boxes' logs which requests were lost or late, at which stage and why",
 		flags: func(fs *flag.FlagSet) {
-			fs.BoolVar(&lossesJSON, "json", false, "print JSON in place of tables")
+			fs.BoolVar(&lossesJSON, "json", false, "print JSON instead of tables")
 		},
 		run:     runLosses,
 		suggest: func() []string { return []string{"*.log"} },
 	})
 }
 
-// stdinName is the name of the standard input among files.
+// stdinName is the file name that stands for the standard input.
 const stdinName = "-"
 
 func runLosses(_ context.Context, out io.Writer, files []string) error {
 	if len(files) == 0 {
-		return &UsageError{Problem: "losses needs the logs of boxes, or - for the standard input"}
+		return &UsageError{Problem: "losses needs at least one log of a box, or - for the standard input"}
 	}
 	r := losses.NewReader()
 	for _, name := range files {
@@ -42,7 +42,7 @@
 	}
 	report := r.Report()
 	if report.Lines == report.Skipped.Count {
-		return errors.Errorf("none of the %d lines is a log line of a box (line %d: %s); give what boxes write to their standard output",
+		return errors.Errorf("none of the %d lines is a log line of a box (line %d: %s); pass logs that boxes write to their standard output",
 			report.Lines, report.Skipped.First, report.Skipped.Why)
 	}
 	if lossesJSON {
@@ -59,7 +59,7 @@
 	}
 	f, err := os.Open(name)
 	if err != nil {
-		return errors.Wrap(err, "open a log; give the path of a file, or - for the standard input")
+		return errors.Wrap(err, "open a log; pass the path of a file, or - for the standard input")
 	}
 	defer f.Close()
 	return errors.Wrap(r.Read(f), name)
--- a/commands/ready.go
+++ b/commands/ready.go
@@ -17,7 +17,7 @@
 	register(&command{
 		name:  "ready",
 		usage: "[-wait TIME] ADDRESS",
-		help:  "wait until a process can serve, or say what is missing",
+		help:  "wait until a process is ready, or report what is missing",
 		flags: func(fs *flag.FlagSet) {
 			fs.DurationVar(&readyTimeout, "wait", 0, "longest `time` to wait")
 		},
@@ -25,7 +25,7 @@
 	})
 }
 
-// readyPollInterval is the time between two looks.
+// readyPollInterval is the time between two readiness checks.
 const readyPollInterval = 100 * time.Millisecond
 
 func ready(ctx context.Context, out io.Writer, arguments []string) error {
--- a/commands/registry.go
+++ b/commands/registry.go
@@ -12,27 +12,27 @@
 	"github.com/pkg/errors"
 )
 
-// command is one registered command.
+// command describes one command of the command line.
 type command struct {
 	name    string
 	usage   string
 	help    string
 	flags   func(*flag.FlagSet)
 	run     func(ctx context.Context, out io.Writer, arguments []string) error
-	suggest func() []string // what completion offers for arguments
+	suggest func() []string // returns completions for arguments
 }
 
 var registry []*command
 
-// register adds a command; each file does so once as it is loaded.
+// register adds a command; it is called from the init functions.
 func register(c *command) { registry = append(registry, c) }
 
-// UsageError reports a command line that can't be carried out.
+// UsageError reports an invalid command line.
 type UsageError struct {
 	Problem string
 }
 
-// Error names what is wrong and the remedy.
+// Error describes the problem and refers to the help.
 func (e *UsageError) Error() string { return e.Problem + "; see dillsaddle -h" }
 
 // The exit codes of the command line.
@@ -42,12 +42,12 @@
 	exitUsage = 2
 )
 
-// Run carries out a command line and gives its exit code.
+// Run executes a command line and returns its exit code.
 func Run(arguments []string, out io.Writer) int {
 	sort.Slice(registry, func(i, j int) bool { return registry[i].name < registry[j].name })
 	root := &ffcli.Command{
 		ShortUsage: "dillsaddle COMMAND [flags] [arguments]",
-		ShortHelp:  "check, explain and watch a dillsaddle fleet",
+		ShortHelp:  "check, explain and monitor a dillsaddle fleet",
 		FlagSet:    flag.NewFlagSet("dillsaddle", flag.ContinueOnError),
 		Exec:       func(context.Context, []string) error { return flag.ErrHelp },
 	}
--- a/commands/replay.go
+++ b/commands/replay.go
@@ -23,7 +23,7 @@
 
 func replay(_ context.Context, out io.Writer, files []string) error {
 	if len(files) == 0 {
-		return &UsageError{Problem: "replay needs one file or more"}
+		return &UsageError{Problem: "replay needs at least one file"}
 	}
 	mismatches := 0
 	for _, file := range files {
@@ -38,7 +38,7 @@
 		mismatches += len(report.Mismatches)
 	}
 	if mismatches > 0 {
-		return errors.Errorf("%d stated outcomes don't hold; the lines above name them", mismatches)
+		return errors.Errorf("%d stated outcomes don't hold; see the lines above", mismatches)
 	}
 	return nil
 }
--- a/commands/status.go
+++ b/commands/status.go
@@ -29,19 +29,19 @@
 	register(&command{
 		name:  "status",
 		usage: "[-json] ADDRESS",
-		help:  "show a box: versions in force, leases, queue by tier, drains",
+		help:  "show a box: active versions, leases, queue by tier, drain state",
 		flags: func(fs *flag.FlagSet) {
-			fs.BoolVar(&statusJSON, "json", false, "print JSON in place of tables")
+			fs.BoolVar(&statusJSON, "json", false, "print JSON instead of tables")
 		},
 		run: status,
 	})
 }
 
-// fetch reads a page of a process's operators' address.
+// fetch reads a page from a process's admin address.
 func fetch(ctx context.Context, address, path string) (int, []byte, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return 0, nil, &UsageError{Problem: fmt.Sprintf("%q is no address by IP number and port", address)}
+		return 0, nil, &UsageError{Problem: fmt.Sprintf("%q is not an IP address and port", address)}
 	}
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
@@ -52,7 +52,7 @@
 		return 0, nil, err
 	}
 	code, body, err := c.Get(ctx, nil, "http://"+parsed.String()+path)
-	return code, body, errors.Wrapf(err, "reach %s; give an entry's operators' address (entry-admin) or a box's metrics address", parsed)
+	return code, body, errors.Wrapf(err, "connect to %s; use an entry's admin address (entry-admin) or a box's metrics address", parsed)
 }
 
 func status(ctx context.Context, out io.Writer, arguments []string) error {
@@ -64,7 +64,7 @@
 		return err
 	}
 	if code != 200 {
-		return errors.Errorf("%s answered %d; give an entry's operators' address (entry-admin) or a box's metrics address", arguments[0], code)
+		return errors.Errorf("%s answered with status %d; use an entry's admin address (entry-admin) or a box's metrics address", arguments[0], code)
 	}
 	if statusJSON {
 		var pretty bytes.Buffer
@@ -80,7 +80,7 @@
 	}
 	var s entry.Status
 	if err := json.Unmarshal(body, &s); err != nil {
-		return errors.Wrap(err, "read the status; give an entry's operators' address (entry-admin) or a box's metrics address")
+		return errors.Wrap(err, "parse the status; use an entry's admin address (entry-admin) or a box's metrics address")
 	}
 	return printStatus(out, &s)
 }
@@ -103,7 +103,7 @@
 	return w.Flush()
 }
 
-// printNode shows a box on the operators' platform.
+// printNode prints the status of a box that runs as one process.
 func printNode(out io.Writer, s *box.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "box\t%s in %s\n", s.Box, s.Zone)
--- a/commands/version.go
+++ b/commands/version.go
@@ -7,13 +7,13 @@
 	"runtime/debug"
 )
 
-// release is the version of this release.
+// release is the version number of this release.
 const release = "0.1.0"
 
 func init() {
 	register(&command{
 		name: "version",
-		help: "print the release and what it was built from",
+		help: "print the release and the commit it was built from",
 		run:  version,
 	})
 }
--- a/config/check.go
+++ b/config/check.go
@@ -6,8 +6,8 @@
 	"dillsaddle.example/dillsaddle/policy"
 )
 
-// check reports what no single section can see: names that stand twice, names
-// that nothing defines, and what is legal but surely unmeant.
+// check validates across sections: duplicate names, undefined names, and settings
+// that are valid but probably a mistake.
 func (r *reader) check(d *Document) {
 	checkUnique(r, d.Customers, "customer", func(c *Customer) (string, int) { return c.Name, c.line })
 	checkUnique(r, d.Tiers, "tier", func(t *Tier) (string, int) { return t.Name, t.line })
@@ -20,12 +20,13 @@
 	r.checkModels(d)
 }
 
+// checkUnique reports names that are defined more than once.
 func checkUnique[T any](r *reader, all []T, kind string, name func(*T) (string, int)) {
 	seen := make(map[string]int)
 	for i := range all {
 		value, line := name(&all[i])
 		if first, isDuplicate := seen[value]; isDuplicate {
-			r.addFaultAtLine(line, fmt.Sprintf("%s %q stands twice, first at line %d", kind, value, first), "rename or remove one of them")
+			r.addFaultAtLine(line, fmt.Sprintf("%s %q is defined twice, first at line %d", kind, value, first), "rename or remove one of them")
 			continue
 		}
 		seen[value] = line
@@ -46,7 +47,7 @@
 	for i := range d.Customers {
 		c := &d.Customers[i]
 		if d.Tier(c.Tier) == nil {
-			r.addFaultAtLine(c.line, fmt.Sprintf("customer %q names the tier %q, which is not there", c.Name, c.Tier), "name a tier of this document")
+			r.addFaultAtLine(c.line, fmt.Sprintf("customer %q refers to the undefined tier %q", c.Name, c.Tier), "use the name of a tier in this document")
 		}
 		for _, key := range c.KeySHA256 {
 			if other, isDuplicate := keys[key]; isDuplicate {
@@ -62,16 +63,16 @@
 		t := &d.Tiers[i]
 		p := d.Policy(t.Policy)
 		if p == nil {
-			r.addFaultAtLine(t.line, fmt.Sprintf("tier %q names the policy %q, which is not there", t.Name, t.Policy), "name a policy of this document")
+			r.addFaultAtLine(t.line, fmt.Sprintf("tier %q refers to the undefined policy %q", t.Name, t.Policy), "use the name of a policy in this document")
 		}
 		if find(d.Customers, func(c *Customer) bool { return c.Tier == t.Name }) == nil {
-			r.addWarning(t.line, fmt.Sprintf("no customer uses tier %q", t.Name), "remove it or give it a customer")
+			r.addWarning(t.line, fmt.Sprintf("no customer uses tier %q", t.Name), "remove it or assign a customer to it")
 		}
 	}
 	for i := range d.Policies {
 		p := &d.Policies[i]
 		if p.Program != nil && neverRuns(p.Program) {
-			r.addWarning(p.line, fmt.Sprintf("policy %q doesn't run even a small request on an idle fleet", p.Name), "let it give 'run' for some request")
+			r.addWarning(p.line, fmt.Sprintf("policy %q doesn't run even a small request on an idle fleet", p.Name), "make it return 'run' for some requests")
 		}
 	}
 }
@@ -93,7 +94,7 @@
 		for _, model := range d.Endpoints[i].Models {
 			served[model] = true
 			if d.Model(model) == nil {
-				r.addFaultAtLine(d.Endpoints[i].line, fmt.Sprintf("endpoint %q serves the model %q, which is not there", d.Endpoints[i].Name, model), "add the model or remove the name")
+				r.addFaultAtLine(d.Endpoints[i].line, fmt.Sprintf("endpoint %q refers to the undefined model %q", d.Endpoints[i].Name, model), "define the model or remove it from the endpoint")
 			}
 		}
 	}
--- a/config/customer.go
+++ b/config/customer.go
@@ -6,7 +6,7 @@
 	"encoding/hex"
 )
 
-// Customer is one payer: its keys, tier, class and limits.
+// Customer is one paying customer with its keys, tier, class and limits.
 type Customer struct {
 	Name        string
 	Tier        string
@@ -44,7 +44,7 @@
 	}
 	for _, key := range c.KeySHA256 {
 		if digest, err := hex.DecodeString(key); err != nil || len(digest) != sha256.Size {
-			o.r.addFault(offset, "customer "+c.Name+" has a key that is no SHA-256", "write 64 hex digits: printf KEY | sha256sum")
+			o.r.addFault(offset, "customer "+c.Name+" has a key_sha256 that is not a SHA-256 digest", "write 64 hex digits: printf KEY | sha256sum")
 		}
 	}
 	return c
@@ -61,8 +61,8 @@
 	return match == 1
 }
 
-// Authenticate finds the customer that a key belongs to, or nil; it looks at
-// every customer so that its time tells nothing of the key.
+// Authenticate returns the customer to whom a key belongs, or nil. It compares the
+// key with every customer's, so that its duration doesn't depend on the key.
 func (d *Document) Authenticate(key string) *Customer {
 	var match *Customer
 	for i := range d.Customers {
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,7 +1,7 @@
-// Package config holds the published configuration: its sections, defaults,
-// parse and checks.
+// Package config defines the published configuration: its sections, defaults,
+// parser and checks.
 //
-// One document is one version. A document is read as standard JSON; every
-// fault is reported with its line, what is wrong and the remedy. The platform's
-// configuration service is the only source (see docs/CONFIGURATION.md).
+// Each document has its own version and is standard JSON. Faults are reported with
+// their line, the problem and a remedy. The platform's configuration service is the
+// only source of documents (see docs/CONFIGURATION.md).
 package config
--- a/config/document.go
+++ b/config/document.go
@@ -6,7 +6,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Version orders configuration documents; the higher one is the newer.
+// Version orders configuration documents; a higher version is newer.
 type Version uint64
 
 // Document is one published configuration.
@@ -22,8 +22,8 @@
 	source    []byte
 }
 
-// Parse reads one document and reports all of its faults; the document is nil
-// when a fault forbids its use.
+// Parse parses and checks a document, and returns all of its faults. The document
+// is nil if any of them is fatal.
 func Parse(file string, source []byte) (*Document, Faults) {
 	r := &reader{
 		file:   file,
@@ -35,7 +35,7 @@
 		return nil, r.faults
 	}
 	if !value.IsStandard() {
-		r.addFault(0, "comments or trailing commas", "remove them: the document is standard JSON")
+		r.addFault(0, "the document contains comments or trailing commas", "remove them; the document must be standard JSON")
 	}
 	d := r.readDocument(&value)
 	r.check(d)
@@ -45,6 +45,8 @@
 	return d, r.faults.sorted()
 }
 
+// errorOffset returns the offset after the last non-blank byte, which is where a
+// truncated document fails to parse.
 func errorOffset(source []byte) int {
 	for end := len(source); end > 0; end-- {
 		if source[end-1] == '\n' || source[end-1] == ' ' {
@@ -61,9 +63,9 @@
 		Limits: defaultLimits(),
 		source: r.source,
 	}
-	readScalar(o, "version", &d.Version, "write a whole number above every earlier version")
+	readScalar(o, "version", &d.Version, "write a whole number above all earlier versions")
 	if d.Version == 0 {
-		r.addFault(0, "the document has no version", `add "version", a whole number above every earlier one`)
+		r.addFault(0, "the document has no version", `add "version", a whole number above all earlier ones`)
 	}
 	d.Customers = readList(o, "customers", "customer", parseCustomer)
 	d.Tiers = readList(o, "tiers", "tier", parseTier)
@@ -80,40 +82,40 @@
 	return d
 }
 
-// Source gives the bytes that the document was read from.
+// Source returns the bytes from which the document was parsed.
 func (d *Document) Source() []byte { return d.source }
 
-// Model finds a model by name, or nil.
+// Model returns the model with a name, or nil.
 func (d *Document) Model(name string) *Model {
 	return find(d.Models, func(m *Model) bool { return m.Name == name })
 }
 
-// Serves reports whether an endpoint serves a model.
+// Serves reports whether any endpoint serves a model.
 func (d *Document) Serves(model string) bool {
 	return find(d.Endpoints, func(e *Endpoint) bool { return slices.Contains(e.Models, model) }) != nil
 }
 
-// Tier finds a tier by name, or nil.
+// Tier returns the tier with a name, or nil.
 func (d *Document) Tier(name string) *Tier {
 	return find(d.Tiers, func(t *Tier) bool { return t.Name == name })
 }
 
-// Policy finds a policy by name, or nil.
+// Policy returns the policy with a name, or nil.
 func (d *Document) Policy(name string) *Policy {
 	return find(d.Policies, func(p *Policy) bool { return p.Name == name })
 }
 
-// Service finds a service by name, or nil.
+// Service returns the service with a name, or nil.
 func (d *Document) Service(name string) *Service {
 	return find(d.Services, func(s *Service) bool { return s.Name == name })
 }
 
-// Endpoint finds an endpoint by name, or nil.
+// Endpoint returns the endpoint with a name, or nil.
 func (d *Document) Endpoint(name string) *Endpoint {
 	return find(d.Endpoints, func(e *Endpoint) bool { return e.Name == name })
 }
 
-// Customer finds a customer by name, or nil.
+// Customer returns the customer with a name, or nil.
 func (d *Document) Customer(name string) *Customer {
 	return find(d.Customers, func(c *Customer) bool { return c.Name == name })
 }
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -17,7 +17,7 @@
 	return string(text)
 }
 
-// lineOf gives the number of the first line that holds a text.
+// lineOf returns the number of the first line that contains a text.
 func lineOf(source, text string) int {
 	at := strings.Index(source, text)
 	Expect(at).To(BeNumerically(">=", 0), text)
@@ -26,7 +26,7 @@
 
 var _ = Describe("a published document", func() {
 	for _, name := range []string{"buscodigo", "jordan"} {
-		It("is accepted as the example of "+name, func() {
+		It("is accepted for the example "+name, func() {
 			d, faults := config.Parse("config.json", []byte(example(name)))
 			Expect(faults).To(BeEmpty())
 			Expect(d.Version).To(Equal(config.Version(1)))
@@ -34,7 +34,7 @@
 		})
 	}
 
-	DescribeTable("is refused with the line, what is wrong and the remedy",
+	DescribeTable("is rejected with the line, the problem and the remedy",
 		func(old, changed, what, remedy string) {
 			source := strings.Replace(example("buscodigo"), old, changed, 1)
 			d, faults := config.Parse("config.json", []byte(source))
@@ -48,11 +48,11 @@
 		Entry("unknown field", `"rank": 1`, `"rnk": 1`, "rnk", "docs/CONFIGURATION.md"),
 		Entry("wrong type", `"weight": 2`, `"weight": "two"`, "wrong type", "number"),
 		Entry("out of bounds", `"batch_slots": 60`, `"batch_slots": 0`, "is 0", "from 1 to"),
-		Entry("host name", `"address": "127.0.0.1:7011"`, `"address": "engine:7011"`, "no address by IP number", "IP:port"),
-		Entry("bad duration", `"deadline": "2s"`, `"deadline": "soon"`, "no duration", "2s"),
+		Entry("host name", `"address": "127.0.0.1:7011"`, `"address": "engine:7011"`, "not an IP address and port", "IP:port"),
+		Entry("bad duration", `"deadline": "2s"`, `"deadline": "soon"`, "not a duration", "2s"),
 	)
 
-	It("lists its faults by line, the same in every run", func() {
+	It("lists its faults by line, in the same order each time", func() {
 		source := strings.NewReplacer(`"rank": 1`, `"rnk": 1`, `"risk": 0.1`, `"a": 1, "b": 2, "c": 3`).Replace(example("buscodigo"))
 		_, first := config.Parse("config.json", []byte(source))
 		for range 20 {
@@ -63,26 +63,26 @@
 		Expect(slices.IsSortedFunc(first, func(a, b config.Fault) int { return a.Line - b.Line })).To(BeTrue())
 	})
 
-	It("names every fault and not only the first", func() {
+	It("reports every fault, not just the first", func() {
 		source := strings.NewReplacer(`"rank": 1`, `"rnk": 1`, `"weight": 2`, `"weight": "two"`).Replace(example("buscodigo"))
 		_, faults := config.Parse("config.json", []byte(source))
 		Expect(len(faults)).To(BeNumerically(">=", 2))
 	})
 
-	It("is refused when a tier has no rank, since rank 0 is served first", func() {
+	It("is rejected if a tier has no rank, since a default of 0 would be served first", func() {
 		source := strings.Replace(example("buscodigo"), `"rank": 2,`, "", 1)
 		d, _ := config.Parse("config.json", []byte(source))
 		Expect(d).To(BeNil())
 	})
 
-	It("is refused when a policy program has no type for its verdict", func() {
+	It("is rejected if a policy program returns something other than a verdict", func() {
 		source := strings.Replace(example("buscodigo"), `request.fits ? 'run' : 'wait'`, `request.fits`, 1)
 		d, faults := config.Parse("config.json", []byte(source))
 		Expect(d).To(BeNil())
 		Expect(faults[0].Problem).To(ContainSubstring("not string"))
 	})
 
-	It("is warned of when a tier has no customer or a policy runs nothing", func() {
+	It("gets a warning for a tier without customers and for a policy that runs nothing", func() {
 		source := strings.Replace(example("buscodigo"), `"tier": "bronze"`, `"tier": "silver"`, 1)
 		source = strings.Replace(source, `request.fits ? 'run' : 'wait'`, `'wait'`, 1)
 		d, faults := config.Parse("config.json", []byte(source))
@@ -91,7 +91,7 @@
 		Expect(faults.Error()).To(ContainSubstring("doesn't run even a small request"))
 	})
 
-	It("knows a customer by its key and nobody by another", func() {
+	It("authenticates a customer by its key and rejects other keys", func() {
 		d, _ := config.Parse("config.json", []byte(example("jordan")))
 		Expect(d.Authenticate("demo-field-key").Name).To(Equal("field-officers"))
 		Expect(d.Authenticate("")).To(BeNil())
--- a/config/endpoint.go
+++ b/config/endpoint.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Endpoint is one engine or one server of a service.
+// Endpoint is one engine, with its capacity and the models that it serves.
 type Endpoint struct {
 	Name         string
 	Address      netip.AddrPort
@@ -31,7 +31,7 @@
 	o.readInt("batch_slots", &e.BatchSlots, 1, 65536)
 	o.readBool("checks_fences", &e.ChecksFences)
 	if e.Protocol != "completions" {
-		o.r.addFault(o.offset, "endpoint "+e.Name+" speaks the unknown protocol "+e.Protocol, `write "completions", the only one of this version`)
+		o.r.addFault(o.offset, "endpoint "+e.Name+" has the unsupported protocol "+e.Protocol, `write "completions", the only supported protocol`)
 	}
 	return e
 }
--- a/config/fault.go
+++ b/config/fault.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong in a document.
+// Fault is one problem in a document, fatal unless it is a warning.
 type Fault struct {
 	File    string
 	Line    int
@@ -16,7 +16,7 @@
 	Warning bool
 }
 
-// String gives file, line, what is wrong and the remedy.
+// String formats the fault as file, line, problem and remedy.
 func (f Fault) String() string {
 	kind := "error"
 	if f.Warning {
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s; %s", f.File, f.Line, kind, f.Problem, f.Remedy)
 }
 
-// Faults is the error of a document that is not accepted.
+// Faults is the error returned for a rejected document.
 type Faults []Fault
 
 // Error lists every fault.
@@ -37,7 +37,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted gives the faults by line, the same in every run.
+// sorted sorts the faults by line and problem, and returns them.
 func (f Faults) sorted() Faults {
 	slices.SortStableFunc(f, func(a, b Fault) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Problem, b.Problem))
@@ -45,7 +45,7 @@
 	return f
 }
 
-// Fatal reports whether any fault forbids putting the document in force.
+// Fatal reports whether any of the faults prevents the use of the document.
 func (f Faults) Fatal() bool {
 	for _, fault := range f {
 		if !fault.Warning {
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -7,8 +7,8 @@
 	"dillsaddle.example/dillsaddle/config"
 )
 
-// FuzzParse looks for a document that the parse can't cope with; CI runs the
-// seeds.
+// FuzzParse checks that Parse doesn't panic, and that it reports a fatal fault for
+// every document that it rejects.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"buscodigo", "jordan"} {
 		text, err := os.ReadFile("../examples/" + name + "/config.json")
@@ -23,7 +23,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, faults := config.Parse("document", text)
 		if d == nil && !faults.Fatal() {
-			t.Fatal("a refused document has no fault")
+			t.Fatal("Parse rejected a document without a fatal fault")
 		}
 	})
 }
--- a/config/limits.go
+++ b/config/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits bounds what one caller may take from a box, and the guard times.
+// Limits bounds what a caller may use, and holds the timeouts of requests and claims.
 type Limits struct {
 	BodyBytes         int
 	SlowCallerTimeout time.Duration
--- a/config/model.go
+++ b/config/model.go
@@ -1,6 +1,6 @@
 package config
 
-// Model is one language model that callers may ask for.
+// Model is a language model that callers can request.
 type Model struct {
 	Name         string
 	MaxTokens    int
--- a/config/policy.go
+++ b/config/policy.go
@@ -2,7 +2,8 @@
 
 import "dillsaddle.example/dillsaddle/policy"
 
-// Policy is one program: who runs, who waits and who is refused.
+// Policy is a program that decides whether a request runs, waits or is refused, and
+// ranks the waiting ones.
 type Policy struct {
 	Name    string
 	Decide  string
@@ -18,7 +19,7 @@
 	o.readString("rank", &p.Rank)
 	program, err := policy.Compile(p.Name, p.Decide, p.Rank)
 	if err != nil {
-		o.r.addFault(o.offset, err.Error(), "docs/CONFIGURATION.md lists what a program sees")
+		o.r.addFault(o.offset, err.Error(), "docs/CONFIGURATION.md lists the fields that a program can use")
 		return p
 	}
 	p.Program = program
--- a/config/reader.go
+++ b/config/reader.go
@@ -10,13 +10,14 @@
 	"github.com/tailscale/hujson"
 )
 
-// reader walks a parsed document and collects its faults.
+// reader converts a parsed document to its Go types and collects faults.
 type reader struct {
 	file   string
 	source []byte
 	faults Faults
 }
 
+// line returns the number of the line at an offset.
 func (r *reader) line(offset int) int {
 	return 1 + bytes.Count(r.source[:min(offset, len(r.source))], []byte("\n"))
 }
@@ -40,11 +41,11 @@
 	})
 }
 
-// jsonObject is one JSON object with the members that were not yet asked for.
+// jsonObject is a JSON object with the members that have not been read yet.
 type jsonObject struct {
 	r           *reader
-	offset      int
-	description string
+	offset      int    // in the document
+	description string // for faults
 	members     map[string]*hujson.Value
 }
 
@@ -64,26 +65,28 @@
 		m := &parsed.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
 		if _, isDuplicate := o.members[name]; isDuplicate {
-			r.addFault(m.Name.StartOffset, fmt.Sprintf("field %q stands twice in %s", name, description), "keep one of them")
+			r.addFault(m.Name.StartOffset, fmt.Sprintf("field %q is set twice in %s", name, description), "keep one of them")
 		}
 		o.members[name] = &m.Value
 	}
 	return o
 }
 
+// takeMember removes and returns a member, or nil.
 func (o *jsonObject) takeMember(name string) *hujson.Value {
 	v := o.members[name]
 	delete(o.members, name)
 	return v
 }
 
-// reportUnknownMembers reports each member that no section asked for.
+// reportUnknownMembers reports the members that have not been read.
 func (o *jsonObject) reportUnknownMembers() {
 	for name, v := range o.members {
-		o.r.addFault(v.StartOffset, fmt.Sprintf("unknown field %q in %s", name, o.description), "remove it or correct its spelling; docs/CONFIGURATION.md lists the fields")
+		o.r.addFault(v.StartOffset, fmt.Sprintf("unknown field %q in %s", name, o.description), "remove it or correct its name; docs/CONFIGURATION.md lists the fields")
 	}
 }
 
+// readScalar decodes a member into dst and reports whether it was there and valid.
 func readScalar[T any](o *jsonObject, name string, dst *T, remedy string) bool {
 	v := o.takeMember(name)
 	if v == nil {
@@ -102,7 +105,7 @@
 
 func (o *jsonObject) readName(dst *string) {
 	if !o.readString("name", dst) || *dst == "" {
-		o.r.addFault(o.offset, o.description+" has no name", `add "name" with a text that no other has`)
+		o.r.addFault(o.offset, o.description+" has no name", `add a unique "name"`)
 	}
 }
 
@@ -137,12 +140,12 @@
 func (o *jsonObject) readDuration(name string, dst *time.Duration, minimum, maximum time.Duration) {
 	v := o.members[name]
 	var text string
-	if !readScalar(o, name, &text, `write a duration as "500ms" or "2s"`) {
+	if !readScalar(o, name, &text, `write a duration such as "500ms" or "2s"`) {
 		return
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		o.r.addFault(v.StartOffset, fmt.Sprintf("field %q in %s is no duration", name, o.description), `write it as "500ms" or "2s"`)
+		o.r.addFault(v.StartOffset, fmt.Sprintf("field %q in %s is not a duration", name, o.description), `write a duration such as "500ms" or "2s"`)
 		return
 	}
 	if d < minimum || d > maximum {
@@ -162,12 +165,13 @@
 	}
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
-		o.r.addFault(v.StartOffset, fmt.Sprintf("field %q in %s is no address by IP number", name, o.description), `write "IP:port", such as "127.0.0.1:9001"`)
+		o.r.addFault(v.StartOffset, fmt.Sprintf("field %q in %s is not an IP address and port", name, o.description), `write "IP:port", such as "127.0.0.1:9001"`)
 		return
 	}
 	*dst = parsed
 }
 
+// readList parses a member that is a list of objects.
 func readList[T any](o *jsonObject, name, kind string, parse func(*jsonObject) T) []T {
 	v := o.takeMember(name)
 	if v == nil {
--- a/config/service.go
+++ b/config/service.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Service is a plain service that calls are passed to.
+// Service is an HTTP service to which calls are forwarded.
 type Service struct {
 	Name            string
 	Addresses       []netip.AddrPort
 	Deadline        time.Duration
 	Concurrency     int
-	Hedge           bool // a repeatable call that is late goes to a second server too
+	Hedge           bool // send a late repeatable call to a second server
 	NotRepeatable   []CallPattern
-	RefusalStatuses []int // statuses by which the service says that it did not act
+	RefusalStatuses []int // HTTP statuses with which the service confirms that it did not act
 	line            int
 }
 
-// CallPattern names calls by method and by the start of their path.
+// CallPattern matches calls by their method and path prefix.
 type CallPattern struct {
 	Method string
 	Path   string
@@ -36,18 +36,18 @@
 	for _, text := range addresses {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			o.r.addFault(o.offset, "service "+s.Name+" has an address that is no IP number and port", `write "IP:port"`)
+			o.r.addFault(o.offset, "service "+s.Name+" has an address that is not an IP address and port", `write "IP:port"`)
 			continue
 		}
 		s.Addresses = append(s.Addresses, address)
 	}
 	if len(s.Addresses) == 0 {
-		o.r.addFault(o.offset, "service "+s.Name+" has no address", `add "addresses" with one "IP:port" or more`)
+		o.r.addFault(o.offset, "service "+s.Name+" has no address", `add "addresses" with at least one "IP:port"`)
 	}
 	o.readDuration("deadline", &s.Deadline, time.Millisecond, 10*time.Minute)
 	o.readInt("concurrency", &s.Concurrency, 1, 100000)
 	o.readBool("hedge", &s.Hedge)
-	readScalar(o, "refusal_statuses", &s.RefusalStatuses, "write a list of HTTP statuses")
+	readScalar(o, "refusal_statuses", &s.RefusalStatuses, "write a list of HTTP status codes")
 	s.NotRepeatable = readList(o, "not_repeatable", "call of service "+s.Name, parseCallPattern)
 	return s
 }
@@ -57,12 +57,12 @@
 	o.readString("method", &p.Method)
 	o.readString("path", &p.Path)
 	if p.Method == "" || !strings.HasPrefix(p.Path, "/") {
-		o.r.addFault(o.offset, o.description+" names no method or a path without a leading /", `write {"method": "POST", "path": "/records"}`)
+		o.r.addFault(o.offset, o.description+" has no method or a path without a leading /", `write {"method": "POST", "path": "/records"}`)
 	}
 	return p
 }
 
-// Repeatable reports whether a call may be sent a second time.
+// Repeatable reports whether a call may be sent again.
 func (s *Service) Repeatable(method, path string) bool {
 	for _, p := range s.NotRepeatable {
 		if p.Method == method && strings.HasPrefix(path, p.Path) {
--- a/config/tier.go
+++ b/config/tier.go
@@ -1,6 +1,6 @@
 package config
 
-// Tier is one priority that customers pay for; rank 0 is served first.
+// Tier is a service level of customers. Rank 0 is served first.
 type Tier struct {
 	Name   string
 	Rank   int
@@ -16,7 +16,7 @@
 	}
 	o.readName(&t.Name)
 	if o.members["rank"] == nil {
-		o.r.addFault(o.offset, "tier "+t.Name+" has no rank", `add "rank": 0 is served first`)
+		o.r.addFault(o.offset, "tier "+t.Name+" has no rank", `add "rank"; the tier with rank 0 is served first`)
 	}
 	o.readInt("rank", &t.Rank, 0, 15)
 	o.readString("policy", &t.Policy)
--- a/eventlog/errors.go
+++ b/eventlog/errors.go
@@ -2,16 +2,16 @@
 
 import "go.uber.org/zap/zapcore"
 
-// stacklessCore writes errors by their messages alone. Those that carry a stack would
-// be written with it, a kilobyte of file names in a line that says where already.
+// stacklessCore writes errors without their stack traces, which zap would add in a
+// second field.
 type stacklessCore struct{ zapcore.Core }
 
-// With adds fields to all lines.
+// With returns a core with additional fields.
 func (c stacklessCore) With(fields []zapcore.Field) zapcore.Core {
 	return stacklessCore{c.Core.With(withoutStacks(fields))}
 }
 
-// Check lets this core write what the one within would.
+// Check adds this core, rather than the wrapped one, to the cores that write the entry.
 func (c stacklessCore) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return checked.AddCore(e, c)
@@ -19,7 +19,7 @@
 	return checked
 }
 
-// Write writes a line.
+// Write writes an entry without stack traces.
 func (c stacklessCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	return c.Core.Write(e, withoutStacks(fields))
 }
--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait for a slow reader.
+	// maxQueuedLines bounds the lines that are queued for a slow reader.
 	maxQueuedLines = 1024
-	// linesPerSecond and budgetBurst bound the lines in a second: a box with a
-	// hundred requests a second logs them all, one in a storm does not.
+	// linesPerSecond and burstLines configure the rate limit. It lets through all
+	// lines of a box with a hundred requests a second.
 	linesPerSecond = 400.0
 	burstLines     = 1200.0
 )
 
-// Sink is a writer that drops and counts what doesn't fit.
+// Sink is a writer that drops and counts lines rather than block.
 type Sink struct {
 	mu         sync.Mutex
 	tokens     float64
@@ -30,15 +30,15 @@
 	now        func() time.Time
 }
 
-// SinkOption changes how a sink is built.
+// SinkOption configures a Sink.
 type SinkOption func(*Sink)
 
-// WithClock gives the clock of the budget; tests use their own.
+// WithClock sets the clock of the rate limit.
 func WithClock(now func() time.Time) SinkOption {
 	return func(s *Sink) { s.now = now }
 }
 
-// NewSink starts a sink that writes to out.
+// NewSink returns a sink that writes to out from a goroutine.
 func NewSink(out io.Writer, options ...SinkOption) *Sink {
 	s := &Sink{
 		tokens:     burstLines,
@@ -63,7 +63,7 @@
 	}
 }
 
-// Write takes one line, or drops and counts it. It never blocks.
+// Write queues a line, or drops and counts it. It never blocks.
 func (s *Sink) Write(line []byte) (int, error) {
 	if !s.takeToken() {
 		s.dropped.Add(1)
@@ -77,6 +77,8 @@
 	return len(line), nil
 }
 
+// takeToken takes a token from the rate limit's bucket and reports whether there
+// was one.
 func (s *Sink) takeToken() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,13 +92,14 @@
 	return true
 }
 
-// Sync does nothing: lines are written as soon as the reader takes them.
+// Sync does nothing, since lines are written as soon as the reader accepts them.
 func (s *Sink) Sync() error { return nil }
 
-// DroppedLines counts the lines that were dropped.
+// DroppedLines returns the number of dropped lines.
 func (s *Sink) DroppedLines() int64 { return s.dropped.Load() }
 
-// Close writes what waits, for at most a time. Nothing may be written after it.
+// Close waits, up to a timeout, until the queued lines are written. The sink must
+// not be written to afterwards.
 func (s *Sink) Close(timeout time.Duration) {
 	close(s.queue)
 	timer := time.NewTimer(timeout)
@@ -107,7 +110,7 @@
 	}
 }
 
-// New builds a log of JSON lines on a sink.
+// New returns a logger that writes JSON lines to a sink.
 func New(s *Sink, level zapcore.Level) *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zapcore.EncoderConfig{
 		TimeKey:        "at",
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -15,7 +15,7 @@
 	"dillsaddle.example/dillsaddle/eventlog"
 )
 
-// lockedBuffer is a writer that may be read while it is written to.
+// lockedBuffer is a buffer that is safe for concurrent writes.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("the log", func() {
-	It("writes errors by their messages, without stacks", func() {
+	It("writes errors without their stack traces", func() {
 		out := &lockedBuffer{}
 		s := eventlog.NewSink(out)
 		eventlog.New(s, zap.InfoLevel).Info("send failed", zap.Error(errors.New("connection reset")), zap.Error(nil))
@@ -39,7 +39,7 @@
 		Expect(line).NotTo(HaveKey("errorVerbose"))
 	})
 
-	It("writes one object of JSON a line", func() {
+	It("writes one JSON object per line", func() {
 		out := &lockedBuffer{}
 		s := eventlog.NewSink(out)
 		eventlog.New(s, zap.InfoLevel).Named("gateway").Info("placed", zap.String("request", "r1"), zap.Duration("age", time.Second))
@@ -51,7 +51,7 @@
 		Expect(line).To(HaveKeyWithValue("age", "1s"))
 	})
 
-	It("never blocks on a reader that takes nothing, and counts what it drops", func() {
+	It("doesn't block on a stalled reader, and counts dropped lines", func() {
 		reader, writer := io.Pipe()
 		defer reader.Close()
 		now := time.Now()
@@ -66,7 +66,7 @@
 		Expect(s.DroppedLines()).To(BeNumerically(">", 1500))
 	})
 
-	It("keeps to its budget and counts the rest", func() {
+	It("drops and counts lines above the rate limit", func() {
 		now := time.Now()
 		s := eventlog.NewSink(io.Discard, eventlog.WithClock(func() time.Time { return now }))
 		log := eventlog.New(s, zap.InfoLevel)
--- a/events/doc.go
+++ b/events/doc.go
@@ -1,8 +1,7 @@
-// Package events reads server-sent events whose reader may be told to stop at any
-// moment.
+// Package events reads server-sent events with support for cancellation.
 //
-// The HTTP library's own loop starts a goroutine that closes the stream when its
-// context ends, and doesn't wait for it: it may close the stream after the library
-// has given it to another request. Here that goroutine has ended before the loop
-// returns.
+// The HTTP library's own reader starts a goroutine that closes the stream when the
+// context is done, and doesn't wait for it: the goroutine may close the stream after
+// the library has reused it for another request. This package waits for that
+// goroutine before it returns.
 package events
--- a/events/read.go
+++ b/events/read.go
@@ -9,15 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// forceCloser is a stream that can be closed while somebody reads it.
+// forceCloser is a stream that can be closed during a read.
 type forceCloser interface{ ForceClose() error }
 
-// Each calls a function for each event until the stream ends, the function fails
-// or the context ends. The event must not be kept.
+// Each calls handle for each event until the stream ends, handle returns an error or
+// ctx is done. handle must not retain the event.
 func Each(ctx context.Context, resp *protocol.Response, handle func(*sse.Event) error) error {
 	reader, err := sse.NewReader(resp)
 	if err != nil {
-		return errors.Wrap(err, "no event stream was answered")
+		return errors.Wrap(err, "the response is not an event stream")
 	}
 	done, watcherDone := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,7 +1,7 @@
-// Package node is the seam at which another harness drives one node's decisions:
-// events in, commands out, with nothing else of ours in the process.
+// Package node lets a test harness drive one node's decisions without the rest of
+// the program: events go in, commands come out.
 //
-// A Node holds a node's aggregates by name (home, versions, generation/ID,
-// hold/ENDPOINT, model/NAME). Step gives one of them an event and returns the
-// commands that a process would carry out. Time is the caller's.
+// A Node holds the aggregates of a node by name (home, versions, generation/ID,
+// hold/ENDPOINT, model/NAME). Step applies an event to one of them and returns the
+// commands that a process would execute. The caller controls the time.
 package node
--- a/node/node.go
+++ b/node/node.go
@@ -11,27 +11,27 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// aggregate is what every aggregate of the core is.
+// aggregate is implemented by all aggregates of the core.
 type aggregate interface {
 	Step(now time.Time, ev core.Event) []core.Command
 }
 
-// Node is one node's decisions.
+// Node holds the aggregates of one node.
 type Node struct {
 	aggregates map[string]aggregate
 	options    []core.Option
 }
 
-// Option changes how a node is built.
+// Option configures a Node.
 type Option func(*Node)
 
-// WithCore gives options to the aggregates of the core; proofs switch guards off
-// by it.
+// WithCore passes options to the core aggregates, for instance to switch off a
+// guard.
 func WithCore(options ...core.Option) Option {
 	return func(n *Node) { n.options = append(n.options, options...) }
 }
 
-// New builds a node without any aggregate.
+// New returns a node without aggregates.
 func New(options ...Option) *Node {
 	n := &Node{aggregates: make(map[string]aggregate)}
 	for _, o := range options {
@@ -40,23 +40,23 @@
 	return n
 }
 
-// versions gives the configuration versions the shape of the others.
+// versions adapts core.Versions to the aggregate interface.
 type versions struct{ *core.Versions }
 
-// Step applies one event; versions need no time.
+// Step applies one event. The time is ignored.
 func (v versions) Step(_ time.Time, ev core.Event) []core.Command { return v.Versions.Step(ev) }
 
-// UnknownAggregateError reports an event for an aggregate that was not begun.
+// UnknownAggregateError reports an event for an aggregate that doesn't exist.
 type UnknownAggregateError struct {
 	Name string
 }
 
-// Error names the aggregate and the remedy.
+// Error names the aggregate and how to create it.
 func (e *UnknownAggregateError) Error() string {
-	return "nothing named " + e.Name + " was begun; give its Begun event first"
+	return "no aggregate named " + e.Name + "; send its Begun event first"
 }
 
-// Step gives an aggregate an event; a Begun event makes the aggregate.
+// Step applies an event to the named aggregate. A Begun event creates it.
 func (n *Node) Step(now time.Time, name string, ev core.Event) ([]core.Command, error) {
 	if n.create(now, name, ev) {
 		return nil, nil
@@ -72,6 +72,8 @@
 	return a.Step(now, ev), nil
 }
 
+// create creates an aggregate if the event is a Begun event, and reports whether
+// it did.
 func (n *Node) create(now time.Time, name string, ev core.Event) bool {
 	switch e := ev.(type) {
 	case trace.HomeBegun:
@@ -93,13 +95,13 @@
 	return true
 }
 
-// Generation gives a stream's decisions, or nil.
+// Generation returns the generation with an ID, or nil.
 func (n *Node) Generation(id string) *core.Generation {
 	g, _ := n.aggregates[trace.Generation+id].(*core.Generation)
 	return g
 }
 
-// Grantable gives how much of an endpoint's half an owner would lease now.
+// Grantable returns how many tokens of an owner slot could be leased now.
 func (n *Node) Grantable(now time.Time, name string, capacity int) (int, error) {
 	ownership, ok := n.aggregates[name].(*core.Ownership)
 	if !ok {
--- a/node/replay.go
+++ b/node/replay.go
@@ -15,33 +15,33 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// Mismatch is a stated outcome that a replay did not give.
+// Mismatch is an expectation of a trace that a replay did not meet.
 type Mismatch struct {
 	Line int
 	Want string
 	Got  []string
 }
 
-// Error names the line, what was stated and what came.
+// Error names the line, the expectation and the actual commands.
 func (m *Mismatch) Error() string {
 	got := strings.Join(m.Got, "; ")
 	if got == "" {
 		got = "no command"
 	}
-	return fmt.Sprintf("line %d: stated %q, came %s", m.Line, m.Want, got)
+	return fmt.Sprintf("line %d: expected %q, got %s", m.Line, m.Want, got)
 }
 
-// Report is what a replay gave.
+// Report is the result of a replay.
 type Report struct {
 	Events       int
-	Expectations int
+	Expectations int // checked, including the mismatches
 	Mismatches   []*Mismatch
 }
 
-// Replay reads a trace and gives its events to a node in virtual time. A line
-// with an expectation states what the commands since the last one on the same
-// aggregate hold: "Name Field=Value ..." for one of them, with "!" before it for
-// none of them, or "nothing".
+// Replay applies the events of a trace to a node in virtual time. A line's
+// expectation describes the commands that its aggregate returned since the previous
+// expectation: "Name Field=Value ..." must match one of them, the same with a
+// leading "!" none of them, and "nothing" means that there are none.
 func Replay(in io.Reader, options ...Option) (*Report, error) {
 	r := &replay{
 		node:     New(options...),
@@ -62,9 +62,11 @@
 	return r.report, errors.Wrap(lines.Err(), "read the trace")
 }
 
-// maxLine bounds one line of a trace, in bytes.
+// maxLine is the maximum length of a line of a trace, in bytes.
 const maxLine = 8 << 20
 
+// replay is the state of a replay: commands holds, by aggregate, the commands since
+// its last expectation.
 type replay struct {
 	node     *Node
 	commands map[string][]core.Command
@@ -74,7 +76,7 @@
 func (r *replay) processLine(number int, text string) error {
 	var l trace.Line
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
-		return errors.Wrap(err, "not a line of a trace; docs/TRACES.md gives the form")
+		return errors.Wrap(err, "parse a line of the trace; docs/TRACES.md describes the format")
 	}
 	now := trace.Epoch().Add(time.Duration(l.At))
 	if l.Event != "" {
@@ -95,6 +97,7 @@
 	return nil
 }
 
+// checkExpectation compares a line's expectation with the collected commands.
 func (r *replay) checkExpectation(number int, l trace.Line) {
 	r.report.Expectations++
 	commands := r.commands[l.On]
@@ -112,6 +115,7 @@
 	r.report.Mismatches = append(r.report.Mismatches, m)
 }
 
+// isMet reports whether the commands meet an expectation.
 func isMet(expectation string, commands []core.Command) bool {
 	if expectation == "nothing" {
 		return len(commands) == 0
@@ -125,6 +129,8 @@
 	return isNegated
 }
 
+// matchesPattern reports whether a command has the type and field values of a
+// pattern.
 func matchesPattern(fields []string, c core.Command) bool {
 	v := reflect.ValueOf(c)
 	if len(fields) == 0 || v.Type().Name() != fields[0] {
@@ -140,6 +146,7 @@
 	return true
 }
 
+// describe formats a command as its type and non-zero fields.
 func describe(c core.Command) string {
 	v := reflect.ValueOf(c)
 	var b strings.Builder
--- a/node/replay_test.go
+++ b/node/replay_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("a recorded trace", func() {
-	It("gives its stated outcomes", func() {
+	It("has the stated outcomes", func() {
 		Expect(len(traceFiles())).To(BeNumerically(">=", 9))
 		for _, file := range traceFiles() {
 			report := replay(file)
@@ -37,7 +37,7 @@
 		}
 	})
 
-	DescribeTable("doesn't without the guard that keeps its promise",
+	DescribeTable("misses a stated outcome if the guard against its failure is off",
 		func(file string, guard core.Guard) {
 			report := replay("../traces/"+file, core.WithoutGuard(guard))
 			Expect(report.Mismatches).NotTo(BeEmpty())
@@ -52,17 +52,17 @@
 		Entry("doubled fetch", "buscodigo/april-doubled-fetch.jsonl", core.GuardClaimRestart),
 		Entry("refusal into a stream", "platform/refusal-into-a-stream.jsonl", core.GuardCallPartial),
 		Entry("answer lost on the platform", "platform/answer-lost.jsonl", core.GuardCallOnce),
-		Entry("answer lost, told not run", "platform/answer-lost.jsonl", core.GuardCallOutcome),
+		Entry("answer lost, reported as not run", "platform/answer-lost.jsonl", core.GuardCallOutcome),
 		Entry("lost answer of a write", "jordan/lost-answer-of-write.jsonl", core.GuardBytesSent),
 	)
 
-	It("is refused with its line when it can't be read", func() {
+	It("is rejected with the line number of an unknown event", func() {
 		_, err := node.Replay(strings.NewReader("{\"at\":\"0s\",\"on\":\"home\",\"event\":\"Nonsense\"}\n"))
 		Expect(err).To(MatchError(ContainSubstring("line 1")))
 		Expect(err).To(MatchError(ContainSubstring("Nonsense")))
 	})
 
-	It("is refused when it names an aggregate that was not begun", func() {
+	It("is rejected if it sends an event to an aggregate without its Begun event", func() {
 		_, err := node.Replay(strings.NewReader("{\"at\":\"0s\",\"on\":\"home\",\"event\":\"HandoverDue\"}\n"))
 		Expect(err).To(MatchError(ContainSubstring("Begun")))
 	})
--- a/process/doc.go
+++ b/process/doc.go
@@ -1,3 +1,3 @@
-// Package process is what the mains of the box's processes share: settings,
-// log, trace recorder, and the planned stop on a signal.
+// Package process implements the main function shared by the processes of a box:
+// settings, log, trace recorder, and a planned stop on a signal.
 package process
--- a/process/main.go
+++ b/process/main.go
@@ -14,15 +14,15 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// Process is what a service is started with.
+// Process holds what every service needs to start.
 type Process struct {
 	Box      *settings.Box
 	Log      *zap.Logger
 	Recorder *trace.Recorder
 }
 
-// Service is one of a box's processes. Stop starts a planned stop, as often as
-// it is called; Left is closed when the process may end.
+// Service is one of a box's processes. Stop starts a planned stop and may be called
+// repeatedly; the channel of Done is closed when the process may exit.
 type Service interface {
 	Stop()
 	Done() <-chan struct{}
@@ -35,8 +35,7 @@
 	exitUsage = 2
 )
 
-// Main runs a service until a signal and its planned stop, and gives the exit
-// code.
+// Main runs a service until a signal has stopped it, and returns the exit code.
 func Main(name string, start func(*Process) (Service, error)) int {
 	box, err := settings.Parse(name, os.Args[1:])
 	if errors.Is(err, flag.ErrHelp) {
--- a/scripts/run.sh
+++ b/scripts/run.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Starts a whole deployment on this machine and stays until it is interrupted;
-# then it drains and ends all. The shell does the starting: our processes start
-# none.
+# Starts a whole deployment on this machine and, when interrupted, stops its
+# processes in order: entries, schedulers, watches, stand-ins.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 deployment=${1:-buscodigo}
@@ -31,7 +30,7 @@
 }
 trap stop_all INT TERM
 
-# A shell that reads an address from a settings file.
+# Prints a string setting from a settings file.
 setting() { sed -n "s/^ *\"$2\": \"\(.*\)\".*/\1/p" "$1"; }
 
 start platform dillsaddle-standin "$here/platform.json"; standins+=($!)
@@ -43,7 +42,7 @@
 
 for i in 1 2 3; do
   admin=$(setting "$here/box-$i.json" entry-admin)
-  bin/dillsaddle ready -wait 60s "$admin" >/dev/null || { echo "run: box-$i is not ready; see $logs" >&2; }
+  bin/dillsaddle ready -wait 60s "$admin" >/dev/null || { echo "run: box-$i is not ready after 60 s; see $logs" >&2; }
   echo "ready: http://$(setting "$here/box-$i.json" entry) key=$DEMO_KEY model=$DEMO_MODEL"
 done
 wait "${entries[@]}"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test with the race detector. A test listed in KNOWN-RED.txt may
-# fail: it is run apart and printed, and only those are passed over.
+# Runs all tests with the race detector. Tests listed in KNOWN-RED.txt are printed
+# and skipped.
 set -u
 cd "$(dirname "$0")/.." || exit 2
 known=()
@@ -11,10 +11,10 @@
     echo "known red: $test ($cause, issue $issue)"
   done <KNOWN-RED.txt
 fi
-# It is skipped by its name, of a Ginkgo spec or of a Go test.
+# Matches the names of Ginkgo specs and of Go tests.
 skip=$(IFS='|'; echo "${known[*]-}")
-# The proofs on real processes wait more than they work, so that they run beside
-# the other packages, which are two at a time.
+# The proofs run real processes and mostly wait, so they run in parallel with the
+# other packages, of which two run at a time.
 others=$(go list ./... | grep -v '/proof$')
 go test -race -timeout 40m ${skip:+-skip="$skip"} ./proof -ginkgo.seed=1 ${skip:+-ginkgo.skip="$skip"} &
 proofs=$!
--- a/settings/box.go
+++ b/settings/box.go
@@ -10,10 +10,10 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// minSecretBytes is the shortest accepted fleet secret, in bytes.
+// minSecretBytes is the minimum length of the fleet secret.
 const minSecretBytes = 16
 
-// Box holds the settings of one box.
+// Box holds the settings of one box. The processes listen on the addresses.
 type Box struct {
 	Name           string
 	Zone           string
@@ -33,22 +33,22 @@
 	LeaseInterval  time.Duration
 }
 
-// Error reports a setting that can't be used, with its remedy.
+// Error reports an invalid or missing setting, with a remedy.
 type Error struct {
 	Setting string
 	Problem string
 	Remedy  string
 }
 
-// Error names the setting, what is wrong and the remedy.
+// Error names the setting, the problem and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("setting %q %s; %s", e.Setting, e.Problem, e.Remedy)
 }
 
-// addressValue is a flag value for an address by IP number.
+// addressValue is a flag.Value for an IP address and port.
 type addressValue struct{ dst *netip.AddrPort }
 
-// String gives the address.
+// String formats the address.
 func (a addressValue) String() string {
 	if a.dst == nil || !a.dst.IsValid() {
 		return ""
@@ -60,35 +60,36 @@
 func (a addressValue) Set(text string) error {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return fmt.Errorf("write an IP number and a port, such as 127.0.0.1:7101")
+		return fmt.Errorf("write an IP address and a port, such as 127.0.0.1:7101")
 	}
 	*a.dst = parsed
 	return nil
 }
 
-// addressesValue is a flag value for addresses with commas between them.
+// addressesValue is a flag.Value for a comma-separated list of addresses.
 type addressesValue struct{ dst *[]netip.AddrPort }
 
-// String gives the addresses.
+// String returns the default, which is empty.
 func (a addressesValue) String() string { return "" }
 
-// Set parses the addresses.
+// Set parses the addresses and appends them.
 func (a addressesValue) Set(text string) error {
 	for _, part := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
 		parsed, err := netip.ParseAddrPort(strings.TrimSpace(part))
 		if err != nil {
-			return fmt.Errorf("write IP numbers and ports with commas between them")
+			return fmt.Errorf("write IP addresses and ports, separated by commas")
 		}
 		*a.dst = append(*a.dst, parsed)
 	}
 	return nil
 }
 
-// Parse reads the settings of a box from arguments and their settings file.
+// Parse reads and validates the settings of a box from arguments, the environment
+// and the settings file.
 func Parse(program string, arguments []string) (*Box, error) {
 	b := &Box{}
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
-	fs.String("settings", "", "settings `FILE` in JSON; flags go before it")
+	fs.String("settings", "", "settings `FILE` in JSON; flags take precedence over it")
 	fs.StringVar(&b.Name, "box", "", "`name` of the box, as the platform lists it")
 	fs.StringVar(&b.Zone, "zone", "", "availability `zone` of the box")
 	fs.StringVar(&b.Region, "region", "", "`region` of the box")
@@ -99,10 +100,10 @@
 	fs.Var(addressValue{&b.SchedulerAdmin}, "scheduler-admin", "operators' `address` of the scheduler")
 	fs.Var(addressValue{&b.WatchAdmin}, "watch-admin", "operators' `address` of the watch")
 	fs.Var(addressValue{&b.Platform}, "platform", "`address` of the platform's configuration service")
-	fs.Var(addressesValue{&b.Peers}, "peers", "watch `addresses` of other boxes, for a start while the platform is down")
+	fs.Var(addressesValue{&b.Peers}, "peers", "watch `addresses` of other boxes, used at the start if the platform is down")
 	fs.StringVar(&b.Secret, "secret", "", "fleet `secret` that authenticates stream ids")
-	fs.StringVar(&b.RecordFile, "record", "", "`FILE` to record core events to, for replay")
-	fs.StringVar(&b.LogLevel, "log-level", "info", "least `level` of log lines: debug, info, warn, error")
+	fs.StringVar(&b.RecordFile, "record", "", "`FILE` to which core events are recorded for replay")
+	fs.StringVar(&b.LogLevel, "log-level", "info", "lowest `level` of log lines to write: debug, info, warn, error")
 	fs.DurationVar(&b.DrainTimeout, "drain-limit", time.Hour, "longest `time` that a planned stop waits for streams")
 	fs.DurationVar(&b.LeaseInterval, "lease-every", 500*time.Millisecond, "`time` between lease renewals")
 	err := ff.Parse(fs, arguments,
@@ -118,16 +119,16 @@
 
 func (b *Box) validate() error {
 	if b.Name == "" {
-		return missingError("box", "give the box's name as the platform lists it")
+		return missingError("box", "set the box's name as the platform lists it")
 	}
 	if b.Zone == "" {
-		return missingError("zone", "give the box's availability zone")
+		return missingError("zone", "set the box's availability zone")
 	}
 	if len(b.Secret) < minSecretBytes {
 		return &Error{
 			Setting: "secret",
 			Problem: fmt.Sprintf("is shorter than %d bytes", minSecretBytes),
-			Remedy:  "give all boxes the same random text, by the settings file or DILLSADDLE_SECRET",
+			Remedy:  "set the same random text on all boxes, in the settings file or DILLSADDLE_SECRET",
 		}
 	}
 	addresses := map[string]netip.AddrPort{
@@ -141,7 +142,7 @@
 	}
 	for _, name := range []string{"entry", "scheduler", "watch", "entry-admin", "scheduler-admin", "watch-admin", "platform"} {
 		if !addresses[name].IsValid() {
-			return missingError(name, `give it as "IP:port"`)
+			return missingError(name, `set it to "IP:port"`)
 		}
 	}
 	return b.validateRanges()
@@ -152,14 +153,14 @@
 		return &Error{
 			Setting: "lease-every",
 			Problem: "is " + b.LeaseInterval.String(),
-			Remedy:  "write a time from 50ms to 1s: a lease ends after 4s",
+			Remedy:  "write a time from 50ms to 1s; a lease expires after 4s",
 		}
 	}
 	if b.DrainTimeout < time.Second {
 		return &Error{
 			Setting: "drain-limit",
 			Problem: "is " + b.DrainTimeout.String(),
-			Remedy:  "write 1s or more: a planned stop waits for streams",
+			Remedy:  "write 1s or more; a planned stop waits for streams",
 		}
 	}
 	return nil
--- a/settings/box_test.go
+++ b/settings/box_test.go
@@ -32,14 +32,14 @@
 		Expect(b.Entry.Port()).To(BeEquivalentTo(7101))
 	})
 
-	DescribeTable("are refused with the setting and the remedy",
+	DescribeTable("are rejected with the setting and the remedy",
 		func(old, changed, setting, remedy string) {
 			_, err := parseExample(replaceText(old, changed))
 			Expect(err).To(MatchError(And(ContainSubstring(setting), ContainSubstring(remedy))))
 		},
 		Entry("no zone", `"zone": "mty-a",`, ``, "zone", "availability zone"),
 		Entry("short secret", `example-fleet-secret-change-me`, `short`, "secret", "random text"),
-		Entry("host name", `127.0.0.1:7101`, `localhost:7101`, "entry", "IP number"),
+		Entry("host name", `127.0.0.1:7101`, `localhost:7101`, "entry", "IP address"),
 		Entry("unknown setting", `"zone"`, `"zonne"`, "zonne", "flag"),
 		Entry("lease time", `"zone"`, `"lease-every": "5s", "zone"`, "lease-every", "50ms to 1s"),
 	)
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings reads the settings of a process: one JSON file a box, which
-// its three processes share, each value also a flag.
+// Package settings reads the settings of a box's processes from flags, environment
+// variables and a JSON file that the three processes of a box share.
 package settings
--- a/settings/log.go
+++ b/settings/log.go
@@ -4,7 +4,7 @@
 	"go.uber.org/zap"
 )
 
-// Logger builds the structured log of a process; it writes JSON lines.
+// Logger returns the structured log of a process, written as JSON lines.
 func (b *Box) Logger(process string) (*zap.Logger, error) {
 	level, err := zap.ParseAtomicLevel(b.LogLevel)
 	if err != nil {
--- a/watch/metrics.go
+++ b/watch/metrics.go
@@ -6,7 +6,6 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Metrics of the watch.
 var (
 	configVersion  = metrics.NewGauge("dillsaddle_config_version", nil)
 	listVersion    = metrics.NewGauge("dillsaddle_list_version", nil)
