--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -69,7 +69,7 @@
 		log:       log,
 		recorder:  recorder,
 		state:     watch.NewState(log),
-		worker:    engine.Guard(worker, onWorkerPanic(log)),
+		worker:    engine.WithPanicRecovery(worker, onWorkerPanic(log)),
 		endpoints: shard.NewMap[*endpoint](),
 		claims:    core.NewClaimOwner(self, core.DefaultClaimRules(), now),
 		drain:     core.NewDrain(),
@@ -101,7 +101,7 @@
 }
 
 // onWorkerPanic returns a callback that counts and logs a worker's panic.
-func onWorkerPanic(log *zap.Logger) engine.PanicSeen {
+func onWorkerPanic(log *zap.Logger) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		workerPanics.Inc()
 		log.Error("worker panicked; the call failed", zap.Any("fault", fault), zap.ByteString("stack", stack))
