--- a/node/node.go
+++ b/node/node.go
@@ -81,7 +81,7 @@
 	case trace.GenerationBegun:
 		n.aggregates[name] = core.NewGeneration(e.Repeatable, e.Rules, n.options...)
 	case trace.HoldBegun:
-		n.aggregates[name] = core.NewOwnership(strings.TrimPrefix(name, trace.Hold), e.Rules, n.options...)
+		n.aggregates[name] = core.NewOwnership(strings.TrimPrefix(name, trace.Ownership), e.Rules, n.options...)
 	case trace.CallBegun:
 		n.aggregates[name] = core.NewCall(e.Rules, func() bool { return e.Budget }, n.options...)
 	case trace.ModelBegun:
--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -34,7 +34,7 @@
 	s.claimsLock.Lock()
 	defer s.claimsLock.Unlock()
 	now := time.Now()
-	s.recorder.Event(now, trace.Home, ev)
+	s.recorder.Event(now, trace.ClaimOwner, ev)
 	return s.claims.Step(now, ev)
 }
 
