--- a/clock/suspension.go
+++ b/clock/suspension.go
@@ -13,8 +13,8 @@
 	// which the system's clocks are read. It is above the usual clock corrections between
 	// two checks, and below the shortest timeout, that of an idle connection.
 	minDrift = 100 * time.Millisecond
-	// minSuspension is the shortest suspension that is reported. Shorter ones can't be told
-	// from the time between reading the two clocks.
+	// minSuspension is the shortest suspension that is reported. Shorter differences may be
+	// the time that passes between reading the two clocks.
 	minSuspension = 50 * time.Millisecond
 )
 
--- a/clock/suspension_test.go
+++ b/clock/suspension_test.go
@@ -35,19 +35,19 @@
 
 var _ = Describe("the suspension detector", func() {
 	var m *machine
-	var told []time.Duration
-	faults := 0
+	var reported []time.Duration
+	errorCount := 0
 	var s *clock.SuspensionDetector
-	begin := func() {
-		told, faults = nil, 0
-		s = clock.New(func(d time.Duration) { told = append(told, d) },
+	start := func() {
+		reported, errorCount = nil, 0
+		s = clock.New(func(d time.Duration) { reported = append(reported, d) },
 			clock.WithClocks(m.drift, m.read),
-			clock.WithErrorHandler(func(error) { faults++ }))
+			clock.WithErrorHandler(func(error) { errorCount++ }))
 	}
 	BeforeEach(func() { m = &machine{} })
 
 	It("distinguishes suspensions from wall clock steps, and reads the clocks only on drift", func() {
-		begin()
+		start()
 		m.run(time.Hour)
 		s.Check()
 		Expect(m.reads).To(Equal(1))
@@ -55,31 +55,31 @@
 		m.suspend(3 * time.Second)
 		s.Check()
 		s.Check()
-		Expect(told).To(Equal([]time.Duration{3 * time.Second}))
+		Expect(reported).To(Equal([]time.Duration{3 * time.Second}))
 
 		m.timeStep = -2 * time.Second
 		s.Check()
 		m.timeStep = 0
 		s.Check()
-		Expect(told).To(HaveLen(1))
+		Expect(reported).To(HaveLen(1))
 
 		m.run(time.Second)
 		m.suspend(700 * time.Millisecond)
 		m.timeStep = 5 * time.Second
 		s.Check()
-		Expect(told).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
+		Expect(reported).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
 	})
 
 	It("reports no suspension while the clocks can't be read, or from before they first were", func() {
 		m.readErr = errors.New("clock unavailable")
-		begin()
+		start()
 		m.suspend(time.Second)
 		s.Check()
-		Expect(faults).To(Equal(2))
+		Expect(errorCount).To(Equal(2))
 		m.readErr = nil
 		m.suspend(time.Second)
 		s.Check()
-		Expect(told).To(BeEmpty())
+		Expect(reported).To(BeEmpty())
 	})
 
 	It("reads the system's clocks by default", func() {
--- a/cmd/dillsaddle-entry/main.go
+++ b/cmd/dillsaddle-entry/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	os.Exit(process.Main("dillsaddle-entry", func(p *process.Process) (process.Service, error) {
+	os.Exit(process.Main("dillsaddle-entry", func(p *process.Dependencies) (process.Service, error) {
 		worker, err := completions.New()
 		if err != nil {
 			return nil, err
--- a/cmd/dillsaddle-watch/main.go
+++ b/cmd/dillsaddle-watch/main.go
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	os.Exit(process.Main("dillsaddle-watch", func(p *process.Process) (process.Service, error) {
+	os.Exit(process.Main("dillsaddle-watch", func(p *process.Dependencies) (process.Service, error) {
 		w, err := watch.Start(p.Box, p.Log)
 		if err != nil {
 			return nil, err
--- a/commands/explain.go
+++ b/commands/explain.go
@@ -14,14 +14,14 @@
 )
 
 var explainFlags struct {
-	customer string
-	prompt   int64
-	expect   int64
-	free     float64
-	wait     float64
-	ahead    int64
-	share    float64
-	fits     bool
+	customer       string
+	promptTokens   int64
+	expectedTokens int64
+	freeShare      float64
+	waitSeconds    float64
+	waitingAhead   int64
+	customerShare  float64
+	fits           bool
 }
 
 func init() {
@@ -32,12 +32,12 @@
 		flags: func(fs *flag.FlagSet) {
 			f := &explainFlags
 			fs.StringVar(&f.customer, "customer", "", "`name` of the customer")
-			fs.Int64Var(&f.prompt, "prompt", 200, "prompt length in `tokens`")
-			fs.Int64Var(&f.expect, "expect", 200, "expected output length in `tokens`")
-			fs.Float64Var(&f.free, "free", 0.5, "free `fraction` of the memory, 0 to 1")
-			fs.Float64Var(&f.wait, "waited", 0, "`seconds` that the request has waited")
-			fs.Int64Var(&f.ahead, "ahead", 0, "number of `requests` queued ahead of it")
-			fs.Float64Var(&f.share, "share", 0, "the customer's `fraction` of the running requests, 0 to 1")
+			fs.Int64Var(&f.promptTokens, "prompt", 200, "prompt length in `tokens`")
+			fs.Int64Var(&f.expectedTokens, "expect", 200, "expected output length in `tokens`")
+			fs.Float64Var(&f.freeShare, "free", 0.5, "free `fraction` of the memory, 0 to 1")
+			fs.Float64Var(&f.waitSeconds, "waited", 0, "`seconds` that the request has waited")
+			fs.Int64Var(&f.waitingAhead, "ahead", 0, "number of `requests` queued ahead of it")
+			fs.Float64Var(&f.customerShare, "share", 0, "the customer's `fraction` of the running requests, 0 to 1")
 			fs.BoolVar(&f.fits, "fits", true, "whether an engine has room for it")
 		},
 		run:     explain,
@@ -73,12 +73,12 @@
 		Class:         c.Class,
 		Tier:          t.Name,
 		TierRank:      int64(t.Rank),
-		PromptTokens:  f.prompt,
-		ExpectTokens:  f.expect,
-		FreeShare:     f.free,
-		WaitSeconds:   f.wait,
-		WaitingAhead:  f.ahead,
-		CustomerShare: f.share,
+		PromptTokens:  f.promptTokens,
+		ExpectTokens:  f.expectedTokens,
+		FreeShare:     f.freeShare,
+		WaitSeconds:   f.waitSeconds,
+		WaitingAhead:  f.waitingAhead,
+		CustomerShare: f.customerShare,
 		Fits:          f.fits,
 	}
 	verdict, err := p.Program.Decide(in)
--- a/config/check.go
+++ b/config/check.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// neverRuns asks the program for a small request on an idle fleet.
+// neverRuns reports whether a policy doesn't run even a small request on an idle
+// fleet.
 func neverRuns(p *policy.Program) bool {
 	verdict, err := p.Decide(&policy.Input{
 		PromptTokens: 1,
--- a/config/customer.go
+++ b/config/customer.go
@@ -12,11 +12,11 @@
 	Tier        string
 	Class       string
 	KeySHA256   []string
-	Weight      float64
-	MaxStreams  int
-	MaxWaiting  int
-	TokenRate   float64
-	RetryBudget float64
+	Weight      float64 // share relative to other customers of the tier
+	MaxStreams  int     // open at the same time
+	MaxWaiting  int     // queued requests
+	TokenRate   float64 // tokens per second; 0 for no limit
+	RetryBudget float64 // retries as a fraction of the first attempts
 	line        int
 }
 
--- a/config/endpoint.go
+++ b/config/endpoint.go
@@ -9,8 +9,8 @@
 	Zone         string
 	Protocol     string
 	Models       []string
-	MemoryTokens int
-	BatchSlots   int
+	MemoryTokens int // capacity of the engine's memory
+	BatchSlots   int // maximum number of requests in the batch
 	ChecksFences bool
 	line         int
 }
--- a/config/limits.go
+++ b/config/limits.go
@@ -4,12 +4,12 @@
 
 // Limits bounds what a caller may use, and holds the timeouts of requests and claims.
 type Limits struct {
-	BodyBytes         int
-	SlowCallerTimeout time.Duration
-	ProgressTimeout   time.Duration
-	ResumeWindow      time.Duration
-	MaxWait           time.Duration
-	ClaimGuard        time.Duration
+	BodyBytes         int           // maximum size of a request body
+	SlowCallerTimeout time.Duration // maximum time for which a caller reads nothing of its answer
+	ProgressTimeout   time.Duration // maximum time between two messages of an endpoint
+	ResumeWindow      time.Duration // how long a broken stream can be resumed
+	MaxWait           time.Duration // maximum wait for the first message of an endpoint
+	ClaimGuard        time.Duration // how long after a loss of claim records an unknown key isn't taken for new
 }
 
 func defaultLimits() Limits {
--- a/config/model.go
+++ b/config/model.go
@@ -3,8 +3,8 @@
 // Model is a language model that callers can request.
 type Model struct {
 	Name         string
-	MaxTokens    int
-	ExpectTokens int
+	MaxTokens    int // upper bound of a request's max_tokens
+	ExpectTokens int // expected output length before lengths have been observed
 	line         int
 }
 
--- a/config/policy.go
+++ b/config/policy.go
@@ -6,8 +6,8 @@
 // ranks the waiting ones.
 type Policy struct {
 	Name    string
-	Decide  string
-	Rank    string
+	Decide  string // source of the program that returns the verdict
+	Rank    string // source of the program that orders waiting requests
 	Program *policy.Program
 	line    int
 }
--- a/config/tier.go
+++ b/config/tier.go
@@ -5,7 +5,7 @@
 	Name   string
 	Rank   int
 	Policy string
-	Risk   float64
+	Risk   float64 // accepted probability that an endpoint's memory overflows
 	line   int
 }
 
--- a/process/main.go
+++ b/process/main.go
@@ -14,8 +14,8 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// Process holds what every service needs to start.
-type Process struct {
+// Dependencies holds what every service needs to start.
+type Dependencies struct {
 	Box      *settings.Box
 	Log      *zap.Logger
 	Recorder *trace.Recorder
@@ -36,7 +36,7 @@
 )
 
 // Main runs a service until a signal has stopped it, and returns the exit code.
-func Main(name string, start func(*Process) (Service, error)) int {
+func Main(name string, start func(*Dependencies) (Service, error)) int {
 	box, err := settings.Parse(name, os.Args[1:])
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK
@@ -44,7 +44,7 @@
 	if err != nil {
 		return exitWithError(name, err, exitUsage)
 	}
-	p := &Process{Box: box}
+	p := &Dependencies{Box: box}
 	if p.Log, err = box.Logger(name); err != nil {
 		return exitWithError(name, err, exitUsage)
 	}
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -84,12 +84,12 @@
 
 // refresh updates the ownership with the time, the endpoint's leaving state and
 // the time at which the list was last confirmed.
-func (e *endpoint) refresh(now time.Time, leaving bool, confirmed time.Time) {
+func (e *endpoint) refresh(now time.Time, leaving bool, confirmedAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.shares.Ownership().Step(now, core.HoldTicked{})
 	e.shares.Ownership().Step(now, core.EndpointLeaving{Leaving: leaving})
-	e.shares.Ownership().Step(now, core.ListConfirmed{At: confirmed})
+	e.shares.Ownership().Step(now, core.ListConfirmed{At: confirmedAt})
 }
 
 // grant leases a part of the slot to a box. It grants nothing if this box isn't
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -28,8 +28,8 @@
 	callTimeout      = time.Second
 )
 
-// youngFleetAge is the age up to which a list is too young for an earlier owner to
-// have granted leases.
+// youngFleetAge is the fleet's age below which no earlier owner can have granted
+// leases that still matter.
 const youngFleetAge = 10 * time.Second
 
 // Scheduler owns endpoints and claims on behalf of one box.
--- a/settings/box.go
+++ b/settings/box.go
@@ -13,24 +13,24 @@
 // minSecretBytes is the minimum length of the fleet secret.
 const minSecretBytes = 16
 
-// Box holds the settings of one box. The processes listen on the addresses.
+// Box holds the settings of one box. All addresses are IP addresses with ports.
 type Box struct {
 	Name           string
 	Zone           string
 	Region         string
-	Entry          netip.AddrPort
-	Scheduler      netip.AddrPort
-	Watch          netip.AddrPort
-	EntryAdmin     netip.AddrPort
-	SchedulerAdmin netip.AddrPort
-	WatchAdmin     netip.AddrPort
-	Platform       netip.AddrPort
-	Peers          []netip.AddrPort
-	Secret         string
-	RecordFile     string
+	Entry          netip.AddrPort   // listens for callers
+	Scheduler      netip.AddrPort   // listens for other processes of the fleet
+	Watch          netip.AddrPort   // listens for other processes of the fleet
+	EntryAdmin     netip.AddrPort   // listens for operators
+	SchedulerAdmin netip.AddrPort   // listens for operators
+	WatchAdmin     netip.AddrPort   // listens for operators
+	Platform       netip.AddrPort   // configuration service to connect to
+	Peers          []netip.AddrPort // watches to query at the start
+	Secret         string           // shared by the fleet, authenticates stream ids
+	RecordFile     string           // core events are recorded to it; "" for none
 	LogLevel       string
-	DrainTimeout   time.Duration
-	LeaseInterval  time.Duration
+	DrainTimeout   time.Duration // maximum duration of a planned stop
+	LeaseInterval  time.Duration // time between lease renewals
 }
 
 // Error reports an invalid or missing setting, with a remedy.
--- a/watch/state.go
+++ b/watch/state.go
@@ -164,27 +164,27 @@
 }
 
 // AdoptList makes a list active that was the newest at a given time.
-func (s *State) AdoptList(list *core.List, at time.Time) {
-	if s.adoptList(list, at) {
+func (s *State) AdoptList(list *core.List, confirmedAt time.Time) {
+	if s.adoptList(list, confirmedAt) {
 		s.notify()
 	}
 }
 
-func (s *State) adoptList(list *core.List, at time.Time) bool {
+func (s *State) adoptList(list *core.List, confirmedAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if list == nil || s.snapshot.List != nil && list.Version < s.snapshot.List.Version {
 		return false
 	}
 	if s.snapshot.List != nil && list.Version == s.snapshot.List.Version {
-		if at.After(s.snapshot.ConfirmedAt) {
-			s.snapshot.ConfirmedAt = at
+		if confirmedAt.After(s.snapshot.ConfirmedAt) {
+			s.snapshot.ConfirmedAt = confirmedAt
 		}
 		return false
 	}
 	s.snapshot = core.ListSnapshot{
 		List:        list,
-		ConfirmedAt: at,
+		ConfirmedAt: confirmedAt,
 	}
 	listVersion.Set(float64(list.Version))
 	s.log.Info("list of boxes activated", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
@@ -193,11 +193,11 @@
 
 // ConfirmList records that the active list, if it has this version, was the newest
 // at a given time.
-func (s *State) ConfirmList(version uint64, at time.Time) {
+func (s *State) ConfirmList(version uint64, confirmedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.snapshot.List != nil && version == s.snapshot.List.Version && at.After(s.snapshot.ConfirmedAt) {
-		s.snapshot.ConfirmedAt = at
+	if s.snapshot.List != nil && version == s.snapshot.List.Version && confirmedAt.After(s.snapshot.ConfirmedAt) {
+		s.snapshot.ConfirmedAt = confirmedAt
 	}
 }
 
@@ -234,10 +234,10 @@
 // Apply activates whatever is newer in another process's snapshot. requestedAt is a
 // time before the snapshot was requested.
 func (s *State) Apply(in wire.Snapshot, requestedAt time.Time) {
-	confirmed := requestedAt.Add(-in.ListAge)
+	confirmedAt := requestedAt.Add(-in.ListAge)
 	s.Activate(in.Config)
-	s.AdoptList(in.List, confirmed)
-	s.ConfirmList(in.ListVersion, confirmed)
+	s.AdoptList(in.List, confirmedAt)
+	s.ConfirmList(in.ListVersion, confirmedAt)
 }
 
 func parseList(data []byte) (*core.List, error) {
