--- a/config/customer.go
+++ b/config/customer.go
@@ -12,9 +12,9 @@
 	Tier        string
 	Class       string
 	KeySHA256   []string
-	Weight      float64 // share relative to other customers of the tier
-	MaxStreams  int     // open at the same time
-	MaxWaiting  int     // queued requests
+	Weight      float64 // share of the service relative to other customers
+	MaxStreams  int     // open at the same time on one box
+	MaxWaiting  int     // queued requests on one box
 	TokenRate   float64 // tokens per second; 0 for no limit
 	RetryBudget float64 // retries as a fraction of the first attempts
 	line        int
