--- a/clock/suspension_test.go
+++ b/clock/suspension_test.go
@@ -10,79 +10,79 @@
 	"dillsaddle.example/dillsaddle/clock"
 )
 
-// machine is a machine's three clocks.
+// machine simulates the clocks of a machine.
 type machine struct {
 	readings clock.Readings
-	step     time.Duration // of the time of day
-	asked    int
-	fault    error
+	timeStep time.Duration // step of the wall clock
+	reads    int
+	readErr  error
 }
 
 func (m *machine) read() (clock.Readings, error) {
-	m.asked++
-	return m.readings, m.fault
+	m.reads++
+	return m.readings, m.readErr
 }
 
-// drift is how far the time of day, which goes on while the machine is suspended, is ahead.
-func (m *machine) drift() time.Duration { return m.readings.Boot + m.step - m.readings.Steady }
+// drift returns how far the wall clock, which includes suspensions, is ahead.
+func (m *machine) drift() time.Duration { return m.readings.Boot + m.timeStep - m.readings.Monotonic }
 
 func (m *machine) run(d time.Duration) {
 	m.readings.Boot += d
-	m.readings.Steady += d
+	m.readings.Monotonic += d
 }
 
 func (m *machine) suspend(d time.Duration) { m.readings.Boot += d }
 
-var _ = Describe("suspensions", func() {
+var _ = Describe("the suspension detector", func() {
 	var m *machine
-	var told []time.Duration
-	faults := 0
+	var reported []time.Duration
+	errorCount := 0
 	var s *clock.SuspensionDetector
-	begin := func() {
-		told, faults = nil, 0
-		s = clock.New(func(d time.Duration) { told = append(told, d) },
+	start := func() {
+		reported, errorCount = nil, 0
+		s = clock.New(func(d time.Duration) { reported = append(reported, d) },
 			clock.WithClocks(m.drift, m.read),
-			clock.WithErrorHandler(func(error) { faults++ }))
+			clock.WithErrorHandler(func(error) { errorCount++ }))
 	}
 	BeforeEach(func() { m = &machine{} })
 
-	It("are told from steps of the time of day, and looked for without a system call", func() {
-		begin()
+	It("distinguishes suspensions from wall clock steps, and reads the clocks only on drift", func() {
+		start()
 		m.run(time.Hour)
 		s.Check()
-		Expect(m.asked).To(Equal(1))
+		Expect(m.reads).To(Equal(1))
 
 		m.suspend(3 * time.Second)
 		s.Check()
 		s.Check()
-		Expect(told).To(Equal([]time.Duration{3 * time.Second}))
+		Expect(reported).To(Equal([]time.Duration{3 * time.Second}))
 
-		m.step = -2 * time.Second
+		m.timeStep = -2 * time.Second
 		s.Check()
-		m.step = 0
+		m.timeStep = 0
 		s.Check()
-		Expect(told).To(HaveLen(1))
+		Expect(reported).To(HaveLen(1))
 
 		m.run(time.Second)
 		m.suspend(700 * time.Millisecond)
-		m.step = 5 * time.Second
+		m.timeStep = 5 * time.Second
 		s.Check()
-		Expect(told).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
+		Expect(reported).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
 	})
 
-	It("aren't told while the clocks can't be read, nor what came before their first reading", func() {
-		m.fault = errors.New("no such clock")
-		begin()
+	It("reports no suspension while the clocks can't be read, or from before they first were", func() {
+		m.readErr = errors.New("clock unavailable")
+		start()
 		m.suspend(time.Second)
 		s.Check()
-		Expect(faults).To(Equal(2))
-		m.fault = nil
+		Expect(errorCount).To(Equal(2))
+		m.readErr = nil
 		m.suspend(time.Second)
 		s.Check()
-		Expect(told).To(BeEmpty())
+		Expect(reported).To(BeEmpty())
 	})
 
-	It("are looked for by the system's own clocks", func() {
+	It("reads the system's clocks by default", func() {
 		s := clock.New(func(d time.Duration) { Fail("suspended for " + d.String()) },
 			clock.WithErrorHandler(func(err error) { Fail(err.Error()) }))
 		s.Check()
--- a/cmd/dillsaddle-entry/main.go
+++ b/cmd/dillsaddle-entry/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-entry is the callers' side of a box.
+// Command dillsaddle-entry runs the entry of a box, which serves callers.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	os.Exit(process.Main("dillsaddle-entry", func(p *process.Process) (process.Service, error) {
+	os.Exit(process.Main("dillsaddle-entry", func(p *process.Dependencies) (process.Service, error) {
 		worker, err := completions.New()
 		if err != nil {
 			return nil, err
--- a/cmd/dillsaddle-scheduler/main.go
+++ b/cmd/dillsaddle-scheduler/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-scheduler is the endpoints' side of a box.
+// Command dillsaddle-scheduler runs the scheduler of a box, which owns endpoints and claims.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	os.Exit(process.Main("dillsaddle-scheduler", func(p *process.Process) (process.Service, error) {
+	os.Exit(process.Main("dillsaddle-scheduler", func(p *process.Dependencies) (process.Service, error) {
 		worker, err := completions.New()
 		if err != nil {
 			return nil, err
--- a/cmd/dillsaddle-watch/main.go
+++ b/cmd/dillsaddle-watch/main.go
@@ -1,4 +1,4 @@
-// Command dillsaddle-watch is the platform's side of a box.
+// Command dillsaddle-watch runs the watch of a box, which polls the platform.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	os.Exit(process.Main("dillsaddle-watch", func(p *process.Process) (process.Service, error) {
+	os.Exit(process.Main("dillsaddle-watch", func(p *process.Dependencies) (process.Service, error) {
 		w, err := watch.Start(p.Box, p.Log)
 		if err != nil {
 			return nil, err
--- a/commands/status.go
+++ b/commands/status.go
@@ -29,19 +29,19 @@
 	register(&command{
 		name:  "status",
 		usage: "[-json] ADDRESS",
-		help:  "show a box: versions in force, leases, queue by tier, drains",
+		help:  "show a box: active versions, leases, queue by tier, drain state",
 		flags: func(fs *flag.FlagSet) {
-			fs.BoolVar(&statusJSON, "json", false, "print JSON in place of tables")
+			fs.BoolVar(&statusJSON, "json", false, "print JSON instead of tables")
 		},
 		run: status,
 	})
 }
 
-// fetch reads a page of a process's operators' address.
+// fetch reads a page from a process's admin address.
 func fetch(ctx context.Context, address, path string) (int, []byte, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return 0, nil, &UsageError{What: fmt.Sprintf("%q is no address by IP number and port", address)}
+		return 0, nil, &UsageError{Problem: fmt.Sprintf("%q is not an IP address and port", address)}
 	}
 	c, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
@@ -52,19 +52,19 @@
 		return 0, nil, err
 	}
 	code, body, err := c.Get(ctx, nil, "http://"+parsed.String()+path)
-	return code, body, errors.Wrapf(err, "reach %s; give an entry's operators' address (entry-admin) or a box's metrics address", parsed)
+	return code, body, errors.Wrapf(err, "connect to %s; use an entry's admin address (entry-admin) or a box's metrics address", parsed)
 }
 
 func status(ctx context.Context, out io.Writer, arguments []string) error {
 	if len(arguments) != 1 {
-		return &UsageError{What: "status needs one address"}
+		return &UsageError{Problem: "status needs one address"}
 	}
 	code, body, err := fetch(ctx, arguments[0], "/status")
 	if err != nil {
 		return err
 	}
 	if code != 200 {
-		return errors.Errorf("%s answered %d; give an entry's operators' address (entry-admin) or a box's metrics address", arguments[0], code)
+		return errors.Errorf("%s answered with status %d; use an entry's admin address (entry-admin) or a box's metrics address", arguments[0], code)
 	}
 	if statusJSON {
 		var pretty bytes.Buffer
@@ -80,7 +80,7 @@
 	}
 	var s entry.Status
 	if err := json.Unmarshal(body, &s); err != nil {
-		return errors.Wrap(err, "read the status; give an entry's operators' address (entry-admin) or a box's metrics address")
+		return errors.Wrap(err, "parse the status; use an entry's admin address (entry-admin) or a box's metrics address")
 	}
 	return printStatus(out, &s)
 }
@@ -91,10 +91,10 @@
 	fmt.Fprintf(w, "configuration\tversion %d\n", s.ConfigVersion)
 	fmt.Fprintf(w, "list of boxes\tversion %d, confirmed %s ago\n", s.ListVersion, s.ListAge)
 	fmt.Fprintf(w, "state\tentry %s, scheduler %s, %d requests, %d claims\n", s.Drain, s.Scheduler.Drain, s.Requests, s.Scheduler.Claims)
-	fmt.Fprintf(w, "suspected\t%s\n", orNone(s.Suspected))
+	fmt.Fprintf(w, "suspected\t%s\n", joinOrNone(s.Suspected))
 	fmt.Fprintln(w, "\nMODEL\tRUNNING\tWAITING\tLEASES")
 	for _, m := range s.Models {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", m.Model, m.Running, waiting(m.Waiting), leases(m.Leases))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", m.Model, m.Running, waitingByTier(m.Waiting), leaseList(m.Leases))
 	}
 	fmt.Fprintln(w, "\nOWNED HALF\tSTATE\tBOXES\tUSED\tMEMORY")
 	for _, h := range s.Scheduler.OwnedSlots {
@@ -103,7 +103,7 @@
 	return w.Flush()
 }
 
-// printNode shows a box on the operators' platform.
+// printNode prints the status of a box that runs as one process.
 func printNode(out io.Writer, s *box.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "box\t%s in %s\n", s.Box, s.Zone)
@@ -116,13 +116,13 @@
 		fmt.Fprintln(w, "\nREQUEST KEPT FROM ENDPOINTS\tFOR\tENDED UNDER IT")
 	}
 	for _, h := range s.Quarantined {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", h.Content, h.Remaining, orNone(h.Crashed))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", h.Content, h.Remaining, joinOrNone(h.Crashed))
 	}
 	if len(s.Throttled) > 0 {
 		fmt.Fprintln(w, "\nENDPOINT THAT ASKED FOR LESS\tREQUESTS/S OF ALL BOXES\tRESTS FOR")
 	}
 	for _, r := range s.Throttled {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Endpoint, perSecond(r.PerSecond), cmp.Or(r.Backoff, "-"))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Endpoint, formatRate(r.PerSecond), cmp.Or(r.Backoff, "-"))
 	}
 	fmt.Fprintln(w, "\nBOX\tZONE\tSILENCE\tLEAVING")
 	for _, b := range s.Boxes {
@@ -131,33 +131,33 @@
 	return w.Flush()
 }
 
-func perSecond(limit *float64) string {
+func formatRate(limit *float64) string {
 	if limit == nil {
 		return "any"
 	}
 	return strconv.FormatFloat(*limit, 'f', 1, 64)
 }
 
-func orNone(names []string) string {
+func joinOrNone(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
 	return strings.Join(names, " ")
 }
 
-func waiting(byTier map[string]int) string {
+func waitingByTier(byTier map[string]int) string {
 	parts := make([]string, 0, len(byTier))
 	for tier, n := range byTier {
 		parts = append(parts, fmt.Sprintf("%s:%d", tier, n))
 	}
 	slices.Sort(parts)
-	return orNone(parts)
+	return joinOrNone(parts)
 }
 
-func leases(all []entry.LeaseStatus) string {
+func leaseList(all []entry.LeaseStatus) string {
 	parts := make([]string, 0, len(all))
 	for _, l := range all {
 		parts = append(parts, l.Endpoint+"("+l.TimeLeft+")")
 	}
-	return orNone(parts)
+	return joinOrNone(parts)
 }
--- a/config/limits.go
+++ b/config/limits.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Limits bounds what one caller may take from a box, and the guard times.
+// Limits bounds what a caller may use, and holds the timeouts of requests and claims.
 type Limits struct {
-	BodyBytes         int
-	SlowCallerTimeout time.Duration
-	ProgressTimeout   time.Duration
-	ResumeWindow      time.Duration
-	MaxWait           time.Duration
-	ClaimGuard        time.Duration
+	BodyBytes         int           // maximum size of a request body
+	SlowCallerTimeout time.Duration // maximum time for which a caller reads nothing of its answer
+	ProgressTimeout   time.Duration // maximum time between two messages of an endpoint
+	ResumeWindow      time.Duration // how long a broken stream can be resumed
+	MaxWait           time.Duration // maximum wait for the first message of an endpoint
+	ClaimGuard        time.Duration // how long after a loss of claim records an unknown key isn't taken for new
 }
 
 func defaultLimits() Limits {
@@ -23,11 +23,11 @@
 	}
 }
 
-func parseLimits(o *object, l *Limits) {
-	o.whole("body_bytes", &l.BodyBytes, 1024, 16<<20)
-	o.duration("slow_caller", &l.SlowCallerTimeout, 100*time.Millisecond, 10*time.Minute)
-	o.duration("progress", &l.ProgressTimeout, 100*time.Millisecond, 10*time.Minute)
-	o.duration("resume_window", &l.ResumeWindow, 100*time.Millisecond, 10*time.Minute)
-	o.duration("max_wait", &l.MaxWait, 10*time.Millisecond, time.Hour)
-	o.duration("claim_guard", &l.ClaimGuard, 150*time.Second, 24*time.Hour)
+func parseLimits(o *jsonObject, l *Limits) {
+	o.readInt("body_bytes", &l.BodyBytes, 1024, 16<<20)
+	o.readDuration("slow_caller", &l.SlowCallerTimeout, 100*time.Millisecond, 10*time.Minute)
+	o.readDuration("progress", &l.ProgressTimeout, 100*time.Millisecond, 10*time.Minute)
+	o.readDuration("resume_window", &l.ResumeWindow, 100*time.Millisecond, 10*time.Minute)
+	o.readDuration("max_wait", &l.MaxWait, 10*time.Millisecond, time.Hour)
+	o.readDuration("claim_guard", &l.ClaimGuard, 150*time.Second, 24*time.Hour)
 }
--- a/config/policy.go
+++ b/config/policy.go
@@ -2,23 +2,24 @@
 
 import "dillsaddle.example/dillsaddle/policy"
 
-// Policy is one program: who runs, who waits and who is refused.
+// Policy is a program that decides whether a request runs, waits or is refused, and
+// ranks the waiting ones.
 type Policy struct {
 	Name    string
-	Decide  string
-	Rank    string
+	Decide  string // source of the program that returns the verdict
+	Rank    string // source of the program that orders waiting requests
 	Program *policy.Program
 	line    int
 }
 
-func parsePolicy(o *object) Policy {
-	p := Policy{line: o.r.line(o.at)}
-	o.name(&p.Name)
-	o.text("decide", &p.Decide)
-	o.text("rank", &p.Rank)
+func parsePolicy(o *jsonObject) Policy {
+	p := Policy{line: o.r.line(o.offset)}
+	o.readName(&p.Name)
+	o.readString("decide", &p.Decide)
+	o.readString("rank", &p.Rank)
 	program, err := policy.Compile(p.Name, p.Decide, p.Rank)
 	if err != nil {
-		o.r.fault(o.at, err.Error(), "docs/CONFIGURATION.md lists what a program sees")
+		o.r.addFault(o.offset, err.Error(), "docs/CONFIGURATION.md lists the fields that a program can use")
 		return p
 	}
 	p.Program = program
--- a/config/tier.go
+++ b/config/tier.go
@@ -1,25 +1,25 @@
 package config
 
-// Tier is one priority that customers pay for; rank 0 is served first.
+// Tier is a service level of customers. Rank 0 is served first.
 type Tier struct {
 	Name   string
 	Rank   int
 	Policy string
-	Risk   float64
+	Risk   float64 // accepted probability that an endpoint's memory overflows
 	line   int
 }
 
-func parseTier(o *object) Tier {
+func parseTier(o *jsonObject) Tier {
 	t := Tier{
 		Risk: 0.05,
-		line: o.r.line(o.at),
+		line: o.r.line(o.offset),
 	}
-	o.name(&t.Name)
+	o.readName(&t.Name)
 	if o.members["rank"] == nil {
-		o.r.fault(o.at, "tier "+t.Name+" has no rank", `add "rank": 0 is served first`)
+		o.r.addFault(o.offset, "tier "+t.Name+" has no rank", `add "rank"; the tier with rank 0 is served first`)
 	}
-	o.whole("rank", &t.Rank, 0, 15)
-	o.text("policy", &t.Policy)
+	o.readInt("rank", &t.Rank, 0, 15)
+	o.readString("policy", &t.Policy)
 	o.real("risk", &t.Risk, 0.00001, 0.5)
 	return t
 }
--- a/eventlog/errors.go
+++ b/eventlog/errors.go
@@ -2,32 +2,32 @@
 
 import "go.uber.org/zap/zapcore"
 
-// plainErrors writes errors by their messages alone. Those that carry a stack would
-// be written with it, a kilobyte of file names in a line that says where already.
-type plainErrors struct{ zapcore.Core }
+// stacklessCore writes errors without their stack traces, which zap would add in a
+// second field.
+type stacklessCore struct{ zapcore.Core }
 
-// With adds fields to all lines.
-func (c plainErrors) With(fields []zapcore.Field) zapcore.Core {
-	return plainErrors{c.Core.With(withoutStacks(fields))}
+// With returns a core with additional fields.
+func (c stacklessCore) With(fields []zapcore.Field) zapcore.Core {
+	return stacklessCore{c.Core.With(withoutStacks(fields))}
 }
 
-// Check lets this core write what the one within would.
-func (c plainErrors) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+// Check adds this core, rather than the wrapped one, to the cores that write the entry.
+func (c stacklessCore) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return checked.AddCore(e, c)
 	}
 	return checked
 }
 
-// Write writes a line.
-func (c plainErrors) Write(e zapcore.Entry, fields []zapcore.Field) error {
+// Write writes an entry without stack traces.
+func (c stacklessCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	return c.Core.Write(e, withoutStacks(fields))
 }
 
 func withoutStacks(fields []zapcore.Field) []zapcore.Field {
 	for i, f := range fields {
-		err, is := f.Interface.(error)
-		if f.Type != zapcore.ErrorType || !is {
+		err, isError := f.Interface.(error)
+		if f.Type != zapcore.ErrorType || !isError {
 			continue
 		}
 		fields[i] = zapcore.Field{
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -15,43 +15,43 @@
 	"dillsaddle.example/dillsaddle/eventlog"
 )
 
-// lines is a writer that may be read while it is written to.
-type lines struct {
-	mu  sync.Mutex
-	all bytes.Buffer
+// lockedBuffer is a buffer that is safe for concurrent writes.
+type lockedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(p)
+	return l.buffer.Write(p)
 }
 
 var _ = Describe("the log", func() {
-	It("writes errors by their messages, without stacks", func() {
-		out := &lines{}
+	It("writes errors without their stack traces", func() {
+		out := &lockedBuffer{}
 		s := eventlog.NewSink(out)
 		eventlog.New(s, zap.InfoLevel).Info("send failed", zap.Error(errors.New("connection reset")), zap.Error(nil))
 		s.Close(time.Second)
 		var line map[string]any
-		Expect(json.Unmarshal(out.all.Bytes(), &line)).To(Succeed())
+		Expect(json.Unmarshal(out.buffer.Bytes(), &line)).To(Succeed())
 		Expect(line).To(HaveKeyWithValue("error", "connection reset"))
 		Expect(line).NotTo(HaveKey("errorVerbose"))
 	})
 
-	It("writes one object of JSON a line", func() {
-		out := &lines{}
+	It("writes one JSON object per line", func() {
+		out := &lockedBuffer{}
 		s := eventlog.NewSink(out)
 		eventlog.New(s, zap.InfoLevel).Named("gateway").Info("placed", zap.String("request", "r1"), zap.Duration("age", time.Second))
 		s.Close(time.Second)
 		var line map[string]any
-		Expect(json.Unmarshal(out.all.Bytes(), &line)).To(Succeed())
+		Expect(json.Unmarshal(out.buffer.Bytes(), &line)).To(Succeed())
 		Expect(line).To(HaveKeyWithValue("event", "placed"))
 		Expect(line).To(HaveKeyWithValue("request", "r1"))
 		Expect(line).To(HaveKeyWithValue("age", "1s"))
 	})
 
-	It("never blocks on a reader that takes nothing, and counts what it drops", func() {
+	It("doesn't block on a stalled reader, and counts dropped lines", func() {
 		reader, writer := io.Pipe()
 		defer reader.Close()
 		now := time.Now()
@@ -66,7 +66,7 @@
 		Expect(s.DroppedLines()).To(BeNumerically(">", 1500))
 	})
 
-	It("keeps to its budget and counts the rest", func() {
+	It("drops and counts lines above the rate limit", func() {
 		now := time.Now()
 		s := eventlog.NewSink(io.Discard, eventlog.WithClock(func() time.Time { return now }))
 		log := eventlog.New(s, zap.InfoLevel)
--- a/process/main.go
+++ b/process/main.go
@@ -14,15 +14,15 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// Process is what a service is started with.
-type Process struct {
+// Dependencies holds what every service needs to start.
+type Dependencies struct {
 	Box      *settings.Box
 	Log      *zap.Logger
 	Recorder *trace.Recorder
 }
 
-// Service is one of a box's processes. Stop starts a planned stop, as often as
-// it is called; Left is closed when the process may end.
+// Service is one of a box's processes. Stop starts a planned stop and may be called
+// repeatedly; the channel of Done is closed when the process may exit.
 type Service interface {
 	Stop()
 	Done() <-chan struct{}
@@ -30,43 +30,42 @@
 
 // The exit codes of a process.
 const (
-	exitDone  = 0
-	exitFault = 1
+	exitOK    = 0
+	exitError = 1
 	exitUsage = 2
 )
 
-// Main runs a service until a signal and its planned stop, and gives the exit
-// code.
-func Main(name string, start func(*Process) (Service, error)) int {
+// Main runs a service until a signal has stopped it, and returns the exit code.
+func Main(name string, start func(*Dependencies) (Service, error)) int {
 	box, err := settings.Parse(name, os.Args[1:])
 	if errors.Is(err, flag.ErrHelp) {
-		return exitDone
+		return exitOK
 	}
 	if err != nil {
-		return fault(name, err, exitUsage)
+		return exitWithError(name, err, exitUsage)
 	}
-	p := &Process{Box: box}
+	p := &Dependencies{Box: box}
 	if p.Log, err = box.Logger(name); err != nil {
-		return fault(name, err, exitUsage)
+		return exitWithError(name, err, exitUsage)
 	}
-	if p.Recorder, err = trace.NewRecorder(box.Record); err != nil {
-		return fault(name, err, exitUsage)
+	if p.Recorder, err = trace.NewRecorder(box.RecordFile); err != nil {
+		return exitWithError(name, err, exitUsage)
 	}
 	s, err := start(p)
 	if err != nil {
-		return fault(name, err, exitFault)
+		return exitWithError(name, err, exitError)
 	}
-	wait(s)
+	waitUntilDone(s)
 	_ = p.Log.Sync()
-	return exitDone
+	return exitOK
 }
 
-func fault(name string, err error, code int) int {
+func exitWithError(name string, err error, code int) int {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 	return code
 }
 
-func wait(s Service) {
+func waitUntilDone(s Service) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	for {
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -8,19 +8,19 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// handoverLimit bounds how long a stopping scheduler tries to hand over to
-// boxes that don't answer.
-const handoverLimit = 5 * time.Second
+// handoverTimeout bounds how long a stopping scheduler waits for successors to
+// acknowledge their handovers.
+const handoverTimeout = 5 * time.Second
 
-func (s *Scheduler) taking() bool {
+func (s *Scheduler) accepting() bool {
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
 	return s.drain.Accepting()
 }
 
-// Stop starts a planned stop: no lease is granted any more, the claims go to
-// their next homes, and the process may leave when the last lease has ended
-// and no granted claim is open. A second call changes nothing.
+// Stop starts a planned stop. The scheduler grants no more leases and hands its
+// claims over to their successors; Done is closed when the last lease has expired
+// and no granted claim is open. Further calls have no effect.
 func (s *Scheduler) Stop() {
 	s.drainLock.Lock()
 	commands := s.drain.Step(time.Now(), core.WorkChanged{Pending: 1})
@@ -29,60 +29,64 @@
 	if len(commands) == 0 {
 		return
 	}
-	s.log.Info("planned stop")
-	s.follow(context.Background())
-	s.stepHome(context.Background(), core.Retire{})
-	go s.drainOut()
+	s.log.Info("planned stop started; granting no more leases")
+	s.refresh(context.Background())
+	s.stepClaims(context.Background(), core.Retire{})
+	go s.waitAndExit()
 }
 
-// Done is closed when the process may end.
-func (s *Scheduler) Done() <-chan struct{} { return s.left }
+// Done returns a channel that is closed when the process may exit.
+func (s *Scheduler) Done() <-chan struct{} { return s.done }
 
-func (s *Scheduler) drainOut() {
-	began := time.Now()
+// waitAndExit waits until the scheduler is drained, sends the final handovers and
+// closes the server.
+func (s *Scheduler) waitAndExit() {
+	start := time.Now()
 	for {
 		time.Sleep(100 * time.Millisecond)
-		if s.drained(began) {
+		if s.isDrained(start) {
 			break
 		}
 	}
-	s.lastHandover()
+	s.sendFinalHandovers()
 	s.drainLock.Lock()
 	s.drain.Step(time.Now(), core.WorkChanged{})
 	s.drainLock.Unlock()
 	s.stop()
 	s.server.Close()
-	close(s.left)
+	close(s.done)
 }
 
-// lastHandover tells the successors how the last open claims ended.
-func (s *Scheduler) lastHandover() {
+// sendFinalHandovers sends the outcomes of the last open claims to the successors.
+func (s *Scheduler) sendFinalHandovers() {
 	var wait sync.WaitGroup
-	for _, command := range s.stepHomeQuiet(core.Retire{}) {
+	for _, command := range s.applyClaimEvent(core.Retire{}) {
 		if c, ok := command.(core.HandoverSent); ok {
-			wait.Go(func() { s.giveHandover(context.Background(), c.Handover) })
+			wait.Go(func() { s.sendHandover(context.Background(), c.Handover) })
 		}
 	}
 	wait.Wait()
 }
 
-func (s *Scheduler) drained(began time.Time) bool {
-	passed := time.Since(began)
-	if passed > s.settings.DrainTimeout {
+// isDrained reports whether all leases have expired, no claim is open and every
+// box has acknowledged its handover, or one of the timeouts has passed.
+func (s *Scheduler) isDrained(start time.Time) bool {
+	elapsed := time.Since(start)
+	if elapsed > s.settings.DrainTimeout {
 		return true
 	}
-	if passed < core.DefaultLeaseRules().TTL {
+	if elapsed < core.DefaultLeaseRules().TTL {
 		return false
 	}
-	s.homeLock.Lock()
-	open := s.home.Open()
-	s.homeLock.Unlock()
-	return open == 0 && (s.allHandedOver() || passed > handoverLimit)
+	s.claimsLock.Lock()
+	open := s.claims.Open()
+	s.claimsLock.Unlock()
+	return open == 0 && (s.allHandoversAcked() || elapsed > handoverTimeout)
 }
 
-func (s *Scheduler) handedOver(to string) { s.successors.Store(to, true) }
+func (s *Scheduler) recordHandoverAck(to string) { s.handoverAcks.Store(to, true) }
 
-func (s *Scheduler) allHandedOver() bool {
+func (s *Scheduler) allHandoversAcked() bool {
 	list := s.state.View().List
 	if list == nil {
 		return true
@@ -92,7 +96,7 @@
 		if name == s.self.Name {
 			continue
 		}
-		if _, done := s.successors.Load(name); !done {
+		if _, acked := s.handoverAcks.Load(name); !acked {
 			return false
 		}
 	}
--- a/settings/log.go
+++ b/settings/log.go
@@ -4,13 +4,13 @@
 	"go.uber.org/zap"
 )
 
-// Logger builds the structured log of a process; it writes JSON lines.
+// Logger returns the structured log of a process, written as JSON lines.
 func (b *Box) Logger(process string) (*zap.Logger, error) {
 	level, err := zap.ParseAtomicLevel(b.LogLevel)
 	if err != nil {
 		return nil, &Error{
 			Setting: "log-level",
-			What:    "is " + b.LogLevel,
+			Problem: "is " + b.LogLevel,
 			Remedy:  "write debug, info, warn or error",
 		}
 	}
--- a/watch/owners.go
+++ b/watch/owners.go
@@ -7,27 +7,27 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Owners remembers the owners of endpoints' halves under one list and
-// configuration, since each is worked out over all boxes.
+// Owners caches the owners of endpoints' slots under one list and configuration,
+// since computing an owner takes a pass over all boxes.
 type Owners struct {
 	mu       sync.Mutex
 	list     *core.List
 	document *config.Document
 	owners   *core.Owners
-	by       map[string][core.SlotCount]string
+	cache    map[string][core.SlotCount]string
 }
 
-// Of gives the owner of a half.
+// Of returns the name of the box that owns a slot of an endpoint.
 func (o *Owners) Of(v View, endpoint string, slot int) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.list != v.List || o.document != v.Document {
 		o.list, o.document = v.List, v.Document
 		o.owners = core.NewOwners(v.List)
-		o.by = make(map[string][core.SlotCount]string)
+		o.cache = make(map[string][core.SlotCount]string)
 	}
-	owners, known := o.by[endpoint]
-	if !known {
+	owners, cached := o.cache[endpoint]
+	if !cached {
 		zone := ""
 		if c := v.Document.Endpoint(endpoint); c != nil {
 			zone = c.Zone
@@ -35,7 +35,7 @@
 		for s := range owners {
 			owners[s] = o.owners.Of(endpoint, zone, s)
 		}
-		o.by[endpoint] = owners
+		o.cache[endpoint] = owners
 	}
 	return owners[slot]
 }
--- a/watch/state.go
+++ b/watch/state.go
@@ -14,19 +14,19 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// State is what a process has in force: one configuration and one list. It
-// never goes back to an older one.
+// State holds a process's active configuration and list of boxes. Neither is ever
+// replaced by an older version.
 type State struct {
-	mu       sync.Mutex
-	versions *core.Versions
-	document *config.Document
-	reading  core.ListSnapshot
-	suspects []string
-	log      *zap.Logger
-	changed  []func(View)
+	mu        sync.Mutex
+	versions  *core.Versions
+	document  *config.Document
+	snapshot  core.ListSnapshot
+	suspected []string
+	log       *zap.Logger
+	listeners []func(View)
 }
 
-// View is a copy of what is in force.
+// View is a copy of the state at one time.
 type View struct {
 	Document    *config.Document
 	List        *core.List
@@ -34,7 +34,7 @@
 	Suspected   []string
 }
 
-// NewState starts with nothing in force.
+// NewState returns a state without a configuration or list.
 func NewState(log *zap.Logger) *State {
 	return &State{
 		versions: core.NewVersions(),
@@ -42,14 +42,14 @@
 	}
 }
 
-// OnChange calls a function after each change, outside the lock.
+// OnChange registers a function to call, without the lock, after each change.
 func (s *State) OnChange(f func(View)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed = append(s.changed, f)
+	s.listeners = append(s.listeners, f)
 }
 
-// View gives what is in force.
+// View returns a copy of the current state.
 func (s *State) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,13 +59,13 @@
 func (s *State) view() View {
 	return View{
 		Document:    s.document,
-		List:        s.reading.List,
-		ConfirmedAt: s.reading.ConfirmedAt,
-		Suspected:   s.suspects,
+		List:        s.snapshot.List,
+		ConfirmedAt: s.snapshot.ConfirmedAt,
+		Suspected:   s.suspected,
 	}
 }
 
-// Versions gives the versions in force, for messages.
+// Versions returns the active versions, as announced in messages.
 func (s *State) Versions() wire.Versions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +73,8 @@
 		Config: s.versions.Active,
 		Digest: s.versions.Digest,
 	}
-	if s.reading.List != nil {
-		v.List = s.reading.List.Version
+	if s.snapshot.List != nil {
+		v.List = s.snapshot.List.Version
 	}
 	return v
 }
@@ -82,27 +82,28 @@
 func (s *State) notify() {
 	s.mu.Lock()
 	view := s.view()
-	callbacks := s.changed
+	callbacks := s.listeners
 	s.mu.Unlock()
 	for _, f := range callbacks {
 		f(view)
 	}
 }
 
-// Offer puts a configuration in force if it is newer and without fault.
-func (s *State) Offer(source []byte) bool {
+// Activate makes a configuration active if it is newer and valid, and reports
+// whether it did.
+func (s *State) Activate(source []byte) bool {
 	if len(source) == 0 {
 		return false
 	}
 	d, faults := config.Parse("configuration", source)
-	if s.offer(d, faults, source) {
+	if s.activate(d, faults, source) {
 		s.notify()
 		return true
 	}
 	return false
 }
 
-func (s *State) offer(d *config.Document, faults config.Faults, source []byte) bool {
+func (s *State) activate(d *config.Document, faults config.Faults, source []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ev := core.VersionOffered{
@@ -115,27 +116,27 @@
 		case core.PutInForce:
 			s.document = d
 			configVersion.Set(float64(c.Version))
-			s.log.Info("configuration in force", zap.Uint64("version", c.Version))
+			s.log.Info("configuration activated", zap.Uint64("version", c.Version))
 			return true
 		case core.VersionRejected:
-			s.reject(c, faults)
+			s.recordRejection(c, faults)
 		}
 	}
 	return false
 }
 
-func (s *State) reject(c core.VersionRejected, faults config.Faults) {
+func (s *State) recordRejection(c core.VersionRejected, faults config.Faults) {
 	if c.Reason == core.RejectNotNewer {
 		return
 	}
 	configRejected(string(c.Reason)).Inc()
-	s.log.Warn("configuration not put in force",
+	s.log.Warn("configuration rejected; keeping the active one",
 		zap.Uint64("version", c.Version),
 		zap.String("reason", string(c.Reason)),
 		zap.Error(faults))
 }
 
-// versionOf reads the version of a faulty document as far as it can be read.
+// versionOf returns the version of a document, even of an invalid one if possible.
 func versionOf(d *config.Document, source []byte) uint64 {
 	if d != nil {
 		return uint64(d.Version)
@@ -147,9 +148,9 @@
 	return head.Version
 }
 
-// Heard tells that another process named the versions that it has; it reports
-// whether something newer can be fetched there.
-func (s *State) Heard(v wire.Versions) bool {
+// ObserveVersions records the versions announced by another process, and reports
+// whether it has something newer to fetch.
+func (s *State) ObserveVersions(v wire.Versions) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newer := false
@@ -159,92 +160,93 @@
 	}) {
 		_, newer = command.(core.FetchVersion)
 	}
-	return newer || s.reading.List == nil && v.List > 0 || s.reading.List != nil && v.List > s.reading.List.Version
+	return newer || s.snapshot.List == nil && v.List > 0 || s.snapshot.List != nil && v.List > s.snapshot.List.Version
 }
 
-// Adopt takes a list that was the newest at a moment.
-func (s *State) Adopt(list *core.List, at time.Time) {
-	if s.adopt(list, at) {
+// AdoptList makes a list active that was the newest at a given time.
+func (s *State) AdoptList(list *core.List, confirmedAt time.Time) {
+	if s.adoptList(list, confirmedAt) {
 		s.notify()
 	}
 }
 
-func (s *State) adopt(list *core.List, at time.Time) bool {
+func (s *State) adoptList(list *core.List, confirmedAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if list == nil || s.reading.List != nil && list.Version < s.reading.List.Version {
+	if list == nil || s.snapshot.List != nil && list.Version < s.snapshot.List.Version {
 		return false
 	}
-	if s.reading.List != nil && list.Version == s.reading.List.Version {
-		if at.After(s.reading.ConfirmedAt) {
-			s.reading.ConfirmedAt = at
+	if s.snapshot.List != nil && list.Version == s.snapshot.List.Version {
+		if confirmedAt.After(s.snapshot.ConfirmedAt) {
+			s.snapshot.ConfirmedAt = confirmedAt
 		}
 		return false
 	}
-	s.reading = core.ListSnapshot{
+	s.snapshot = core.ListSnapshot{
 		List:        list,
-		ConfirmedAt: at,
+		ConfirmedAt: confirmedAt,
 	}
 	listVersion.Set(float64(list.Version))
-	s.log.Info("list of boxes in use", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
+	s.log.Info("list of boxes activated", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
 	return true
 }
 
-// Confirm tells that the list of a version was the newest at a moment.
-func (s *State) Confirm(version uint64, at time.Time) {
+// ConfirmList records that the active list, if it has this version, was the newest
+// at a given time.
+func (s *State) ConfirmList(version uint64, confirmedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reading.List != nil && version == s.reading.List.Version && at.After(s.reading.ConfirmedAt) {
-		s.reading.ConfirmedAt = at
+	if s.snapshot.List != nil && version == s.snapshot.List.Version && confirmedAt.After(s.snapshot.ConfirmedAt) {
+		s.snapshot.ConfirmedAt = confirmedAt
 	}
 }
 
-// Suspect replaces the boxes that are suspected.
-func (s *State) Suspect(boxes []string) {
+// SetSuspected replaces the names of the suspected boxes.
+func (s *State) SetSuspected(boxes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.suspects = boxes
+	s.suspected = boxes
 }
 
-// Snapshot gives what is in force as a message; texts only where they are newer
-// than what the other side has.
-func (s *State) Snapshot(have wire.Versions) wire.Snapshot {
+// Snapshot returns the state as a message. It includes the configuration and the
+// list only where they differ from or are newer than the known versions.
+func (s *State) Snapshot(known wire.Versions) wire.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := wire.Snapshot{
 		ConfigVersion: s.versions.Active,
-		ListAge:       time.Since(s.reading.ConfirmedAt),
-		Suspected:     s.suspects,
+		ListAge:       time.Since(s.snapshot.ConfirmedAt),
+		Suspected:     s.suspected,
 	}
-	if s.document != nil && (s.versions.Active > have.Config || s.versions.Digest != have.Digest) {
+	if s.document != nil && (s.versions.Active > known.Config || s.versions.Digest != known.Digest) {
 		out.Config = s.document.Source()
 	}
-	if s.reading.List == nil {
+	if s.snapshot.List == nil {
 		return out
 	}
-	out.ListVersion = s.reading.List.Version
-	if out.ListVersion > have.List {
-		out.List = s.reading.List
+	out.ListVersion = s.snapshot.List.Version
+	if out.ListVersion > known.List {
+		out.List = s.snapshot.List
 	}
 	return out
 }
 
-// Take puts a snapshot of another process in force where it is newer; asked is
-// the moment before it was asked for.
-func (s *State) Take(in wire.Snapshot, asked time.Time) {
-	confirmed := asked.Add(-in.ListAge)
-	s.Offer(in.Config)
-	s.Adopt(in.List, confirmed)
-	s.Confirm(in.ListVersion, confirmed)
+// Apply activates whatever is newer in another process's snapshot. requestedAt is a
+// time before the snapshot was requested.
+func (s *State) Apply(in wire.Snapshot, requestedAt time.Time) {
+	confirmedAt := requestedAt.Add(-in.ListAge)
+	s.Activate(in.Config)
+	s.AdoptList(in.List, confirmedAt)
+	s.ConfirmList(in.ListVersion, confirmedAt)
 }
 
 func parseList(data []byte) (*core.List, error) {
 	var l core.List
 	if err := json.Unmarshal(data, &l); err != nil {
-		return nil, errors.Wrap(err, "read the platform's list; it must be JSON as docs/API.md says")
+		return nil, errors.Wrap(err, "parse the platform's list; docs/API.md describes its JSON")
 	}
 	if l.Version == 0 {
-		return nil, errors.New("the platform's list has no version; it must be a whole number above 0")
+		return nil, errors.New("the platform's list has version 0 or none; it must be a whole number above 0")
 	}
 	return &l, nil
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -14,23 +14,23 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// The times between what a watch does.
+// Timeouts and intervals of a watch.
 const (
-	longPoll       = 10 * time.Second
-	confirmAfter   = 2500 * time.Millisecond
-	heartbeatEvery = time.Second
-	pollFaultPause = time.Second
-	peerTimeout    = time.Second
-	fetchMost      = 10 * time.Second // a configuration of a megabyte over 1 Mbit/s takes 8
+	longPollTimeout   = 10 * time.Second
+	maxListAge        = 2500 * time.Millisecond
+	heartbeatInterval = time.Second
+	pollRetryDelay    = time.Second
+	peerTimeout       = time.Second
+	fetchTimeout      = 10 * time.Second // enough for 1 MB at 1 Mbit/s
 )
 
-// peerCount is how many boxes a watch compares versions with.
+// peerCount is the number of boxes with which a watch compares versions.
 const peerCount = 4
 
-// startPeers is how many boxes a starting watch asks before it serves.
-const startPeers = 8
+// bootstrapPeerCount is the number of listed boxes that a starting watch queries.
+const bootstrapPeerCount = 8
 
-// Watch is the platform's side of one box.
+// Watch polls the platform and distributes its state on behalf of one box.
 type Watch struct {
 	settings  *settings.Box
 	self      core.Box
@@ -41,18 +41,18 @@
 	pool      *wire.Pool
 	handlers  *wire.Handlers
 	mu        sync.Mutex
-	suspicion *core.FailureDetector
-	retired   map[string]core.Incarnation
-	asked     atomic.Bool
-	leaving   atomic.Bool
+	detector  *core.FailureDetector
+	leftPeers map[string]core.Incarnation
+	joined    atomic.Bool
+	isLeaving atomic.Bool
 	fetching  atomic.Bool
-	left      chan struct{}
+	done      chan struct{}
 	stop      context.CancelFunc
 }
 
-// Start starts a watch.
+// Start starts a watch and its periodic tasks.
 func Start(b *settings.Box, log *zap.Logger) (*Watch, error) {
-	p, err := newPlatform(b.Platform, longPoll)
+	p, err := newPlatform(b.Platform, longPollTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -66,18 +66,18 @@
 		log:       log,
 		state:     NewState(log),
 		platform:  p,
-		suspicion: core.NewFailureDetector(core.DefaultFailureDetectorRules()),
-		retired:   make(map[string]core.Incarnation),
-		left:      make(chan struct{}),
+		detector:  core.NewFailureDetector(core.DefaultFailureDetectorRules()),
+		leftPeers: make(map[string]core.Incarnation),
+		done:      make(chan struct{}),
 		stop:      cancel,
 	}
 	w.handlers = wire.NewHandlers(
 		wire.WithVersions(w.state.Versions),
-		wire.WithOnVersions(w.versionsSeen),
+		wire.WithOnVersions(w.handleVersions),
 	)
-	wire.HandleRequest(w.handlers, w.subscribe)
-	wire.HandleRequest(w.handlers, w.heartbeat)
-	wire.HandleRequest(w.handlers, w.fetch)
+	wire.HandleRequest(w.handlers, w.handleSubscribe)
+	wire.HandleRequest(w.handlers, w.handleHeartbeat)
+	wire.HandleRequest(w.handlers, w.handleFetch)
 	w.pool = wire.NewPool(w.handlers)
 	w.server, err = wire.Listen(b.Watch, w.handlers)
 	if err != nil {
@@ -91,17 +91,18 @@
 func (w *Watch) run(ctx context.Context) {
 	go w.pollConfig(ctx)
 	go w.pollList(ctx)
-	w.askPeers(ctx)
-	w.asked.Store(true)
-	w.state.OnChange(func(View) { w.push(ctx) })
-	go w.every(ctx, confirmAfter/5, w.confirm)
-	w.every(ctx, heartbeatEvery, w.beat)
+	w.queryPeers(ctx)
+	w.joined.Store(true)
+	w.state.OnChange(func(View) { w.broadcast(ctx) })
+	go w.runEvery(ctx, maxListAge/5, w.confirmList)
+	w.runEvery(ctx, heartbeatInterval, w.sendHeartbeats)
 }
 
-func (w *Watch) every(ctx context.Context, pause time.Duration, do func(context.Context)) {
+// runEvery runs a task at once and then periodically, with jitter, until ctx ends.
+func (w *Watch) runEvery(ctx context.Context, interval time.Duration, do func(context.Context)) {
 	do(ctx)
 	for {
-		jittered := pause*9/10 + rand.N(pause/5)
+		jittered := interval*9/10 + rand.N(interval/5)
 		select {
 		case <-time.After(jittered):
 			do(ctx)
@@ -111,21 +112,21 @@
 	}
 }
 
-// Ready says what is missing before this box's processes can be served.
+// Ready returns the reason why this box's processes can't be served yet, or "".
 func (w *Watch) Ready() string {
 	v := w.state.View()
 	switch {
-	case !w.asked.Load():
-		return "peers are being asked for newer versions"
+	case !w.joined.Load():
+		return "querying peers for newer versions"
 	case v.Document == nil:
-		return "no configuration was read yet; see the platform's address in the settings"
+		return "no configuration has been read yet; check the platform's address in the settings"
 	case v.List == nil:
-		return "no list of boxes was read yet; see the platform's address in the settings"
+		return "no list of boxes has been read yet; check the platform's address in the settings"
 	}
 	return ""
 }
 
-// Status is a watch's part of a box's status.
+// Status is the watch's section of a box's status.
 type Status struct {
 	Config    uint64   `json:"config"`
 	List      uint64   `json:"list"`
@@ -136,7 +137,7 @@
 	Received  uint64   `json:"received_bytes"`
 }
 
-// Status gives what is in force.
+// Status returns the active versions, the peers and the traffic.
 func (w *Watch) Status() any {
 	v := w.state.View()
 	versions := w.state.Versions()
@@ -154,126 +155,128 @@
 	return s
 }
 
-// Stop starts a planned stop: the peers are told, then the watch leaves. The
-// box's other processes go on with what they have. A second call changes
-// nothing.
+// Stop starts a planned stop: the watch sends a last heartbeat to its peers and
+// closes. The box's other processes continue with their current state. Further
+// calls have no effect.
 func (w *Watch) Stop() {
-	if !w.leaving.CompareAndSwap(false, true) {
+	if !w.isLeaving.CompareAndSwap(false, true) {
 		return
 	}
-	w.log.Info("planned stop")
+	w.log.Info("planned stop started; notifying peers")
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	w.beat(ctx)
+	w.sendHeartbeats(ctx)
 	w.stop()
 	w.server.Close()
-	close(w.left)
+	close(w.done)
 }
 
-// Done is closed when the process may end.
-func (w *Watch) Done() <-chan struct{} { return w.left }
+// Done returns a channel that is closed when the process may exit.
+func (w *Watch) Done() <-chan struct{} { return w.done }
 
 func (w *Watch) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		platformCalls.Inc()
-		body, err := w.platform.read(ctx, "config", w.state.Versions().Config, longPoll)
+		body, err := w.platform.fetch(ctx, "config", w.state.Versions().Config, longPollTimeout)
 		if err != nil {
-			w.pollFailed(ctx)
+			w.handlePollError(ctx)
 			continue
 		}
-		if body != nil && !w.state.Offer(body) {
-			w.pollPause(ctx)
+		if body != nil && !w.state.Activate(body) {
+			w.waitBeforeRetry(ctx)
 		}
 	}
 }
 
 func (w *Watch) pollList(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.readList(ctx, longPoll)
+		w.readList(ctx, longPollTimeout)
 	}
 }
 
+// readList reads the list if it is newer than the active one, waiting up to wait.
 func (w *Watch) readList(ctx context.Context, wait time.Duration) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	have := w.state.Versions().List
 	platformCalls.Inc()
-	body, err := w.platform.read(ctx, "list", have, wait)
+	body, err := w.platform.fetch(ctx, "list", have, wait)
 	if err != nil {
-		w.pollFailed(ctx)
+		w.handlePollError(ctx)
 		return
 	}
 	if body == nil {
-		w.state.Confirm(have, asked)
+		w.state.ConfirmList(have, requestedAt)
 		return
 	}
 	list, err := parseList(body)
 	if err != nil {
-		w.log.Warn("list of boxes not used", zap.Error(err))
-		w.pollPause(ctx)
+		w.log.Warn("list of boxes rejected; keeping the active one", zap.Error(err))
+		w.waitBeforeRetry(ctx)
 		return
 	}
-	w.state.Adopt(list, asked)
+	w.state.AdoptList(list, requestedAt)
 }
 
-func (w *Watch) pollFailed(ctx context.Context) {
+func (w *Watch) handlePollError(ctx context.Context) {
 	platformFaults.Inc()
-	w.pollPause(ctx)
+	w.waitBeforeRetry(ctx)
 }
 
-// pollPause spreads the return of all watches after the platform's outage.
-func (w *Watch) pollPause(ctx context.Context) {
+// waitBeforeRetry waits with jitter, so that the watches don't all return at once
+// after an outage of the platform.
+func (w *Watch) waitBeforeRetry(ctx context.Context) {
 	select {
-	case <-time.After(pollFaultPause + rand.N(pollFaultPause)):
+	case <-time.After(pollRetryDelay + rand.N(pollRetryDelay)):
 	case <-ctx.Done():
 	}
 }
 
-// confirm asks the platform whether the list is still the newest, unless a peer
-// told so lately.
-func (w *Watch) confirm(ctx context.Context) {
-	if time.Since(w.state.View().ConfirmedAt) > confirmAfter {
+// confirmList asks the platform whether the list is still the newest, unless that
+// was confirmed recently.
+func (w *Watch) confirmList(ctx context.Context) {
+	if time.Since(w.state.View().ConfirmedAt) > maxListAge {
 		w.readList(ctx, 0)
 	}
 }
 
-func (w *Watch) subscribe(_ context.Context, _ *wire.Conn, _ wire.Subscribe) (wire.Snapshot, error) {
-	if !w.asked.Load() {
+func (w *Watch) handleSubscribe(_ context.Context, _ *wire.Conn, _ wire.Subscribe) (wire.Snapshot, error) {
+	if !w.joined.Load() {
 		return wire.Snapshot{}, nil
 	}
 	return w.state.Snapshot(wire.Versions{}), nil
 }
 
-func (w *Watch) fetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
+func (w *Watch) handleFetch(_ context.Context, _ *wire.Conn, q wire.Fetch) (wire.Snapshot, error) {
 	return w.state.Snapshot(wire.Versions(q)), nil
 }
 
-func (w *Watch) push(ctx context.Context) {
-	if !w.asked.Load() {
+func (w *Watch) broadcast(ctx context.Context) {
+	if !w.joined.Load() {
 		return
 	}
 	w.server.Broadcast(ctx, w.state.Snapshot(w.state.Versions()))
 }
 
-// versionsSeen fetches what another process has newer, from that process.
-func (w *Watch) versionsSeen(c *wire.Conn, v wire.Versions) {
-	if !w.state.Heard(v) || !w.fetching.CompareAndSwap(false, true) {
+// handleVersions fetches newer versions from the process that announced them.
+func (w *Watch) handleVersions(c *wire.Conn, v wire.Versions) {
+	if !w.state.ObserveVersions(v) || !w.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer w.fetching.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), fetchMost)
+		ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 		defer cancel()
 		_ = w.fetchFrom(ctx, c)
 	}()
 }
 
 func (w *Watch) fetchFrom(ctx context.Context, c *wire.Conn) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	have := w.state.Versions()
 	peerFetches.Inc()
 	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, wire.Fetch(have), peerTimeout)
 	if err == nil {
-		w.state.Take(s, asked)
+		w.state.Apply(s, requestedAt)
 	}
 	return err
 }
