--- a/entry/answer.go
+++ b/entry/answer.go
@@ -48,36 +48,36 @@
 }
 
 func (p *Problem) body() problemBody {
-	kind := "invalid_request_error"
+	errorType := "invalid_request_error"
 	switch {
 	case p.Status == http.StatusTooManyRequests:
-		kind = "rate_limit_error"
+		errorType = "rate_limit_error"
 	case p.Status >= http.StatusInternalServerError:
-		kind = "server_error"
+		errorType = "server_error"
 	}
 	return problemBody{
 		Error: problemDetail{
 			Message:    p.Message,
-			Type:       kind,
+			Type:       errorType,
 			Code:       p.Code,
-			RetryAfter: seconds(p.RetryAfter),
+			RetryAfter: ceilSeconds(p.RetryAfter),
 		},
 		Outcome: p.Outcome,
 	}
 }
 
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 func (p *Problem) answer(c *app.RequestContext) {
 	c.Response.Header.Set(outcomeHeader, string(p.Outcome))
 	if p.RetryAfter > 0 {
-		c.Response.Header.Set(retryAfterHeader, strconv.Itoa(seconds(p.RetryAfter)))
+		c.Response.Header.Set(retryAfterHeader, strconv.Itoa(ceilSeconds(p.RetryAfter)))
 	}
 	c.JSON(p.Status, p.body())
 }
 
-// invalid is a caller's fault: nothing was sent anywhere.
-func invalid(status int, code, message string) *Problem {
+// newRejection is a caller's fault: nothing was sent anywhere.
+func newRejection(status int, code, message string) *Problem {
 	return &Problem{
 		Status:  status,
 		Code:    code,
@@ -86,13 +86,13 @@
 	}
 }
 
-// refused is a request that is given up at once, with when to come back.
-func refused(status int, code, message string, after time.Duration) *Problem {
+// newRefusal is a request that is given up at once, with when to come back.
+func newRefusal(status int, code, message string, retryAfter time.Duration) *Problem {
 	return &Problem{
 		Status:     status,
 		Code:       code,
 		Message:    message,
 		Outcome:    core.NotRun,
-		RetryAfter: max(after, time.Second),
+		RetryAfter: max(retryAfter, time.Second),
 	}
 }
--- a/entry/body.go
+++ b/entry/body.go
@@ -13,10 +13,10 @@
 func readBody(c *app.RequestContext, limit int) ([]byte, *Problem) {
 	body, err := io.ReadAll(io.LimitReader(c.RequestBodyStream(), int64(limit)+1))
 	if err != nil {
-		return nil, invalid(http.StatusBadRequest, "body_cut", "the body ended early; send it again")
+		return nil, newRejection(http.StatusBadRequest, "body_cut", "the body ended early; send it again")
 	}
 	if len(body) > limit {
-		return nil, invalid(http.StatusRequestEntityTooLarge, "body_too_large",
+		return nil, newRejection(http.StatusRequestEntityTooLarge, "body_too_large",
 			fmt.Sprintf("the body is longer than the limit of %d bytes; shorten it", limit))
 	}
 	return body, nil
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// withService publishes a service at an address.
-func withService(address string) string {
+// serviceSection publishes a service at an address.
+func serviceSection(address string) string {
 	return fmt.Sprintf(`,"services":[{"name":"records","addresses":[%q]}]`, address)
 }
 
@@ -71,8 +71,8 @@
 
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i+1) }
 
-// testEngine starts an engine and gives what ends it.
-func testEngine(name string, address netip.AddrPort) (end func()) {
+// startEngine starts an engine and gives what ends it.
+func startEngine(name string, address netip.AddrPort) (end func()) {
 	served := standin.NewEngine(standin.EngineRules{
 		Name:   name,
 		Models: []string{modelName},
@@ -91,12 +91,12 @@
 // test's.
 func startBox(worker engine.Worker, sections ...string) *settings.Box {
 	engineAt := freeAddress()
-	testEngine(engineName(0), engineAt)
-	return startBoxBefore([]netip.AddrPort{engineAt}, worker, sections...)
+	startEngine(engineName(0), engineAt)
+	return startBoxWithEngines([]netip.AddrPort{engineAt}, worker, sections...)
 }
 
-// startBoxBefore starts one before some engines.
-func startBoxBefore(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
+// startBoxWithEngines starts one before some engines.
+func startBoxWithEngines(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
 	platformAt := freeAddress()
 	b := testBox(platformAt)
 	var statuses []core.EndpointStatus
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -11,20 +11,20 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-func (k *call) attach(attempt int) (context.Context, chan engine.Message) {
-	k.endAttempt()
+func (k *call) openSink(attempt int) (context.Context, chan engine.Message) {
+	k.closeSink()
 	ctx, cancel := context.WithCancel(context.Background())
-	k.endSink = cancel
-	k.sink = make(chan engine.Message, sinkSize)
-	k.sinkFor = attempt
-	k.life = 0
+	k.cancelSink = cancel
+	k.sink = make(chan engine.Message, sinkCapacity)
+	k.sinkAttempt = attempt
+	k.incarnation = 0
 	return ctx, k.sink
 }
 
-func (k *call) endAttempt() {
-	if k.endSink != nil {
-		k.endSink()
-		k.endSink = nil
+func (k *call) closeSink() {
+	if k.cancelSink != nil {
+		k.cancelSink()
+		k.cancelSink = nil
 		k.sink = nil
 	}
 }
@@ -35,7 +35,7 @@
 		k.step(core.Refused{Attempt: c.Attempt})
 		return
 	}
-	ctx, sink := k.attach(c.Attempt)
+	ctx, sink := k.openSink(c.Attempt)
 	k.step(core.Sending{Attempt: c.Attempt})
 	until := k.until
 	if k.claim != nil && k.claim.until.Before(until) {
@@ -48,7 +48,7 @@
 		Chat:       k.p.chat,
 		Model:      k.p.model,
 		Priority:   k.request.Rank,
-		MaxTokens:  k.p.most,
+		MaxTokens:  k.p.maxTokens,
 		Body:       k.p.body,
 		Until:      until,
 	}, sink)
@@ -61,7 +61,7 @@
 		return
 	}
 	resumes.Inc()
-	ctx, sink := k.attach(c.Attempt)
+	ctx, sink := k.openSink(c.Attempt)
 	go func() {
 		time.Sleep(c.Delay)
 		k.entry.worker.Resume(ctx, engine.ResumeCall{
@@ -73,59 +73,59 @@
 	}()
 }
 
-// next takes one message of the attempt, or notices that none came in time or
+// handleNextMessage takes one message of the attempt, or notices that none came in time or
 // that the caller left.
-func (k *call) next() {
-	timer := time.NewTimer(k.patience())
+func (k *call) handleNextMessage() {
+	timer := time.NewTimer(k.messageTimeout())
 	defer timer.Stop()
 	select {
 	case m, open := <-k.sink:
 		if !open {
-			k.step(core.LinkLost{Attempt: k.sinkFor})
+			k.step(core.LinkLost{Attempt: k.sinkAttempt})
 			return
 		}
-		k.take(m)
+		k.handleMessage(m)
 	case <-timer.C:
-		k.endAttempt()
-		k.step(core.LinkLost{Attempt: k.sinkFor})
+		k.closeSink()
+		k.step(core.LinkLost{Attempt: k.sinkAttempt})
 	case <-k.ctx.Done():
-		k.callerLost()
-	case <-k.replaced:
+		k.handleCallerLoss()
+	case <-k.superseded:
 		k.step(core.CallerLeft{})
 	case <-k.cancelled:
 		k.step(core.CallerGone{})
 	}
 }
 
-// patience is how long the next message may take; the first may wait in the
+// messageTimeout is how long the next message may take; the first may wait in the
 // endpoint's own queue.
-func (k *call) patience() time.Duration {
+func (k *call) messageTimeout() time.Duration {
 	if k.gen.State == core.GenerationPlaced {
 		return k.document.Limits.MaxWait
 	}
 	return k.document.Limits.Progress
 }
 
-func (k *call) take(m engine.Message) {
+func (k *call) handleMessage(m engine.Message) {
 	switch t := m.(type) {
 	case engine.Token:
 		k.tokens(t)
 	case engine.Opened:
 		if t.Incarnation != 0 { // one that says nothing stands for the end of a batch
-			k.life = t.Incarnation
+			k.incarnation = t.Incarnation
 		}
 	case engine.Finished:
-		k.finished(t)
+		k.handleFinished(t)
 	case engine.Refused:
-		k.refusedBy(t)
+		k.handleRefusal(t)
 	case engine.Unsent:
-		k.step(core.Refused{Attempt: k.sinkFor})
+		k.step(core.Refused{Attempt: k.sinkAttempt})
 	case engine.Lost:
-		k.lookAtEndpoint()
-		k.endAttempt()
-		k.step(core.LinkLost{Attempt: k.sinkFor})
+		k.detectEndpointCrash()
+		k.closeSink()
+		k.step(core.LinkLost{Attempt: k.sinkAttempt})
 	case engine.Gone:
-		k.step(core.GenerationGone{Attempt: k.sinkFor})
+		k.step(core.GenerationGone{Attempt: k.sinkAttempt})
 	}
 }
 
@@ -133,7 +133,7 @@
 func (k *call) tokens(t engine.Token) {
 	count := k.token(t)
 	var after engine.Message
-	for after == nil && count < sinkSize && k.sink != nil {
+	for after == nil && count < sinkCapacity && k.sink != nil {
 		select {
 		case m, open := <-k.sink:
 			if !open {
@@ -148,25 +148,25 @@
 		}
 	}
 	if count > 0 {
-		k.pace.tokens(time.Now(), count)
-		k.customer.spend(count)
-		k.report()
+		k.streamMetrics.tokens(time.Now(), count)
+		k.customer.chargeTokens(count)
+		k.reportProgress()
 		if err := k.out.flush(); err != nil {
-			k.notTaken(err)
+			k.handleWriteError(err)
 			return
 		}
 	}
-	k.take(after)
+	k.handleMessage(after)
 }
 
 // token forwards one token if the generation accepts it, and counts it.
 func (k *call) token(t engine.Token) int {
 	arrived := core.FrameArrived{
-		Attempt: k.sinkFor,
+		Attempt: k.sinkAttempt,
 		Origin:  t.Origin,
 		Offset:  t.Offset,
 	}
-	reason := k.gen.CheckFrame(k.sinkFor, t.Origin, t.Offset)
+	reason := k.gen.CheckFrame(k.sinkAttempt, t.Origin, t.Offset)
 	if reason == core.DropGap {
 		k.step(arrived)
 		return 0
@@ -179,25 +179,25 @@
 		return 0
 	}
 	if k.id == "" {
-		k.identify(t.Origin)
+		k.assignID(t.Origin)
 	}
 	k.out.token(k.id, t.Offset, t.Data)
 	k.gen.CountForwarded()
 	return 1
 }
 
-// identify names the stream when its first token is there: the id says which
+// assignID names the stream when its first token is there: the id says which
 // generation it is, for any box to continue it.
-func (k *call) identify(origin core.Origin) {
-	id, err := seal(k.entry.settings.Secret, &identity{
-		Endpoint:    origin.Endpoint,
-		Incarnation: origin.Incarnation,
-		Generation:  origin.Generation,
-		Customer:    k.who.Name,
-		Model:       k.p.model,
-		Chat:        k.p.chat,
-		Prompt:      k.p.prompt,
-		Most:        k.p.most,
+func (k *call) assignID(origin core.Origin) {
+	id, err := encodeStreamID(k.entry.settings.Secret, &identity{
+		Endpoint:     origin.Endpoint,
+		Incarnation:  origin.Incarnation,
+		Generation:   origin.Generation,
+		Customer:     k.customerConfig.Name,
+		Model:        k.p.model,
+		Chat:         k.p.chat,
+		PromptTokens: k.p.promptTokens,
+		MaxTokens:    k.p.maxTokens,
 	})
 	if err != nil {
 		return
@@ -207,45 +207,45 @@
 	k.out.begin(id)
 }
 
-func (k *call) report() {
-	if k.gen.NextOffset-k.reported < reportEvery || k.placedAs == "" {
+func (k *call) reportProgress() {
+	if k.gen.NextOffset-k.reportedOffset < reportInterval || k.placementID == "" {
 		return
 	}
-	k.reported = k.gen.NextOffset
+	k.reportedOffset = k.gen.NextOffset
 	k.model.step(time.Now(), admission.TokensMade{
-		ID:        k.placedAs,
+		ID:        k.placementID,
 		Generated: int(k.gen.NextOffset),
 	})
 }
 
-func (k *call) finished(f engine.Finished) {
+func (k *call) handleFinished(f engine.Finished) {
 	if k.id == "" {
-		k.identify(f.Origin)
+		k.assignID(f.Origin)
 	}
 	k.usage = f.Usage
-	k.pace.m.preempted.Add(f.Usage.Preempted)
+	k.streamMetrics.histograms.preemptions.Add(f.Usage.Preempted)
 	before := k.gen.NextOffset
 	k.step(core.FrameArrived{
-		Attempt: k.sinkFor,
+		Attempt: k.sinkAttempt,
 		Origin:  f.Origin,
 		Offset:  f.Offset,
 		Final:   true,
 	})
 	if k.gen.State == core.GenerationEnded && k.gen.Code == core.EndDone {
 		if k.out.finish(k.id, before, f) != nil {
-			k.callerLost()
+			k.handleCallerLoss()
 		}
 	}
 }
 
-// refusedBy tells a refusal that another endpoint would repeat from one that is
+// handleRefusal tells a refusal that another endpoint would repeat from one that is
 // worth another try.
-func (k *call) refusedBy(r engine.Refused) {
+func (k *call) handleRefusal(r engine.Refused) {
 	switch r.Status {
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		k.step(core.CallerGone{})
-		k.problem = invalid(r.Status, "endpoint_rejected", "the endpoint rejected the request: "+r.Text+"; correct it")
+		k.problem = newRejection(r.Status, "endpoint_rejected", "the endpoint rejected the request: "+r.Text+"; correct it")
 		return
 	}
-	k.step(core.Refused{Attempt: k.sinkFor})
+	k.step(core.Refused{Attempt: k.sinkAttempt})
 }
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -10,9 +10,9 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// callerLost tells that nobody reads the stream any more. An answer that was to
+// handleCallerLoss tells that nobody reads the stream any more. An answer that was to
 // be given whole has no id by which its caller could come back.
-func (k *call) callerLost() {
+func (k *call) handleCallerLoss() {
 	if !k.p.stream {
 		k.step(core.CallerGone{})
 		return
@@ -20,53 +20,53 @@
 	k.step(core.CallerLeft{})
 }
 
-// notTaken tells why the caller did not take what was written.
-func (k *call) notTaken(err error) {
+// handleWriteError tells why the caller did not take what was written.
+func (k *call) handleWriteError(err error) {
 	if errors.Is(err, errSlowCaller) {
 		k.step(core.CallerSlow{})
 		return
 	}
-	k.callerLost()
+	k.handleCallerLoss()
 }
 
-// release leaves the generation running for a while: its caller may come back
+// detachCaller leaves the generation running for a while: its caller may come back
 // through any box.
-func (k *call) release(origin core.Origin) {
-	k.endAttempt()
-	placed, m, made := k.placedAs, k.model, int(k.gen.NextOffset)
-	k.placedAs = ""
+func (k *call) detachCaller(origin core.Origin) {
+	k.closeSink()
+	placed, m, generated := k.placementID, k.model, int(k.gen.NextOffset)
+	k.placementID = ""
 	callersLeft.Inc()
 	time.AfterFunc(k.document.Limits.ResumeWindow, func() {
 		_ = k.entry.cancelGeneration(origin, true)
 		m.step(time.Now(), admission.GenerationEnded{
 			ID:        placed,
-			Generated: made,
+			Generated: generated,
 		})
 	})
 }
 
-// runAgain starts an answer that is given whole over from its beginning, since
+// restart starts an answer that is given whole over from its beginning, since
 // nothing of it reached the caller.
-func (k *call) runAgain() bool {
+func (k *call) restart() bool {
 	if k.p.stream || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
 		return false
 	}
 	k.restarted = true
-	k.out = newWholeWriter(k.c, k.p)
+	k.out = newBufferedWriter(k.c, k.p)
 	k.gen = core.NewGeneration(true, k.rules)
 	k.gen.MayHaveRun = true
 	k.place("")
 	return true
 }
 
-func (k *call) end(c core.EndStream) {
-	k.endAttempt()
-	k.freePlace(c.Code == core.EndDone)
+func (k *call) endStream(c core.EndStream) {
+	k.closeSink()
+	k.releasePlacement(c.Code == core.EndDone)
 	if c.Code == core.EndDone {
-		k.entry.quarantine.RecordSuccess(time.Now(), k.content())
+		k.entry.quarantine.RecordSuccess(time.Now(), k.contentDigest())
 		return
 	}
-	if k.runAgain() {
+	if k.restart() {
 		return
 	}
 	problem := endProblem(c)
@@ -76,8 +76,8 @@
 	k.problem = problem
 }
 
-// abandon ends a generation whose call was cut short by a panic.
-func (k *call) abandon() {
+// cancelUnfinished ends a generation whose call was cut short by a panic.
+func (k *call) cancelUnfinished() {
 	for _, command := range k.gen.Step(time.Now(), core.CallerGone{}) {
 		if c, ok := command.(core.CancelAttempt); ok {
 			go k.entry.cancelGeneration(c.Origin, false)
@@ -88,19 +88,19 @@
 // close settles what the call holds beside its stream.
 func (k *call) close() {
 	if k.gen.State != core.GenerationEnded {
-		k.abandon()
+		k.cancelUnfinished()
 	}
 	if held, _ := k.entry.calls.Get(k.id); held == k {
 		k.entry.calls.Delete(k.id)
 	}
-	k.endAttempt()
-	k.freePlace(false)
-	k.pace.end()
+	k.closeSink()
+	k.releasePlacement(false)
+	k.streamMetrics.recordStalls()
 	if k.problem == nil {
-		countOutcome(k.who.Name, k.gen.Outcome, string(k.gen.Code))
+		countOutcome(k.customerConfig.Name, k.gen.Outcome, string(k.gen.Code))
 	}
 	if k.claim != nil {
-		k.entry.settle(k.claim, k.gen.Outcome, 0, []byte(k.id))
+		k.entry.settleClaim(k.claim, k.gen.Outcome, 0, []byte(k.id))
 	}
 }
 
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -15,49 +15,49 @@
 
 // The times of an entry's dealings with a claim's home.
 const (
-	claimTimeout  = time.Second
-	claimPatience = 2 * time.Second
-	claimPause    = 100 * time.Millisecond
-	settleFor     = time.Minute
+	claimTimeout       = time.Second
+	claimRetryTime     = 2 * time.Second
+	claimRetryInterval = 100 * time.Millisecond
+	settleRetryTime    = time.Minute
 )
 
-// maxKeptResponse bounds the answer that a home keeps for a repeat, in bytes.
-const maxKeptResponse = 4 << 10
+// maxStoredResponse bounds the answer that a home keeps for a repeat, in bytes.
+const maxStoredResponse = 4 << 10
 
 // claim is the right to send one request that may run at most once.
 type claim struct {
-	key     core.ClaimKey
-	timed   bool
-	made    time.Time // when its caller made the key, if the key says so
-	attempt string
-	home    string
-	until   time.Time
-	minted  bool // no caller knows the key, so no home needs to
+	key          core.ClaimKey
+	hasKeyTime   bool
+	keyCreatedAt time.Time // when its caller made the key, if the key says so
+	attempt      string
+	owner        string
+	until        time.Time
+	isUnkeyed    bool // no caller knows the key, so no home needs to
 }
 
 // claim asks for the right to send a request that may run at most once. A
 // request without a key of its caller's can't come twice by that key: its claim
 // needs no home, and it is sent once.
-func (e *Entry) claim(ctx context.Context, c *app.RequestContext, who *config.Customer) (*claim, *Problem) {
+func (e *Entry) claim(ctx context.Context, c *app.RequestContext, customerConfig *config.Customer) (*claim, *Problem) {
 	name := string(c.GetHeader(idempotencyKey))
 	if name == "" {
 		return &claim{
-			minted: true,
-			until:  time.Now().Add(time.Hour),
+			isUnkeyed: true,
+			until:     time.Now().Add(time.Hour),
 		}, nil
 	}
 	k := &claim{
 		key: core.ClaimKey{
-			Customer: who.Name,
+			Customer: customerConfig.Name,
 			Key:      name,
 		},
 		attempt: newToken(),
 	}
-	k.made, k.timed = keyTime(name)
-	if k.timed && time.Until(k.made) > core.DefaultClaimRules().Skew {
-		return nil, invalid(http.StatusBadRequest, "key_from_the_future", "the Idempotency-Key's own time is ahead of this box's clock; set the clock of whoever makes the keys")
+	k.keyCreatedAt, k.hasKeyTime = keyTime(name)
+	if k.hasKeyTime && time.Until(k.keyCreatedAt) > core.DefaultClaimRules().Skew {
+		return nil, newRejection(http.StatusBadRequest, "key_from_the_future", "the Idempotency-Key's own time is ahead of this box's clock; set the clock of whoever makes the keys")
 	}
-	answer, asked := e.askHome(ctx, k)
+	answer, asked := e.requestClaim(ctx, k)
 	switch answer.Verdict {
 	case core.VerdictGranted:
 		k.until = asked.Add(answer.ValidFor)
@@ -66,12 +66,12 @@
 		e.replay(c, answer)
 		return nil, nil
 	case core.VerdictInFlight:
-		return nil, conflict("in_progress", "a request with this key is running; ask again after the time in Retry-After")
+		return nil, newConflict("in_progress", "a request with this key is running; ask again after the time in Retry-After")
 	case core.VerdictUnknown:
-		return nil, conflict("claim_unknown", "whether a request with this key ran can't be known; look at its effects before you send it under another key")
+		return nil, newConflict("claim_unknown", "whether a request with this key ran can't be known; look at its effects before you send it under another key")
 	}
-	go e.settle(k, core.NotRun, 0, nil)
-	return nil, refused(http.StatusServiceUnavailable, "claim_home_unavailable", "the box that keeps this key can't vouch for it now; come back after the time in Retry-After", claimPatience)
+	go e.settleClaim(k, core.NotRun, 0, nil)
+	return nil, newRefusal(http.StatusServiceUnavailable, "claim_home_unavailable", "the box that keeps this key can't vouch for it now; come back after the time in Retry-After", claimRetryTime)
 }
 
 // keyTime reads the time that a key carries: a UUID of version 7 does (RFC 9562).
@@ -84,7 +84,7 @@
 	return time.Unix(seconds, nanoseconds), true
 }
 
-func conflict(code, message string) *Problem {
+func newConflict(code, message string) *Problem {
 	return &Problem{
 		Status:     http.StatusConflict,
 		Code:       code,
@@ -113,28 +113,28 @@
 	c.Data(answer.Status, "application/json", answer.Response)
 }
 
-// askHome asks the key's home until it gives a verdict or patience ends.
-func (e *Entry) askHome(ctx context.Context, k *claim) (wire.ClaimAnswer, time.Time) {
-	deadline := time.Now().Add(claimPatience)
+// requestClaim asks the key's home until it gives a verdict or patience ends.
+func (e *Entry) requestClaim(ctx context.Context, k *claim) (wire.ClaimAnswer, time.Time) {
+	deadline := time.Now().Add(claimRetryTime)
 	for {
 		asked := time.Now()
-		answer, err := e.askHomeOnce(ctx, k)
+		answer, err := e.tryRequestClaim(ctx, k)
 		decided := err == nil && answer.Verdict != core.VerdictNotOwner && answer.Verdict != core.VerdictNotYet
 		if decided || time.Now().After(deadline) || ctx.Err() != nil {
 			return answer, asked
 		}
-		time.Sleep(claimPause)
+		time.Sleep(claimRetryInterval)
 	}
 }
 
-func (e *Entry) askHomeOnce(ctx context.Context, k *claim) (wire.ClaimAnswer, error) {
+func (e *Entry) tryRequestClaim(ctx context.Context, k *claim) (wire.ClaimAnswer, error) {
 	v := e.state.View()
-	k.home = v.List.ClaimOwner(core.ClaimScope(k.key), nil)
-	member := v.List.Member(k.home)
+	k.owner = v.List.ClaimOwner(core.ClaimScope(k.key), nil)
+	member := v.List.Member(k.owner)
 	if member == nil {
-		return wire.ClaimAnswer{}, &noHome{}
+		return wire.ClaimAnswer{}, &noClaimOwnerError{}
 	}
-	known, _ := e.homes.Get(k.home)
+	known, _ := e.ownerIncarnations.Get(k.owner)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	answer, err := wire.Request[wire.ClaimAnswer](ctx, e.pool, member.Scheduler, wire.ClaimRequest{
@@ -143,28 +143,30 @@
 		Asker:       e.self,
 		ListVersion: v.List.Version,
 		HomeKnown:   known,
-		Timed:       k.timed,
-		KeyTime:     k.made,
+		Timed:       k.hasKeyTime,
+		KeyTime:     k.keyCreatedAt,
 	})
 	if err == nil {
-		e.homes.Put(k.home, max(known, answer.ClaimOwner.Incarnation))
+		e.ownerIncarnations.Put(k.owner, max(known, answer.ClaimOwner.Incarnation))
 	}
 	return answer, err
 }
 
-// noHome reports that the list names no box that a key can belong to.
-type noHome struct{}
+// noClaimOwnerError reports that the list names no box that a key can belong to.
+type noClaimOwnerError struct{}
 
 // Error names the fault and the remedy.
-func (*noHome) Error() string { return "no box of the list can keep claims; see the platform's list" }
+func (*noClaimOwnerError) Error() string {
+	return "no box of the list can keep claims; see the platform's list"
+}
 
-// settle tells the home how a claim ended; it tries for a while, and a home
+// settleClaim tells the home how a claim ended; it tries for a while, and a home
 // that never hears of it answers "unknown" to repeats.
-func (e *Entry) settle(k *claim, outcome core.Outcome, status int, response []byte) {
-	if k.minted {
+func (e *Entry) settleClaim(k *claim, outcome core.Outcome, status int, response []byte) {
+	if k.isUnkeyed {
 		return
 	}
-	if len(response) > maxKeptResponse {
+	if len(response) > maxStoredResponse {
 		status, response = 0, nil
 	}
 	message := wire.ClaimSettle{
@@ -174,26 +176,26 @@
 		Status:   status,
 		Response: response,
 	}
-	if e.settleOnce(k.home, message) {
+	if e.trySettle(k.owner, message) {
 		return
 	}
-	go e.settleLater(k, message)
+	go e.retrySettle(k, message)
 }
 
-func (e *Entry) settleLater(k *claim, message wire.ClaimSettle) {
-	for deadline := time.Now().Add(settleFor); time.Now().Before(deadline); {
-		time.Sleep(claimPause)
-		if e.settleOnce(k.home, message) {
+func (e *Entry) retrySettle(k *claim, message wire.ClaimSettle) {
+	for deadline := time.Now().Add(settleRetryTime); time.Now().Before(deadline); {
+		time.Sleep(claimRetryInterval)
+		if e.trySettle(k.owner, message) {
 			return
 		}
-		if home := e.state.View().List.ClaimOwner(core.ClaimScope(k.key), nil); home != k.home && e.settleOnce(home, message) {
+		if owner := e.state.View().List.ClaimOwner(core.ClaimScope(k.key), nil); owner != k.owner && e.trySettle(owner, message) {
 			return
 		}
 	}
 }
 
-func (e *Entry) settleOnce(home string, message wire.ClaimSettle) bool {
-	member := e.state.View().List.Member(home)
+func (e *Entry) trySettle(owner string, message wire.ClaimSettle) bool {
+	member := e.state.View().List.Member(owner)
 	if member == nil {
 		return false
 	}
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -13,28 +13,28 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// attempts is how often a request may be sent, the first time included.
-const attempts = 3
+// maxAttempts is how often a request may be sent, the first time included.
+const maxAttempts = 3
 
 // resumeDelay is the pause before a cut stream is read again.
 const resumeDelay = 50 * time.Millisecond
 
-func (e *Entry) complete(chat bool) app.HandlerFunc {
+func (e *Entry) handleCompletion(chat bool) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		d, who, problem := e.enter(ctx, c)
+		d, customerConfig, problem := e.beginRequest(ctx, c)
 		if problem != nil {
 			problem.answer(c)
 			return
 		}
-		defer e.exit()
-		if problem = e.parseAndRun(ctx, c, d, who, chat); problem != nil {
-			countOutcome(who.Name, problem.Outcome, problem.Code)
+		defer e.endRequest()
+		if problem = e.parseAndRun(ctx, c, d, customerConfig, chat); problem != nil {
+			countOutcome(customerConfig.Name, problem.Outcome, problem.Code)
 			problem.answer(c)
 		}
 	}
 }
 
-func (e *Entry) parseAndRun(ctx context.Context, c *app.RequestContext, d *config.Document, who *config.Customer, chat bool) *Problem {
+func (e *Entry) parseAndRun(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, chat bool) *Problem {
 	body, problem := readBody(c, d.Limits.BodyBytes)
 	if problem != nil {
 		return problem
@@ -43,23 +43,23 @@
 	if problem != nil {
 		return problem
 	}
-	return e.run(ctx, c, d, who, p)
+	return e.run(ctx, c, d, customerConfig, p)
 }
 
-func (e *Entry) run(ctx context.Context, c *app.RequestContext, d *config.Document, who *config.Customer, p *parsed) *Problem {
-	customer := e.customerOf(who)
+func (e *Entry) run(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, p *parsedRequest) *Problem {
+	customer := e.customerOf(customerConfig)
 	boxes := len(e.state.View().List.Boxes)
-	if wait := customer.overRate(time.Now(), who, boxes); wait > 0 {
-		return refused(http.StatusTooManyRequests, "token_rate", "the customer's token rate is spent; come back later or raise tokens_per_second", wait)
+	if wait := customer.rateLimitDelay(time.Now(), customerConfig, boxes); wait > 0 {
+		return newRefusal(http.StatusTooManyRequests, "token_rate", "the customer's token rate is spent; come back later or raise tokens_per_second", wait)
 	}
-	if !customer.enter(who.MaxStreams) {
-		return refused(http.StatusTooManyRequests, "too_many_streams", "the customer has as many streams as max_streams allows; end one first", time.Second)
+	if !customer.acquireStream(customerConfig.MaxStreams) {
+		return newRefusal(http.StatusTooManyRequests, "too_many_streams", "the customer has as many streams as max_streams allows; end one first", time.Second)
 	}
-	defer customer.leave()
+	defer customer.releaseStream()
 	repeatable := string(c.GetHeader(repeatableHeader)) != "false"
-	k := e.newCall(ctx, c, d, who, p, repeatable)
+	k := e.newCall(ctx, c, d, customerConfig, p, repeatable)
 	if !repeatable {
-		claimed, problem := e.claim(ctx, c, who)
+		claimed, problem := e.claim(ctx, c, customerConfig)
 		if problem != nil || claimed == nil {
 			return problem
 		}
@@ -68,42 +68,42 @@
 	return k.run()
 }
 
-func (e *Entry) newCall(ctx context.Context, c *app.RequestContext, d *config.Document, who *config.Customer, p *parsed, repeatable bool) *call {
-	tier := d.Tier(who.Tier)
+func (e *Entry) newCall(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, p *parsedRequest, repeatable bool) *call {
+	tier := d.Tier(customerConfig.Tier)
 	now := time.Now()
 	k := &call{
-		entry:    e,
-		ctx:      ctx,
-		c:        c,
-		document: d,
-		who:      who,
-		customer: e.customerOf(who),
-		model:    e.modelOf(p.model),
-		p:        p,
+		entry:          e,
+		ctx:            ctx,
+		c:              c,
+		document:       d,
+		customerConfig: customerConfig,
+		customer:       e.customerOf(customerConfig),
+		model:          e.modelOf(p.model),
+		p:              p,
 		request: admission.Request{
-			Customer:     who.Name,
-			Class:        who.Class,
+			Customer:     customerConfig.Name,
+			Class:        customerConfig.Class,
 			Tier:         tier.Name,
 			Rank:         tier.Rank,
-			Weight:       who.Weight,
+			Weight:       customerConfig.Weight,
 			Risk:         tier.Risk,
-			PromptTokens: p.prompt,
-			MaxTokens:    p.most,
+			PromptTokens: p.promptTokens,
+			MaxTokens:    p.maxTokens,
 			Prefix:       p.prefix,
 			ArrivedAt:    now,
 		},
 		rules: core.GenerationRules{
-			Attempts:     attempts,
+			Attempts:     maxAttempts,
 			ResumeWindow: d.Limits.ResumeWindow,
 			ResumeDelay:  resumeDelay,
 		},
-		cancelled: make(chan struct{}),
-		replaced:  make(chan struct{}),
-		name:      newToken(),
+		cancelled:  make(chan struct{}),
+		superseded: make(chan struct{}),
+		name:       newToken(),
 	}
-	k.pace = pace{
-		m:     k.customer.measure(who.Name, who.Class),
-		began: now,
+	k.streamMetrics = streamMetrics{
+		histograms: k.customer.metricsFor(customerConfig.Name, customerConfig.Class),
+		startedAt:  now,
 	}
 	k.gen = core.NewGeneration(repeatable, k.rules)
 	e.recorder.Event(now, trace.Generation+k.name, trace.GenerationBegun{
@@ -111,9 +111,9 @@
 		Rules:      k.rules,
 	})
 	if p.stream {
-		k.out = newStreamWriter(c, linkOf(ctx), p)
+		k.out = newStreamWriter(c, connOf(ctx), p)
 	} else {
-		k.out = newWholeWriter(c, p)
+		k.out = newBufferedWriter(c, p)
 	}
 	return k
 }
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -14,27 +14,27 @@
 	"dillsaddle.example/dillsaddle/engine/completions"
 )
 
-// crash is in the prompts that no engine survives.
-const crash = "no engine survives this"
+// crashPrompt is in the prompts that no engine survives.
+const crashPrompt = "no engine survives this"
 
 // crashingWorker ends the engine that runs such a prompt.
 type crashingWorker struct {
 	engine.Worker
-	mu    sync.Mutex
-	ends  map[netip.AddrPort]func()
-	ended int
+	mu      sync.Mutex
+	stops   map[netip.AddrPort]func()
+	crashed int
 }
 
 func (w *crashingWorker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
-	if !bytes.Contains(c.Body, []byte(crash)) {
+	if !bytes.Contains(c.Body, []byte(crashPrompt)) {
 		w.Worker.Start(ctx, c, sink)
 		return
 	}
 	w.mu.Lock()
-	if end := w.ends[c.Address]; end != nil {
+	if end := w.stops[c.Address]; end != nil {
 		end()
-		delete(w.ends, c.Address)
-		w.ended++
+		delete(w.stops, c.Address)
+		w.crashed++
 	}
 	w.mu.Unlock()
 	sink <- engine.Lost{}
@@ -43,7 +43,7 @@
 func (w *crashingWorker) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ended
+	return w.crashed
 }
 
 var _ = Describe("a generation that ends every engine that runs it", func() {
@@ -52,20 +52,20 @@
 		Expect(err).NotTo(HaveOccurred())
 		worker := &crashingWorker{
 			Worker: inner,
-			ends:   make(map[netip.AddrPort]func()),
+			stops:  make(map[netip.AddrPort]func()),
 		}
 		var engines []netip.AddrPort
 		for i := range 6 {
 			at := freeAddress()
 			engines = append(engines, at)
-			worker.ends[at] = testEngine(engineName(i), at)
+			worker.stops[at] = startEngine(engineName(i), at)
 		}
-		b := startBoxBefore(engines, worker)
+		b := startBoxWithEngines(engines, worker)
 		for range 3 {
-			post(b, crash)
+			post(b, crashPrompt)
 		}
 		Expect(worker.count()).To(Equal(3))
-		status, header, text := post(b, crash)
+		status, header, text := post(b, crashPrompt)
 		Expect(status).To(Equal(http.StatusServiceUnavailable), text)
 		Expect(header.Get("Dillsaddle-Outcome")).To(Equal("not-run"))
 		Expect(header.Get("Retry-After")).To(Equal("600"))
--- a/entry/customer.go
+++ b/entry/customer.go
@@ -10,13 +10,13 @@
 
 // customer is what one box keeps of one customer, under its own lock.
 type customer struct {
-	mu       sync.Mutex
-	streams  int
-	services map[string]int
-	budget   *core.RetryBudget
-	credit   float64
-	creditAt time.Time
-	measures map[string]*measures
+	mu            sync.Mutex
+	streams       int
+	services      map[string]int
+	retryBudget   *core.RetryBudget
+	tokenCredit   float64
+	tokenCreditAt time.Time
+	classMetrics  map[string]*classMetrics
 }
 
 // retryBurst is how many retries a customer may spend at once.
@@ -24,93 +24,93 @@
 
 func newCustomer(ratio float64) *customer {
 	return &customer{
-		services: make(map[string]int),
-		budget:   core.NewRetryBudget(ratio, retryBurst),
-		measures: make(map[string]*measures),
+		services:     make(map[string]int),
+		retryBudget:  core.NewRetryBudget(ratio, retryBurst),
+		classMetrics: make(map[string]*classMetrics),
 	}
 }
 
-// enter counts a stream in unless the customer is at its limit.
-func (c *customer) enter(most int) bool {
+// acquireStream counts a stream in unless the customer is at its limit.
+func (c *customer) acquireStream(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.streams >= most {
+	if c.streams >= limit {
 		return false
 	}
 	c.streams++
-	c.budget.CountFirstAttempt()
+	c.retryBudget.CountFirstAttempt()
 	return true
 }
 
-func (c *customer) leave() {
+func (c *customer) releaseStream() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.streams--
 }
 
-func (c *customer) enterService(name string, most int) bool {
+func (c *customer) acquireServiceCall(name string, limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.services[name] >= most {
+	if c.services[name] >= limit {
 		return false
 	}
 	c.services[name]++
-	c.budget.CountFirstAttempt()
+	c.retryBudget.CountFirstAttempt()
 	return true
 }
 
-func (c *customer) leaveService(name string) {
+func (c *customer) releaseServiceCall(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.services[name]--
 }
 
-func (c *customer) mayRetry() bool {
+func (c *customer) takeRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.budget.TakeRetry()
+	return c.retryBudget.TakeRetry()
 }
 
-func (c *customer) measure(name, class string) *measures {
+func (c *customer) metricsFor(name, class string) *classMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.measures[class]
+	m := c.classMetrics[class]
 	if m == nil {
-		m = newMeasures(name, class)
-		c.measures[class] = m
+		m = newClassMetrics(name, class)
+		c.classMetrics[class] = m
 	}
 	return m
 }
 
-// creditBurst is how many seconds of its token rate a customer may save.
-const creditBurst = 10
+// maxTokenCreditSeconds is how many seconds of its token rate a customer may save.
+const maxTokenCreditSeconds = 10
 
-// spend takes generated tokens from the customer's rate.
-func (c *customer) spend(tokens int) {
+// chargeTokens takes generated tokens from the customer's rate.
+func (c *customer) chargeTokens(tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.credit -= float64(tokens)
+	c.tokenCredit -= float64(tokens)
 }
 
-// overRate tells how long the customer must wait until its token rate allows
+// rateLimitDelay tells how long the customer must wait until its token rate allows
 // another request; the rate is this box's part of the customer's.
-func (c *customer) overRate(now time.Time, settings *config.Customer, boxes int) time.Duration {
+func (c *customer) rateLimitDelay(now time.Time, settings *config.Customer, boxes int) time.Duration {
 	if settings.TokenRate <= 0 {
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rate := settings.TokenRate / float64(max(1, boxes))
-	if c.creditAt.IsZero() {
-		c.credit = rate * creditBurst
+	if c.tokenCreditAt.IsZero() {
+		c.tokenCredit = rate * maxTokenCreditSeconds
 	}
-	passed := now.Sub(c.creditAt).Seconds()
-	if !c.creditAt.IsZero() {
-		c.credit = min(rate*creditBurst, c.credit+passed*rate)
+	passed := now.Sub(c.tokenCreditAt).Seconds()
+	if !c.tokenCreditAt.IsZero() {
+		c.tokenCredit = min(rate*maxTokenCreditSeconds, c.tokenCredit+passed*rate)
 	}
-	c.creditAt = now
-	if c.credit > 0 {
+	c.tokenCreditAt = now
+	if c.tokenCredit > 0 {
 		return 0
 	}
-	return time.Duration(-c.credit / rate * float64(time.Second))
+	return time.Duration(-c.tokenCredit / rate * float64(time.Second))
 }
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -7,7 +7,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-func (e *Entry) taking() bool {
+func (e *Entry) isAccepting() bool {
 	e.drainLock.Lock()
 	defer e.drainLock.Unlock()
 	return e.drain.Accepting()
@@ -20,23 +20,23 @@
 		return
 	}
 	e.log.Info("planned stop")
-	go e.drainOut()
+	go e.waitForDrain()
 }
 
 func (e *Entry) drainStep(ev core.Event) []core.Command {
 	e.drainLock.Lock()
 	defer e.drainLock.Unlock()
-	e.drain.Step(time.Now(), core.WorkChanged{Streams: e.work})
+	e.drain.Step(time.Now(), core.WorkChanged{Streams: e.active})
 	return e.drain.Step(time.Now(), ev)
 }
 
 // Left is closed when the process may end.
-func (e *Entry) Left() <-chan struct{} { return e.left }
+func (e *Entry) Left() <-chan struct{} { return e.exited }
 
-func (e *Entry) drainOut() {
+func (e *Entry) waitForDrain() {
 	began := time.Now()
 	for time.Since(began) < e.settings.DrainLimit {
-		e.drainStep(core.WorkChanged{Streams: e.working()})
+		e.drainStep(core.WorkChanged{Streams: e.activeRequests()})
 		if e.drainState() == core.DrainLeft {
 			break
 		}
@@ -45,10 +45,10 @@
 	e.Close()
 }
 
-func (e *Entry) working() int {
+func (e *Entry) activeRequests() int {
 	e.drainLock.Lock()
 	defer e.drainLock.Unlock()
-	return e.work
+	return e.active
 }
 
 func (e *Entry) drainState() core.DrainState {
@@ -63,5 +63,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_ = e.http.Shutdown(ctx)
-	close(e.left)
+	close(e.exited)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -31,31 +31,31 @@
 
 // Entry is the callers' side of one box.
 type Entry struct {
-	settings  *settings.Box
-	self      core.Box
-	log       *zap.Logger
-	recorder  *trace.Recorder
-	state     *watch.State
-	http      *server.Hertz
-	handlers  *wire.Handlers
-	pool      *wire.Pool
-	worker    engine.Worker
-	services  *serviceClient
-	models    *shard.Map[*model]
-	customers *shard.Map[*customer]
-	calls     *shard.Map[*call]
-	homes     *shard.Map[core.Incarnation]
-	answers   *shard.Map[*answerTimes]
-	owners    watch.Owners
-	credit    credit
+	settings          *settings.Box
+	self              core.Box
+	log               *zap.Logger
+	recorder          *trace.Recorder
+	state             *watch.State
+	http              *server.Hertz
+	handlers          *wire.Handlers
+	pool              *wire.Pool
+	worker            engine.Worker
+	services          *serviceClient
+	models            *shard.Map[*model]
+	customers         *shard.Map[*customer]
+	calls             *shard.Map[*call]
+	ownerIncarnations *shard.Map[core.Incarnation]
+	latencies         *shard.Map[*latencyTracker]
+	owners            watch.Owners
+	leaseByteBudget   leaseByteBudget
 
 	presences  *engine.Presences
 	quarantine *fleet.Quarantine
-	served     atomic.Bool // every model that is served had a lease once
+	wasReady   atomic.Bool // every model that is served had a lease once
 	drainLock  sync.Mutex
 	drain      *core.Drain
-	work       int
-	left       chan struct{}
+	active     int
+	exited     chan struct{}
 	stop       context.CancelFunc
 }
 
@@ -72,26 +72,26 @@
 			Name:        b.Name,
 			Incarnation: core.Incarnation(time.Now().UnixNano()),
 		},
-		log:       log,
-		recorder:  recorder,
-		state:     watch.NewState(log),
-		worker:    engine.Guard(worker, panicSeen(log, "worker")),
-		services:  services,
-		models:    shard.NewMap[*model](),
-		customers: shard.NewMap[*customer](),
-		calls:     shard.NewMap[*call](),
-		homes:     shard.NewMap[core.Incarnation](),
-		answers:   shard.NewMap[*answerTimes](),
-		drain:     core.NewDrain(),
-		left:      make(chan struct{}),
-		stop:      cancel,
+		log:               log,
+		recorder:          recorder,
+		state:             watch.NewState(log),
+		worker:            engine.Guard(worker, panicLogger(log, "worker")),
+		services:          services,
+		models:            shard.NewMap[*model](),
+		customers:         shard.NewMap[*customer](),
+		calls:             shard.NewMap[*call](),
+		ownerIncarnations: shard.NewMap[core.Incarnation](),
+		latencies:         shard.NewMap[*latencyTracker](),
+		drain:             core.NewDrain(),
+		exited:            make(chan struct{}),
+		stop:              cancel,
 
 		presences:  engine.NewPresences(),
 		quarantine: fleet.NewQuarantine(log),
 	}
 	e.handlers = wire.NewHandlers(wire.WithVersions(e.state.Versions))
 	e.pool = wire.NewPool(e.handlers)
-	e.state.OnChange(e.changed)
+	e.state.OnChange(e.applyView)
 	watch.Follow(ctx, b.Watch, e.state)
 	go e.renewLeases(ctx)
 	callers, err := net.Listen("tcp", b.Entry.String())
@@ -107,7 +107,7 @@
 func (e *Entry) routes(callers net.Listener) *server.Hertz {
 	h := server.New(
 		server.WithListener(callerListener{Listener: callers}),
-		server.WithOnAccept(withLink),
+		server.WithOnAccept(withConn),
 		server.WithTransport(standard.NewTransporter),
 		server.WithSenseClientDisconnection(true),
 		server.WithDisablePrintRoute(true),
@@ -116,23 +116,23 @@
 		server.WithUseRawPath(true),
 		server.WithExitWaitTime(0),
 	)
-	h.Use(recovery.Recovery(recovery.WithRecoveryHandler(e.recovered)))
-	h.POST("/v1/chat/completions", e.complete(true))
-	h.POST("/v1/completions", e.complete(false))
+	h.Use(recovery.Recovery(recovery.WithRecoveryHandler(e.handlePanic)))
+	h.POST("/v1/chat/completions", e.handleCompletion(true))
+	h.POST("/v1/completions", e.handleCompletion(false))
 	h.GET("/v1/models", e.listModels)
 	h.GET("/v1/streams/:id", e.continueStream)
 	h.DELETE("/v1/streams/:id", e.cancelStream)
-	h.Any("/v1/services/:name", e.passCall)
-	h.Any("/v1/services/:name/*path", e.passCall)
+	h.Any("/v1/services/:name", e.handleServiceCall)
+	h.Any("/v1/services/:name/*path", e.handleServiceCall)
 	h.NoRoute(func(_ context.Context, c *app.RequestContext) {
-		invalid(http.StatusNotFound, "unknown_path", "this path is not served; docs/API.md lists the paths").answer(c)
+		newRejection(http.StatusNotFound, "unknown_path", "this path is not served; docs/API.md lists the paths").answer(c)
 	})
 	return h
 }
 
-// recovered ends one request whose handler panicked, and that request alone.
-func (e *Entry) recovered(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
-	panicSeen(e.log, "handler")(fault, stack)
+// handlePanic ends one request whose handler panicked, and that request alone.
+func (e *Entry) handlePanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
+	panicLogger(e.log, "handler")(fault, stack)
 	(&Problem{
 		Status:  http.StatusInternalServerError,
 		Code:    "internal_error",
@@ -141,8 +141,8 @@
 	}).answer(c)
 }
 
-// panicSeen counts a panic and logs where it was.
-func panicSeen(log *zap.Logger, where string) engine.PanicSeen {
+// panicLogger counts a panic and logs where it was.
+func panicLogger(log *zap.Logger, where string) engine.PanicSeen {
 	return func(fault any, stack []byte) {
 		panics.Inc()
 		log.Error("a request's "+where+" panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
@@ -151,62 +151,62 @@
 
 // Ready says what is missing before a stream can be served.
 func (e *Entry) Ready() string {
-	if !e.taking() {
+	if !e.isAccepting() {
 		return "draining"
 	}
 	v := e.state.View()
 	if v.Document == nil || v.List == nil {
 		return "no configuration or list of boxes from this box's watch yet"
 	}
-	if e.served.Load() {
+	if e.wasReady.Load() {
 		return "" // an endpoint that is lost later is no reason to send callers elsewhere
 	}
 	for i := range v.Document.Models {
 		name := v.Document.Models[i].Name
-		if v.Document.Serves(name) && !e.modelOf(name).leased(time.Now()) {
+		if v.Document.Serves(name) && !e.modelOf(name).hasLease(time.Now()) {
 			return "no lease on an endpoint of model " + name + " yet"
 		}
 	}
-	e.served.Store(true)
+	e.wasReady.Store(true)
 	return ""
 }
 
-// enter starts a caller's request, or says why not.
-func (e *Entry) enter(ctx context.Context, c *app.RequestContext) (*config.Document, *config.Customer, *Problem) {
+// beginRequest starts a caller's request, or says why not.
+func (e *Entry) beginRequest(ctx context.Context, c *app.RequestContext) (*config.Document, *config.Customer, *Problem) {
 	e.drainLock.Lock()
-	taking := e.drain.Accepting()
-	if taking {
-		e.work++
+	accepting := e.drain.Accepting()
+	if accepting {
+		e.active++
 	}
 	e.drainLock.Unlock()
-	if !taking {
-		return nil, nil, refused(http.StatusServiceUnavailable, "draining", "this box is being stopped; ask again and the balancer picks another", time.Second)
+	if !accepting {
+		return nil, nil, newRefusal(http.StatusServiceUnavailable, "draining", "this box is being stopped; ask again and the balancer picks another", time.Second)
 	}
 	d := e.state.View().Document
 	if d == nil {
-		e.exit()
-		return nil, nil, refused(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; ask again shortly", time.Second)
+		e.endRequest()
+		return nil, nil, newRefusal(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; ask again shortly", time.Second)
 	}
-	linkOf(ctx).patience.Store(int64(d.Limits.SlowCaller))
-	key := bearer(c)
-	who := d.Authenticate(key)
-	if who == nil {
-		e.exit()
-		return nil, nil, invalid(http.StatusUnauthorized, "invalid_api_key", "no customer has this key; send Authorization: Bearer KEY with a published key")
+	connOf(ctx).stallTimeout.Store(int64(d.Limits.SlowCaller))
+	key := bearerToken(c)
+	customerConfig := d.Authenticate(key)
+	if customerConfig == nil {
+		e.endRequest()
+		return nil, nil, newRejection(http.StatusUnauthorized, "invalid_api_key", "no customer has this key; send Authorization: Bearer KEY with a published key")
 	}
-	return d, who, nil
+	return d, customerConfig, nil
 }
 
-// exit ends what enter started.
-func (e *Entry) exit() {
+// endRequest ends what enter started.
+func (e *Entry) endRequest() {
 	e.drainLock.Lock()
 	defer e.drainLock.Unlock()
-	e.work--
+	e.active--
 }
 
 const bearerPrefix = "Bearer "
 
-func bearer(c *app.RequestContext) string {
+func bearerToken(c *app.RequestContext) string {
 	value := string(c.GetHeader("Authorization"))
 	if len(value) <= len(bearerPrefix) || value[:len(bearerPrefix)] != bearerPrefix {
 		return ""
@@ -230,12 +230,12 @@
 }
 
 func (e *Entry) listModels(ctx context.Context, c *app.RequestContext) {
-	d, _, problem := e.enter(ctx, c)
+	d, _, problem := e.beginRequest(ctx, c)
 	if problem != nil {
 		problem.answer(c)
 		return
 	}
-	defer e.exit()
+	defer e.endRequest()
 	list := modelList{Object: "list"}
 	for i := range d.Models {
 		list.Data = append(list.Data, modelItem{
--- a/entry/headers_test.go
+++ b/entry/headers_test.go
@@ -29,7 +29,7 @@
 		DeferCleanup(service.Close)
 		worker, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
-		b := startBox(worker, withService(strings.TrimPrefix(service.URL, "http://")))
+		b := startBox(worker, serviceSection(strings.TrimPrefix(service.URL, "http://")))
 		q, err := http.NewRequest(http.MethodGet, "http://"+b.Entry.String()+"/v1/services/records/a", nil)
 		Expect(err).NotTo(HaveOccurred())
 		q.Header.Set("Authorization", "Bearer "+testKey)
--- a/entry/hop.go
+++ b/entry/hop.go
@@ -17,15 +17,15 @@
 	"Upgrade",
 }
 
-// headers are a request's or an answer's.
-type headers interface {
+// headerSet are a request's or an answer's.
+type headerSet interface {
 	Peek(name string) []byte
 	Del(name string)
 }
 
 // dropHopHeaders leaves out what is not to be passed on, and what the other side
 // named as such.
-func dropHopHeaders(h headers) {
+func dropHopHeaders(h headerSet) {
 	for _, name := range strings.Split(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" {
 			h.Del(name)
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -22,14 +22,14 @@
 // identity is all that a box needs to continue a stream that another began; it
 // is the stream's id, authenticated by the fleet's secret.
 type identity struct {
-	Endpoint    string           `cbor:"1,keyasint"`
-	Incarnation core.Incarnation `cbor:"2,keyasint"`
-	Generation  string           `cbor:"3,keyasint"`
-	Customer    string           `cbor:"4,keyasint"`
-	Model       string           `cbor:"5,keyasint"`
-	Chat        bool             `cbor:"6,keyasint,omitempty"`
-	Prompt      int              `cbor:"7,keyasint"`
-	Most        int              `cbor:"8,keyasint"`
+	Endpoint     string           `cbor:"1,keyasint"`
+	Incarnation  core.Incarnation `cbor:"2,keyasint"`
+	Generation   string           `cbor:"3,keyasint"`
+	Customer     string           `cbor:"4,keyasint"`
+	Model        string           `cbor:"5,keyasint"`
+	Chat         bool             `cbor:"6,keyasint,omitempty"`
+	PromptTokens int              `cbor:"7,keyasint"`
+	MaxTokens    int              `cbor:"8,keyasint"`
 }
 
 func (i *identity) origin() core.Origin {
@@ -40,27 +40,27 @@
 	}
 }
 
-func seal(secret string, i *identity) (string, error) {
+func encodeStreamID(secret string, i *identity) (string, error) {
 	body, err := cbor.Marshal(i)
 	if err != nil {
 		return "", err
 	}
-	return base64.RawURLEncoding.EncodeToString(append(mark(secret, body), body...)), nil
+	return base64.RawURLEncoding.EncodeToString(append(computeMAC(secret, body), body...)), nil
 }
 
-func mark(secret string, body []byte) []byte {
+func computeMAC(secret string, body []byte) []byte {
 	m := hmac.New(sha256.New, []byte(secret))
 	_, _ = m.Write(body)
 	return m.Sum(nil)[:macSize]
 }
 
-// unseal reads a stream id; it fails for an id that this fleet didn't make.
-func unseal(secret, id string) (*identity, bool) {
+// decodeStreamID reads a stream id; it fails for an id that this fleet didn't make.
+func decodeStreamID(secret, id string) (*identity, bool) {
 	raw, err := base64.RawURLEncoding.DecodeString(id)
 	if err != nil || len(raw) <= macSize {
 		return nil, false
 	}
-	if !hmac.Equal(raw[:macSize], mark(secret, raw[macSize:])) {
+	if !hmac.Equal(raw[:macSize], computeMAC(secret, raw[macSize:])) {
 		return nil, false
 	}
 	var i identity
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -20,25 +20,25 @@
 	panics         = metrics.NewCounter("dillsaddle_request_panics_total")
 )
 
-// measures are the histograms of one customer and class.
-type measures struct {
-	firstToken *metrics.Histogram
-	between    *metrics.Histogram
-	stall      *metrics.Histogram
-	waiting    *metrics.Histogram
-	preempted  *metrics.Counter
-	tokens     *metrics.Counter
+// classMetrics are the histograms of one customer and class.
+type classMetrics struct {
+	firstToken    *metrics.Histogram
+	betweenTokens *metrics.Histogram
+	stall         *metrics.Histogram
+	queueWait     *metrics.Histogram
+	preemptions   *metrics.Counter
+	tokens        *metrics.Counter
 }
 
-func newMeasures(customer, class string) *measures {
+func newClassMetrics(customer, class string) *classMetrics {
 	labels := fmt.Sprintf("{customer=%q,class=%q}", customer, class)
-	return &measures{
-		firstToken: metrics.GetOrCreateHistogram("dillsaddle_first_token_seconds" + labels),
-		between:    metrics.GetOrCreateHistogram("dillsaddle_between_tokens_seconds" + labels),
-		stall:      metrics.GetOrCreateHistogram("dillsaddle_stall_seconds" + labels),
-		waiting:    metrics.GetOrCreateHistogram("dillsaddle_waiting_seconds" + labels),
-		preempted:  metrics.GetOrCreateCounter("dillsaddle_preemptions_total" + labels),
-		tokens:     metrics.GetOrCreateCounter("dillsaddle_tokens_total" + labels),
+	return &classMetrics{
+		firstToken:    metrics.GetOrCreateHistogram("dillsaddle_first_token_seconds" + labels),
+		betweenTokens: metrics.GetOrCreateHistogram("dillsaddle_between_tokens_seconds" + labels),
+		stall:         metrics.GetOrCreateHistogram("dillsaddle_stall_seconds" + labels),
+		queueWait:     metrics.GetOrCreateHistogram("dillsaddle_waiting_seconds" + labels),
+		preemptions:   metrics.GetOrCreateCounter("dillsaddle_preemptions_total" + labels),
+		tokens:        metrics.GetOrCreateCounter("dillsaddle_tokens_total" + labels),
 	}
 }
 
@@ -53,32 +53,32 @@
 // stallAfter is the silence between tokens that counts as a stall.
 const stallAfter = 250 * time.Millisecond
 
-// pace measures the rhythm of one stream.
-type pace struct {
-	m       *measures
-	began   time.Time
-	last    time.Time
-	stalled time.Duration
+// streamMetrics measures the rhythm of one stream.
+type streamMetrics struct {
+	histograms  *classMetrics
+	startedAt   time.Time
+	lastTokenAt time.Time
+	stalledFor  time.Duration
 }
 
 // tokens notes that some tokens were written together.
-func (p *pace) tokens(now time.Time, count int) {
-	p.m.tokens.Add(count)
-	if p.last.IsZero() {
-		p.m.firstToken.Update(now.Sub(p.began).Seconds())
-		p.last = now
+func (p *streamMetrics) tokens(now time.Time, count int) {
+	p.histograms.tokens.Add(count)
+	if p.lastTokenAt.IsZero() {
+		p.histograms.firstToken.Update(now.Sub(p.startedAt).Seconds())
+		p.lastTokenAt = now
 		return
 	}
-	gap := now.Sub(p.last)
-	p.m.between.Update(gap.Seconds())
+	gap := now.Sub(p.lastTokenAt)
+	p.histograms.betweenTokens.Update(gap.Seconds())
 	if gap > stallAfter {
-		p.stalled += gap - stallAfter
+		p.stalledFor += gap - stallAfter
 	}
-	p.last = now
+	p.lastTokenAt = now
 }
 
-func (p *pace) end() {
-	if !p.last.IsZero() {
-		p.m.stall.Update(p.stalled.Seconds())
+func (p *streamMetrics) recordStalls() {
+	if !p.lastTokenAt.IsZero() {
+		p.histograms.stall.Update(p.stalledFor.Seconds())
 	}
 }
--- a/entry/model.go
+++ b/entry/model.go
@@ -19,35 +19,35 @@
 // with the fleet: leaseBudget endpoints in all, but for each model between the
 // two bounds.
 const (
-	leaseBudget  = 96
-	leastSubset  = 3
-	widestSubset = 16
+	maxLeasedEndpoints = 96
+	minSubset          = 3
+	maxSubset          = 16
 )
 
 func subsetSize(models int) int {
-	return min(widestSubset, max(leastSubset, leaseBudget/max(1, models)))
+	return min(maxSubset, max(minSubset, maxLeasedEndpoints/max(1, models)))
 }
 
 // model is one model's admission on this box, under its own lock.
 type model struct {
-	name     string
-	mu       sync.Mutex
-	core     *admission.Model
-	waiters  map[string]chan core.Command
-	recorder *trace.Recorder
-	until    map[string]time.Time
-	want     func()
+	name          string
+	mu            sync.Mutex
+	core          *admission.Model
+	waiters       map[string]chan core.Command
+	recorder      *trace.Recorder
+	until         map[string]time.Time
+	requestLeases func()
 }
 
 func (e *Entry) modelOf(name string) *model {
 	return e.models.GetOrCreate(name, func() *model {
 		m := &model{
-			name:     name,
-			core:     admission.NewModel(),
-			waiters:  make(map[string]chan core.Command),
-			recorder: e.recorder,
-			until:    make(map[string]time.Time),
-			want:     func() { go e.renew(context.Background(), name) },
+			name:          name,
+			core:          admission.NewModel(),
+			waiters:       make(map[string]chan core.Command),
+			recorder:      e.recorder,
+			until:         make(map[string]time.Time),
+			requestLeases: func() { go e.renewModels(context.Background(), name) },
 		}
 		rules := admission.DefaultRules()
 		m.recorder.Event(time.Now(), trace.Model+name, trace.ModelBegun{
@@ -66,20 +66,20 @@
 	for _, command := range m.core.Step(now, ev) {
 		switch c := command.(type) {
 		case admission.PlaceRequest:
-			m.answer(c.ID, c)
+			m.reply(c.ID, c)
 		case admission.RefuseRequest:
-			m.answer(c.ID, c)
+			m.reply(c.ID, c)
 		case admission.Wake:
 			time.AfterFunc(c.After, func() { m.step(time.Now(), admission.Ticked{}) })
 		case admission.WantLeases:
-			m.want()
+			m.requestLeases()
 		case admission.PolicyFailed:
 			policyFailures.Inc()
 		}
 	}
 }
 
-func (m *model) answer(id string, c core.Command) {
+func (m *model) reply(id string, c core.Command) {
 	waiter := m.waiters[id]
 	delete(m.waiters, id)
 	if waiter != nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// arrive queues a request and gives the channel of its one answer.
-func (m *model) arrive(now time.Time, r admission.Request) <-chan core.Command {
+// enqueue queues a request and gives the channel of its one answer.
+func (m *model) enqueue(now time.Time, r admission.Request) <-chan core.Command {
 	waiter := make(chan core.Command, 1)
 	m.mu.Lock()
 	m.waiters[r.ID] = waiter
@@ -116,7 +116,7 @@
 	}
 }
 
-func (m *model) leased(now time.Time) bool {
+func (m *model) hasLease(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, until := range m.until {
@@ -127,8 +127,8 @@
 	return false
 }
 
-// changed puts a new configuration's rules and endpoints in force.
-func (e *Entry) changed(v watch.View) {
+// applyView puts a new configuration's rules and endpoints in force.
+func (e *Entry) applyView(v watch.View) {
 	if v.Document == nil || v.List == nil {
 		return
 	}
@@ -141,18 +141,18 @@
 	for i := range v.Document.Models {
 		settings := &v.Document.Models[i]
 		m := e.modelOf(settings.Name)
-		names := subset(v, self, settings.Name)
+		names := selectEndpoints(v, self, settings.Name)
 		m.mu.Lock()
-		m.core.SetRules(rulesOf(v.Document, settings))
+		m.core.SetRules(admissionRules(v.Document, settings))
 		m.mu.Unlock()
 		m.step(now, admission.EndpointsChanged{Names: names})
 	}
 }
 
-// subset gives the endpoints of a model that a box uses: all if they are few.
+// selectEndpoints gives the endpoints of a model that a box uses: all if they are few.
 // Else half are of the box's zone and half of the rest of its region, each ranked
 // by rendezvous; those beyond fill up where the region has too few.
-func subset(v watch.View, self *core.Member, model string) []string {
+func selectEndpoints(v watch.View, self *core.Member, model string) []string {
 	regions := make(map[string]string)
 	for i := range v.List.Boxes {
 		regions[v.List.Boxes[i].Zone] = v.List.Boxes[i].Region
@@ -183,7 +183,7 @@
 	return chosen
 }
 
-func rulesOf(d *config.Document, m *config.Model) admission.Rules {
+func admissionRules(d *config.Document, m *config.Model) admission.Rules {
 	rules := admission.DefaultRules()
 	rules.ExpectTokens = m.ExpectTokens
 	rules.MaxWait = d.Limits.MaxWait
@@ -221,22 +221,22 @@
 	}
 }
 
-// renew sends one message to each owner, with a wish for each half of an
+// renewModels sends one message to each owner, with a wish for each half of an
 // endpoint. Beyond the leases that are due it asks only within its credit.
-func (e *Entry) renew(ctx context.Context, models ...string) {
+func (e *Entry) renewModels(ctx context.Context, models ...string) {
 	v := e.state.View()
 	if v.Document == nil || v.List == nil {
 		return
 	}
-	eager := e.credit.allows(time.Now())
-	asks := make(map[string]*wire.LeaseRequest)
+	eager := e.leaseByteBudget.isAvailable(time.Now())
+	requests := make(map[string]*wire.LeaseRequest)
 	for _, name := range models {
-		e.wishes(v, name, eager, asks)
+		e.demands(v, name, eager, requests)
 	}
-	for owner, ask := range asks {
-		e.credit.spend(len(ask.Demands) * wishBytes)
+	for owner, request := range requests {
+		e.leaseByteBudget.charge(len(request.Demands) * demandBytes)
 		if member := v.List.Member(owner); member != nil {
-			go e.askLeases(ctx, *member, *ask)
+			go e.sendLeaseRequest(ctx, *member, *request)
 		}
 	}
 }
@@ -250,26 +250,26 @@
 	for i := range d.Models {
 		names = append(names, d.Models[i].Name)
 	}
-	e.renew(ctx, names...)
+	e.renewModels(ctx, names...)
 }
 
-func (e *Entry) wishes(v watch.View, modelName string, eager bool, asks map[string]*wire.LeaseRequest) {
+func (e *Entry) demands(v watch.View, modelName string, eager bool, requests map[string]*wire.LeaseRequest) {
 	m := e.modelOf(modelName)
 	m.mu.Lock()
-	wishes := m.core.Demands(time.Now(), eager)
+	demands := m.core.Demands(time.Now(), eager)
 	m.mu.Unlock()
-	for _, w := range wishes {
+	for _, w := range demands {
 		for slot := range core.SlotCount {
 			owner := e.owners.Of(v, w.Endpoint, slot)
-			if asks[owner] == nil {
-				asks[owner] = &wire.LeaseRequest{Box: e.self}
+			if requests[owner] == nil {
+				requests[owner] = &wire.LeaseRequest{Box: e.self}
 			}
-			asks[owner].Demands = append(asks[owner].Demands, leaseWish(modelName, w, slot))
+			requests[owner].Demands = append(requests[owner].Demands, newLeaseDemand(modelName, w, slot))
 		}
 	}
 }
 
-func leaseWish(model string, w admission.EndpointDemand, slot int) wire.LeaseDemand {
+func newLeaseDemand(model string, w admission.EndpointDemand, slot int) wire.LeaseDemand {
 	mean, deviation := w.Profile.Floats()
 	return wire.LeaseDemand{
 		Endpoint:  w.Endpoint,
@@ -285,23 +285,23 @@
 	}
 }
 
-func (e *Entry) askLeases(ctx context.Context, owner core.Member, ask wire.LeaseRequest) {
+func (e *Entry) sendLeaseRequest(ctx context.Context, owner core.Member, request wire.LeaseRequest) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	asked := time.Now()
-	answer, err := wire.Request[wire.LeaseGrants](ctx, e.pool, owner.Scheduler, ask)
+	requestedAt := time.Now()
+	answer, err := wire.Request[wire.LeaseGrants](ctx, e.pool, owner.Scheduler, request)
 	if err != nil {
 		leaseFaults.Inc()
 		return
 	}
 	for _, g := range answer.Grants {
-		e.leaseGranted(asked, g)
+		e.applyLeaseGrant(requestedAt, g)
 	}
 }
 
-func (e *Entry) leaseGranted(asked time.Time, g wire.LeaseGrant) {
+func (e *Entry) applyLeaseGrant(requestedAt time.Time, g wire.LeaseGrant) {
 	m := e.modelOf(g.Model)
-	lease := core.NewLease(g.Endpoint, asked, g.TTL, g.Tokens, g.Slots)
+	lease := core.NewLease(g.Endpoint, requestedAt, g.TTL, g.Tokens, g.Slots)
 	m.mu.Lock()
 	m.until[g.Endpoint] = lease.Until
 	m.mu.Unlock()
--- a/entry/panic_test.go
+++ b/entry/panic_test.go
@@ -13,15 +13,15 @@
 	"dillsaddle.example/dillsaddle/engine/completions"
 )
 
-// poison is in the prompts that make the worker panic.
-const poison = "poison"
+// poisonPrompt is in the prompts that make the worker panic.
+const poisonPrompt = "poison"
 
 // faultyWorker panics on requests whose prompt is poisoned, before or after the
 // engine took them.
 type faultyWorker struct{ engine.Worker }
 
 func (w *faultyWorker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
-	if bytes.Contains(c.Body, []byte(poison)) {
+	if bytes.Contains(c.Body, []byte(poisonPrompt)) {
 		panic("a fault of the worker's")
 	}
 	w.Worker.Start(ctx, c, sink)
@@ -36,7 +36,7 @@
 		worker, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		b := startBox(&faultyWorker{Worker: worker})
-		status, header, text := post(b, poison)
+		status, header, text := post(b, poisonPrompt)
 		Expect(status).To(Equal(http.StatusServiceUnavailable), text)
 		Expect(header.Get("Dillsaddle-Outcome")).To(Equal("unknown"))
 		Expect(header.Get("Retry-After")).NotTo(BeEmpty())
--- a/entry/request.go
+++ b/entry/request.go
@@ -36,36 +36,36 @@
 	Messages json.RawMessage `json:"messages"`
 }
 
-// parsed is a checked request.
-type parsed struct {
-	body      []byte
-	model     string
-	chat      bool
-	stream    bool
-	usage     bool
-	most      int
-	prompt    int
-	prefix    uint64
-	modelSpec *config.Model
+// parsedRequest is a checked request.
+type parsedRequest struct {
+	body         []byte
+	model        string
+	chat         bool
+	stream       bool
+	includeUsage bool
+	maxTokens    int
+	promptTokens int
+	prefix       uint64
+	modelConfig  *config.Model
 }
 
-// charactersPerToken is the rough size of a token before an endpoint counts.
-const charactersPerToken = 4
+// bytesPerToken is the rough size of a token before an endpoint counts.
+const bytesPerToken = 4
 
 // prefixBytes is how much of a prompt's start names its cached prefix.
 const prefixBytes = 64
 
-func parseCompletion(d *config.Document, body []byte, chat bool) (*parsed, *Problem) {
+func parseCompletion(d *config.Document, body []byte, chat bool) (*parsedRequest, *Problem) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return nil, badJSON(err)
+		return nil, jsonProblem(err)
 	}
-	p := &parsed{
-		body:   body,
-		model:  b.Model,
-		chat:   chat,
-		stream: b.Stream,
-		usage:  b.StreamOptions.IncludeUsage,
+	p := &parsedRequest{
+		body:         body,
+		model:        b.Model,
+		chat:         chat,
+		stream:       b.Stream,
+		includeUsage: b.StreamOptions.IncludeUsage,
 	}
 	if problem := p.checkText(&b); problem != nil {
 		return nil, problem
@@ -73,74 +73,74 @@
 	if problem := p.checkModel(d, &b); problem != nil {
 		return nil, problem
 	}
-	p.measure()
+	p.estimatePrompt()
 	return p, nil
 }
 
-func badJSON(err error) *Problem {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return invalid(http.StatusBadRequest, "invalid_type",
-			fmt.Sprintf("field %q can't be a %s; correct its type as docs/API.md says", wrong.Field, wrong.Value))
+func jsonProblem(err error) *Problem {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return newRejection(http.StatusBadRequest, "invalid_type",
+			fmt.Sprintf("field %q can't be a %s; correct its type as docs/API.md says", typeErr.Field, typeErr.Value))
 	}
-	return invalid(http.StatusBadRequest, "invalid_json", "the body is not JSON ("+err.Error()+"); send one JSON object")
+	return newRejection(http.StatusBadRequest, "invalid_json", "the body is not JSON ("+err.Error()+"); send one JSON object")
 }
 
-func (p *parsed) checkText(b *completionBody) *Problem {
+func (p *parsedRequest) checkText(b *completionBody) *Problem {
 	if p.chat {
 		return checkMessages(b.Messages)
 	}
 	if len(b.Prompt) == 0 || string(b.Prompt) == "null" {
-		return invalid(http.StatusBadRequest, "missing_prompt", `the field "prompt" is missing; send the text to complete`)
+		return newRejection(http.StatusBadRequest, "missing_prompt", `the field "prompt" is missing; send the text to complete`)
 	}
 	if first := b.Prompt[0]; first != '"' && first != '[' {
-		return invalid(http.StatusBadRequest, "invalid_type", `the field "prompt" is neither a string nor a list; send the text to complete`)
+		return newRejection(http.StatusBadRequest, "invalid_type", `the field "prompt" is neither a string nor a list; send the text to complete`)
 	}
 	return nil
 }
 
 func checkMessages(messages []chatMessage) *Problem {
 	if len(messages) == 0 {
-		return invalid(http.StatusBadRequest, "missing_messages", `the field "messages" is missing or empty; send one message or more`)
+		return newRejection(http.StatusBadRequest, "missing_messages", `the field "messages" is missing or empty; send one message or more`)
 	}
 	for i, m := range messages {
 		if m.Role == "" {
-			return invalid(http.StatusBadRequest, "missing_role", fmt.Sprintf(`message %d has no "role"; give user, assistant or system`, i))
+			return newRejection(http.StatusBadRequest, "missing_role", fmt.Sprintf(`message %d has no "role"; give user, assistant or system`, i))
 		}
 	}
 	return nil
 }
 
-func (p *parsed) checkModel(d *config.Document, b *completionBody) *Problem {
+func (p *parsedRequest) checkModel(d *config.Document, b *completionBody) *Problem {
 	if b.Model == "" {
-		return invalid(http.StatusBadRequest, "missing_model", `the field "model" is missing; GET /v1/models lists the models`)
+		return newRejection(http.StatusBadRequest, "missing_model", `the field "model" is missing; GET /v1/models lists the models`)
 	}
-	p.modelSpec = d.Model(b.Model)
-	if p.modelSpec == nil {
-		return invalid(http.StatusNotFound, "model_not_found", fmt.Sprintf("no model is named %q; GET /v1/models lists the models", b.Model))
+	p.modelConfig = d.Model(b.Model)
+	if p.modelConfig == nil {
+		return newRejection(http.StatusNotFound, "model_not_found", fmt.Sprintf("no model is named %q; GET /v1/models lists the models", b.Model))
 	}
 	if b.Choices != nil && *b.Choices != 1 {
-		return invalid(http.StatusBadRequest, "unsupported_n", `the field "n" must be 1; send one request for each answer`)
+		return newRejection(http.StatusBadRequest, "unsupported_n", `the field "n" must be 1; send one request for each answer`)
 	}
-	p.most = p.modelSpec.MaxTokens
-	for _, wanted := range []*int{b.MaxTokens, b.MaxCompletionTokens} {
-		if wanted == nil {
+	p.maxTokens = p.modelConfig.MaxTokens
+	for _, requested := range []*int{b.MaxTokens, b.MaxCompletionTokens} {
+		if requested == nil {
 			continue
 		}
-		if *wanted < 1 || *wanted > p.modelSpec.MaxTokens {
-			return invalid(http.StatusBadRequest, "invalid_max_tokens",
-				fmt.Sprintf("max_tokens is %d; send a number from 1 to %d", *wanted, p.modelSpec.MaxTokens))
+		if *requested < 1 || *requested > p.modelConfig.MaxTokens {
+			return newRejection(http.StatusBadRequest, "invalid_max_tokens",
+				fmt.Sprintf("max_tokens is %d; send a number from 1 to %d", *requested, p.modelConfig.MaxTokens))
 		}
-		p.most = *wanted
+		p.maxTokens = *requested
 	}
 	return nil
 }
 
-func (p *parsed) measure() {
+func (p *parsedRequest) estimatePrompt() {
 	var raw rawPrompt
 	_ = json.Unmarshal(p.body, &raw)
 	text := string(raw.Prompt) + string(raw.Messages)
-	p.prompt = 1 + len(text)/charactersPerToken
+	p.promptTokens = 1 + len(text)/bytesPerToken
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text[:min(len(text), prefixBytes)]))
 	p.prefix = h.Sum64()
--- a/entry/service_client.go
+++ b/entry/service_client.go
@@ -18,10 +18,10 @@
 // fresh connection each time: on a kept one, a close by the other side can't be
 // told from a loss, and the HTTP library sends some methods again by itself.
 type serviceClient struct {
-	kept  *client.Client
-	fresh *client.Client
-	mu    sync.Mutex
-	load  map[netip.AddrPort]*serverLoad
+	keepAlive *client.Client
+	fresh     *client.Client
+	mu        sync.Mutex
+	load      map[netip.AddrPort]*serverLoad
 }
 
 // serverLoad is what one box knows of one server of a service.
@@ -40,7 +40,7 @@
 		client.WithDialTimeout(time.Second),
 		client.WithMaxConnsPerHost(maxServiceConnections),
 	}
-	kept, err := client.NewClient(options...)
+	keepAlive, err := client.NewClient(options...)
 	if err != nil {
 		return nil, errors.Wrap(err, "build the service client")
 	}
@@ -49,13 +49,13 @@
 		return nil, errors.Wrap(err, "build the service client")
 	}
 	return &serviceClient{
-		kept:  kept,
-		fresh: fresh,
-		load:  make(map[netip.AddrPort]*serverLoad),
+		keepAlive: keepAlive,
+		fresh:     fresh,
+		load:      make(map[netip.AddrPort]*serverLoad),
 	}, nil
 }
 
-func (s *serviceClient) of(address netip.AddrPort) *serverLoad {
+func (s *serviceClient) loadOf(address netip.AddrPort) *serverLoad {
 	l := s.load[address]
 	if l == nil {
 		l = &serverLoad{}
@@ -64,20 +64,20 @@
 	return l
 }
 
-// failedFor is how long a server that failed goes last.
-const failedFor = 2 * time.Second
+// failurePenaltyTime is how long a server that failed goes last.
+const failurePenaltyTime = 2 * time.Second
 
-// choose gives the server with the least expected time to answer, but for those
+// pick gives the server with the least expected time to answer, but for those
 // to avoid, and counts the call in.
-func (s *serviceClient) choose(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
+func (s *serviceClient) pick(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var best netip.AddrPort
 	least := 0.0
 	for _, address := range all {
-		l := s.of(address)
+		l := s.loadOf(address)
 		cost := float64(l.open+1) * (l.latency + 0.001)
-		if now.Sub(l.failedAt) < failedFor {
+		if now.Sub(l.failedAt) < failurePenaltyTime {
 			cost += 1000
 		}
 		if address == avoid && len(all) > 1 {
@@ -87,17 +87,17 @@
 			best, least = address, cost
 		}
 	}
-	s.of(best).open++
+	s.loadOf(best).open++
 	return best
 }
 
 // latencyWeight is the weight of the newest call.
 const latencyWeight = 0.2
 
-func (s *serviceClient) done(address netip.AddrPort, took time.Duration, failed bool) {
+func (s *serviceClient) recordResult(address netip.AddrPort, took time.Duration, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.of(address)
+	l := s.loadOf(address)
 	l.open--
 	if failed {
 		l.failedAt = time.Now()
@@ -110,13 +110,13 @@
 func (s *serviceClient) do(ctx context.Context, req *protocol.Request, resp *protocol.Response, timeout time.Duration, repeatable bool) error {
 	req.SetOptions(config.WithRequestTimeout(timeout))
 	if repeatable {
-		return s.kept.Do(ctx, req, resp)
+		return s.keepAlive.Do(ctx, req, resp)
 	}
 	return s.fresh.Do(ctx, req, resp)
 }
 
-// unsent reports whether an error means that no byte of the request left.
-func unsent(err error) bool {
+// isUnsent reports whether an error means that no byte of the request left.
+func isUnsent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -48,7 +48,7 @@
 		ListVersion:   versions.List,
 		ListAge:       time.Since(v.ConfirmedAt).Round(time.Millisecond).String(),
 		Drain:         string(e.drainState()),
-		Requests:      e.working(),
+		Requests:      e.activeRequests(),
 		Suspected:     v.Suspected,
 	}
 	e.models.Each(func(_ string, m *model) { s.Models = append(s.Models, m.status()) })
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -20,16 +20,16 @@
 // when they are there together.
 type streamWriter struct {
 	c      *app.RequestContext
-	link   *callerLink
+	conn   *callerConn
 	body   network.ExtWriter
-	p      *parsed
+	p      *parsedRequest
 	buffer []byte
 }
 
-func newStreamWriter(c *app.RequestContext, link *callerLink, p *parsed) *streamWriter {
+func newStreamWriter(c *app.RequestContext, conn *callerConn, p *parsedRequest) *streamWriter {
 	return &streamWriter{
 		c:    c,
-		link: link,
+		conn: conn,
 		p:    p,
 	}
 }
@@ -82,22 +82,22 @@
 	if err := w.body.Flush(); err != nil {
 		return err
 	}
-	if w.link.slow.Load() {
+	if w.conn.isSlow.Load() {
 		return errSlowCaller
 	}
 	return nil
 }
 
-// lastBody is a whole answer, or the last chunk of a stream whose caller asked for
+// completionResponse is a whole answer, or the last chunk of a stream whose caller asked for
 // usage, which has no choices.
-type lastBody struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   usageBody     `json:"usage"`
-	Outcome core.Outcome  `json:"Dillsaddle-Outcome"`
+type completionResponse struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   usageBody          `json:"usage"`
+	Outcome core.Outcome       `json:"Dillsaddle-Outcome"`
 }
 
 type usageBody struct {
@@ -106,7 +106,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func usageOf(u engine.Usage) usageBody {
+func newUsageBody(u engine.Usage) usageBody {
 	return usageBody{
 		PromptTokens:     u.PromptTokens,
 		CompletionTokens: u.CompletionTokens,
@@ -115,29 +115,29 @@
 }
 
 func (w *streamWriter) finish(id string, offset uint64, last engine.Finished) error {
-	if !w.p.usage {
-		w.token(id, offset, withOutcome(last.Data, core.Ran))
-		return w.done(id, offset, core.Ran)
+	if !w.p.includeUsage {
+		w.token(id, offset, appendOutcome(last.Data, core.Ran))
+		return w.writeDone(id, offset, core.Ran)
 	}
 	w.token(id, offset, last.Data)
-	chunk, err := json.Marshal(lastBody{
+	chunk, err := json.Marshal(completionResponse{
 		ID:      last.Origin.Generation,
 		Object:  objectName(w.p.chat, true),
 		Created: time.Now().Unix(),
 		Model:   w.p.model,
-		Choices: []wholeChoice{},
-		Usage:   usageOf(last.Usage),
+		Choices: []completionChoice{},
+		Usage:   newUsageBody(last.Usage),
 		Outcome: core.Ran,
 	})
 	if err != nil {
 		return err
 	}
 	w.event(id, offset, markUsage, chunk)
-	return w.done(id, offset, core.Ran)
+	return w.writeDone(id, offset, core.Ran)
 }
 
-// withOutcome adds the outcome to a chunk as its last field.
-func withOutcome(data []byte, outcome core.Outcome) []byte {
+// appendOutcome adds the outcome to a chunk as its last field.
+func appendOutcome(data []byte, outcome core.Outcome) []byte {
 	trimmed := bytes.TrimRight(data, " \n")
 	if len(trimmed) < 2 || trimmed[len(trimmed)-1] != '}' {
 		return data
@@ -148,9 +148,9 @@
 	return append(out, `"}`...)
 }
 
-// done writes the mark that ends a stream; its outcome is a field of the event,
+// writeDone writes the mark that ends a stream; its outcome is a field of the event,
 // which clients that don't know it pass over.
-func (w *streamWriter) done(id string, offset uint64, outcome core.Outcome) error {
+func (w *streamWriter) writeDone(id string, offset uint64, outcome core.Outcome) error {
 	w.eventID(id, offset, markDone)
 	w.buffer = append(w.buffer, outcomeHeader+": "...)
 	w.buffer = append(w.buffer, outcome...)
@@ -171,8 +171,8 @@
 		last--
 	}
 	w.event(id, last, markError, text)
-	_ = w.done(id, last, p.Outcome)
-	if w.link.slow.Load() {
+	_ = w.writeDone(id, last, p.Outcome)
+	if w.conn.isSlow.Load() {
 		w.c.Response.SetConnectionClose()
 	}
 	return true
@@ -188,16 +188,16 @@
 	return "text_completion"
 }
 
-// wholeWriter gathers a stream for a caller that wants one answer.
-type wholeWriter struct {
+// bufferedWriter gathers a stream for a caller that wants one answer.
+type bufferedWriter struct {
 	c    *app.RequestContext
-	p    *parsed
+	p    *parsedRequest
 	text strings.Builder
 	id   string
 }
 
-func newWholeWriter(c *app.RequestContext, p *parsed) *wholeWriter {
-	return &wholeWriter{
+func newBufferedWriter(c *app.RequestContext, p *parsedRequest) *bufferedWriter {
+	return &bufferedWriter{
 		c: c,
 		p: p,
 	}
@@ -213,9 +213,9 @@
 	} `json:"choices"`
 }
 
-func (w *wholeWriter) begin(id string) { w.id = id }
+func (w *bufferedWriter) begin(id string) { w.id = id }
 
-func (w *wholeWriter) token(_ string, _ uint64, data []byte) {
+func (w *bufferedWriter) token(_ string, _ uint64, data []byte) {
 	var t tokenChunk
 	if json.Unmarshal(data, &t) != nil || len(t.Choices) == 0 {
 		return
@@ -224,30 +224,30 @@
 	w.text.WriteString(t.Choices[0].Delta.Content)
 }
 
-func (w *wholeWriter) flush() error { return nil }
+func (w *bufferedWriter) flush() error { return nil }
 
-type wholeChoice struct {
-	Index   int           `json:"index"`
-	Text    *string       `json:"text,omitempty"`
-	Message *wholeMessage `json:"message,omitempty"`
-	Reason  string        `json:"finish_reason"`
+type completionChoice struct {
+	Index   int                `json:"index"`
+	Text    *string            `json:"text,omitempty"`
+	Message *completionMessage `json:"message,omitempty"`
+	Reason  string             `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-func (w *wholeWriter) finish(id string, _ uint64, last engine.Finished) error {
+func (w *bufferedWriter) finish(id string, _ uint64, last engine.Finished) error {
 	var t tokenChunk
 	_ = json.Unmarshal(last.Data, &t)
-	choice := wholeChoice{Reason: "stop"}
+	choice := completionChoice{Reason: "stop"}
 	if len(t.Choices) > 0 {
 		choice.Reason = t.Choices[0].Reason
 	}
 	text := w.text.String()
 	if w.p.chat {
-		choice.Message = &wholeMessage{
+		choice.Message = &completionMessage{
 			Role:    "assistant",
 			Content: text,
 		}
@@ -256,16 +256,16 @@
 	}
 	w.c.Response.Header.Set(requestHeader, id)
 	w.c.Response.Header.Set(outcomeHeader, string(core.Ran))
-	w.c.JSON(http.StatusOK, lastBody{
+	w.c.JSON(http.StatusOK, completionResponse{
 		ID:      last.Origin.Generation,
 		Object:  objectName(w.p.chat, false),
 		Created: time.Now().Unix(),
 		Model:   w.p.model,
-		Choices: []wholeChoice{choice},
-		Usage:   usageOf(last.Usage),
+		Choices: []completionChoice{choice},
+		Usage:   newUsageBody(last.Usage),
 		Outcome: core.Ran,
 	})
 	return nil
 }
 
-func (w *wholeWriter) fail(string, uint64, *Problem) bool { return false }
+func (w *bufferedWriter) fail(string, uint64, *Problem) bool { return false }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -29,9 +29,9 @@
 	Body     cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-var encoding = mustEncoding()
+var encMode = newEncMode()
 
-func mustEncoding() cbor.EncMode {
+func newEncMode() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
 	options.Time = cbor.TimeRFC3339Nano
 	mode, err := options.EncMode()
@@ -51,9 +51,9 @@
 	return "message of a newer protocol version; replace this box by the newer release first"
 }
 
-func seal(e envelope, body Message) ([]byte, error) {
+func encodeEnvelope(e envelope, body Message) ([]byte, error) {
 	if body != nil {
-		raw, err := encoding.Marshal(body)
+		raw, err := encMode.Marshal(body)
 		if err != nil {
 			return nil, errors.Wrap(err, "encode "+body.Kind())
 		}
@@ -61,10 +61,10 @@
 		e.Body = raw
 	}
 	e.Protocol = protocolVersion
-	return encoding.Marshal(e)
+	return encMode.Marshal(e)
 }
 
-func open(data []byte) (envelope, error) {
+func decodeEnvelope(data []byte) (envelope, error) {
 	var e envelope
 	if err := cbor.Unmarshal(data, &e); err != nil {
 		return e, errors.Wrap(err, "decode an envelope")
@@ -77,7 +77,7 @@
 
 // EncodedSize gives the bytes that a message's body takes on the wire.
 func EncodedSize(m any) int {
-	raw, err := encoding.Marshal(m)
+	raw, err := encMode.Marshal(m)
 	if err != nil {
 		return 0
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// maxMessage bounds one message; a configuration document may be a megabyte.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds one message; a configuration document may be a megabyte.
+const maxMessageBytes = 4 << 20
 
 // writeTimeout bounds one write, so that a link that stalls without breaking
 // is given up.
@@ -30,24 +30,24 @@
 
 // Conn is one connection between two processes.
 type Conn struct {
-	socket   *websocket.Conn
-	remote   netip.AddrPort
-	handlers *Handlers
-	mu       sync.Mutex
-	next     uint64
-	pending  map[uint64]chan envelope
-	closed   chan struct{}
-	once     sync.Once
-	began    time.Time
-	progress atomic.Int64 // from then until bytes came last, in nanoseconds
+	socket        *websocket.Conn
+	remote        netip.AddrPort
+	handlers      *Handlers
+	mu            sync.Mutex
+	lastID        uint64
+	pending       map[uint64]chan envelope
+	closed        chan struct{}
+	once          sync.Once
+	openedAt      time.Time
+	lastReadNanos atomic.Int64 // from then until bytes came last, in nanoseconds
 }
 
 func newConn(socket *websocket.Conn, remote netip.AddrPort, handlers *Handlers) *Conn {
-	socket.SetReadLimit(maxMessage)
+	socket.SetReadLimit(maxMessageBytes)
 	return &Conn{
 		socket:   socket,
 		remote:   remote,
-		began:    time.Now(),
+		openedAt: time.Now(),
 		handlers: handlers,
 		pending:  make(map[uint64]chan envelope),
 		closed:   make(chan struct{}),
@@ -100,12 +100,12 @@
 		if err != nil {
 			return
 		}
-		c.handlers.traffic.received(len(data))
-		e, err := open(data)
+		c.handlers.traffic.countReceived(len(data))
+		e, err := decodeEnvelope(data)
 		if err != nil {
 			return
 		}
-		c.handlers.onVers(c, e.Versions)
+		c.handlers.onVersions(c, e.Versions)
 		c.dispatch(ctx, e)
 	}
 }
@@ -115,9 +115,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(progressing{
-		from: message,
-		conn: c,
+	return io.ReadAll(progressReader{
+		source: message,
+		conn:   c,
 	})
 }
 
@@ -135,20 +135,20 @@
 
 func (c *Conn) deliver(e envelope) {
 	c.mu.Lock()
-	waiting := c.pending[e.ID]
+	answers := c.pending[e.ID]
 	delete(c.pending, e.ID)
 	c.mu.Unlock()
-	if waiting == nil {
+	if answers == nil {
 		c.handlers.traffic.LateAnswers.Add(1)
 		return
 	}
-	waiting <- e
+	answers <- e
 }
 
 func (c *Conn) handle(ctx context.Context, e envelope) {
 	handle := c.handlers.byKind[e.Kind]
 	if handle == nil {
-		c.fault(ctx, e.ID, "no handler for "+e.Kind+"; use one release on all boxes")
+		c.sendFault(ctx, e.ID, "no handler for "+e.Kind+"; use one release on all boxes")
 		return
 	}
 	answer, err := handle(ctx, c, e.Body)
@@ -156,7 +156,7 @@
 		return
 	}
 	if err != nil {
-		c.fault(ctx, e.ID, err.Error())
+		c.sendFault(ctx, e.ID, err.Error())
 		return
 	}
 	began := time.Now()
@@ -167,7 +167,7 @@
 	if answer == nil {
 		return // a pushed kind that came as a question
 	}
-	c.handlers.answered(SentAnswer{
+	c.handlers.onAnswerSent(SentAnswer{
 		Conn:      c,
 		Kind:      answer.Kind(),
 		Bytes:     size,
@@ -176,7 +176,7 @@
 	})
 }
 
-func (c *Conn) fault(ctx context.Context, id uint64, text string) {
+func (c *Conn) sendFault(ctx context.Context, id uint64, text string) {
 	if id == 0 {
 		return
 	}
@@ -190,13 +190,13 @@
 // write sends a message and gives its size in bytes.
 func (c *Conn) write(ctx context.Context, e envelope, body Message) (int, error) {
 	e.Versions = c.handlers.versions()
-	data, err := seal(e, body)
+	data, err := encodeEnvelope(e, body)
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	c.handlers.traffic.sent(len(data))
+	c.handlers.traffic.countSent(len(data))
 	if err := c.socket.Write(ctx, websocket.MessageBinary, data); err != nil {
 		c.Close()
 		return len(data), errors.Wrap(err, "write to the other process")
@@ -213,37 +213,37 @@
 func (c *Conn) register() (uint64, chan envelope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	waiting := make(chan envelope, 1)
-	c.pending[c.next] = waiting
-	return c.next, waiting
+	c.lastID++
+	answers := make(chan envelope, 1)
+	c.pending[c.lastID] = answers
+	return c.lastID, answers
 }
 
-func (c *Conn) forget(id uint64) {
+func (c *Conn) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
 // Call sends a request and waits for its answer.
-func Call[A Message](ctx context.Context, c *Conn, q Message) (A, error) {
+func Call[A Message](ctx context.Context, c *Conn, request Message) (A, error) {
 	var answer A
-	id, waiting := c.register()
-	if _, err := c.write(ctx, envelope{ID: id}, q); err != nil {
-		c.forget(id)
+	id, answers := c.register()
+	if _, err := c.write(ctx, envelope{ID: id}, request); err != nil {
+		c.removePending(id)
 		return answer, err
 	}
 	select {
-	case e := <-waiting:
+	case e := <-answers:
 		if e.Fault != "" {
 			return answer, &RemoteError{Fault: e.Fault}
 		}
-		return answer, errors.Wrap(cbor.Unmarshal(e.Body, &answer), "decode the answer to "+q.Kind())
+		return answer, errors.Wrap(cbor.Unmarshal(e.Body, &answer), "decode the answer to "+request.Kind())
 	case <-ctx.Done():
-		c.forget(id)
-		return answer, errors.Wrap(ctx.Err(), "no answer to "+q.Kind())
+		c.removePending(id)
+		return answer, errors.Wrap(ctx.Err(), "no answer to "+request.Kind())
 	case <-c.closed:
-		c.forget(id)
-		return answer, errors.New("connection ended before the answer to " + q.Kind())
+		c.removePending(id)
+		return answer, errors.New("connection ended before the answer to " + request.Kind())
 	}
 }
--- a/wire/handler.go
+++ b/wire/handler.go
@@ -13,13 +13,13 @@
 
 // Handlers says what to do with each kind of message.
 type Handlers struct {
-	byKind   map[string]handler
-	onVers   func(c *Conn, v Versions)
-	versions func() Versions
-	traffic  *Traffic
-	answered func(SentAnswer)
-	network  Network
-	client   *http.Client // opens connections over the network
+	byKind       map[string]handler
+	onVersions   func(c *Conn, v Versions)
+	versions     func() Versions
+	traffic      *Traffic
+	onAnswerSent func(SentAnswer)
+	network      Network
+	client       *http.Client // opens connections over the network
 }
 
 // SentAnswer is an answer that was handed to its connection, or couldn't be.
@@ -40,13 +40,13 @@
 }
 
 // WithOnVersions is called with the versions on each received message.
-func WithOnVersions(seen func(c *Conn, v Versions)) HandlersOption {
-	return func(h *Handlers) { h.onVers = seen }
+func WithOnVersions(callback func(c *Conn, v Versions)) HandlersOption {
+	return func(h *Handlers) { h.onVersions = callback }
 }
 
 // WithOnAnswerSent is called after each answer.
-func WithOnAnswerSent(onAnswered func(SentAnswer)) HandlersOption {
-	return func(h *Handlers) { h.answered = onAnswered }
+func WithOnAnswerSent(callback func(SentAnswer)) HandlersOption {
+	return func(h *Handlers) { h.onAnswerSent = callback }
 }
 
 // WithNetwork gives what connections run over; without it, the operating system's.
@@ -57,17 +57,17 @@
 // NewHandlers builds an empty table.
 func NewHandlers(options ...HandlersOption) *Handlers {
 	h := &Handlers{
-		byKind:   make(map[string]handler),
-		onVers:   func(*Conn, Versions) {},
-		versions: func() Versions { return Versions{} },
-		traffic:  &Traffic{},
-		answered: func(SentAnswer) {},
-		network:  TCPNetwork{},
+		byKind:       make(map[string]handler),
+		onVersions:   func(*Conn, Versions) {},
+		versions:     func() Versions { return Versions{} },
+		traffic:      &Traffic{},
+		onAnswerSent: func(SentAnswer) {},
+		network:      TCPNetwork{},
 	}
 	for _, o := range options {
 		o(h)
 	}
-	h.client = clientOf(h.network)
+	h.client = newHTTPClient(h.network)
 	return h
 }
 
@@ -75,26 +75,26 @@
 func (h *Handlers) Traffic() *Traffic { return h.traffic }
 
 // HandleRequest registers what answers requests of the kind Q.
-func HandleRequest[Q, A Message](h *Handlers, answer func(ctx context.Context, c *Conn, q Q) (A, error)) {
+func HandleRequest[Q, A Message](h *Handlers, handle func(ctx context.Context, c *Conn, q Q) (A, error)) {
 	var zero Q
 	h.byKind[zero.Kind()] = func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error) {
 		var q Q
 		if err := cbor.Unmarshal(body, &q); err != nil {
 			return nil, errors.Wrap(err, "decode "+zero.Kind())
 		}
-		return answer(ctx, c, q)
+		return handle(ctx, c, q)
 	}
 }
 
 // HandlePush registers what takes pushes of the kind M, which get no answer.
-func HandlePush[M Message](h *Handlers, take func(ctx context.Context, c *Conn, m M)) {
+func HandlePush[M Message](h *Handlers, handle func(ctx context.Context, c *Conn, m M)) {
 	var zero M
 	h.byKind[zero.Kind()] = func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error) {
 		var m M
 		if err := cbor.Unmarshal(body, &m); err != nil {
 			return nil, errors.Wrap(err, "decode "+zero.Kind())
 		}
-		take(ctx, c, m)
+		handle(ctx, c, m)
 		return nil, nil
 	}
 }
--- a/wire/patience_test.go
+++ b/wire/idle_timeout_test.go
@@ -13,9 +13,9 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// callOver asks another process over a link in virtual time, which answers after a
+// callOverLink asks another process over a link in virtual time, which answers after a
 // pause with a configuration of some bytes.
-func callOver(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, ask func(c *wire.Conn) error) error {
+func callOverLink(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, ask func(c *wire.Conn) error) error {
 	var err error
 	synctest.Test(t, func(t *testing.T) {
 		n := emulator.NewNetwork(time.Millisecond)
@@ -45,9 +45,9 @@
 
 // A snapshot of a megabyte takes 1.7 s of a link of 5 Mbit/s. A bound on the whole of it
 // threw it away after a second, and had it sent again: each time.
-func TestAnAnswerThatKeepsComingIsWaitedFor(t *testing.T) {
+func TestSlowAnswerCompletesWhileBytesArrive(t *testing.T) {
 	g := gomega.NewWithT(t)
-	err := callOver(t, 5e6/8, 1<<20, 0, func(c *wire.Conn) error {
+	err := callOverLink(t, 5e6/8, 1<<20, 0, func(c *wire.Conn) error {
 		s, err := wire.CallWithIdleTimeout[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
 		g.Expect(s.Config).To(gomega.HaveLen(1 << 20))
 		return err
@@ -55,10 +55,10 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestAnAnswerThatDoesNotBeginIsNotWaitedFor(t *testing.T) {
+func TestCallFailsWhenNoBytesArrive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var took time.Duration
-	err := callOver(t, 5e6/8, 10, 20*time.Second, func(c *wire.Conn) error {
+	err := callOverLink(t, 5e6/8, 10, 20*time.Second, func(c *wire.Conn) error {
 		began := time.Now()
 		_, err := wire.CallWithIdleTimeout[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
 		took = time.Since(began)
--- a/wire/network.go
+++ b/wire/network.go
@@ -30,13 +30,13 @@
 	return d.DialContext(ctx, "tcp", to.String())
 }
 
-// abandonedTime is how long a connection stays that came after who asked for it had
+// unusedConnTimeout is how long a connection stays that came after who asked for it had
 // given up: nobody uses it, and the client would keep it for good. Greetings are given
 // up after less than a second.
-const abandonedTime = 2 * time.Second
+const unusedConnTimeout = 2 * time.Second
 
-// clientOf gives a client whose connections run over a network.
-func clientOf(n Network) *http.Client {
+// newHTTPClient gives a client whose connections run over a network.
+func newHTTPClient(n Network) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -46,7 +46,7 @@
 				}
 				return n.Dial(ctx, to)
 			},
-			IdleConnTimeout: abandonedTime,
+			IdleConnTimeout: unusedConnTimeout,
 		},
 	}
 }
--- a/wire/pack.go
+++ b/wire/pack.go
@@ -9,15 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnpacked bounds what packed bytes may grow to: a configuration of a megabyte
+// maxUnpackedBytes bounds what packed bytes may grow to: a configuration of a megabyte
 // and a list of some thousand endpoints are within it.
-const maxUnpacked = 32 << 20
+const maxUnpackedBytes = 32 << 20
 
 // Pack gives a message's body compressed, to be sent in parts. Names and paths of
 // routes are random, the rest of them is alike: a configuration of 2,850 routes takes
 // 47 KB of 244; packing takes 3.1 ms of a core.
 func Pack(m Message) ([]byte, error) {
-	raw, err := encoding.Marshal(m)
+	raw, err := encMode.Marshal(m)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode "+m.Kind())
 	}
@@ -38,12 +38,12 @@
 // Unpack gives the message that was packed.
 func Unpack[M Message](packed []byte) (M, error) {
 	var m M
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked+1))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes+1))
 	if err != nil {
 		return m, errors.Wrap(err, "decompress "+m.Kind())
 	}
-	if len(raw) > maxUnpacked {
-		return m, errors.Errorf("%s has over %d bytes; raise the bound on all boxes", m.Kind(), maxUnpacked)
+	if len(raw) > maxUnpackedBytes {
+		return m, errors.Errorf("%s has over %d bytes; raise the bound on all boxes", m.Kind(), maxUnpackedBytes)
 	}
 	return m, errors.Wrap(cbor.Unmarshal(raw, &m), "decode "+m.Kind())
 }
--- a/wire/server.go
+++ b/wire/server.go
@@ -55,10 +55,10 @@
 	c.serve(context.WithoutCancel(r.Context()))
 }
 
-func (s *Server) track(c *Conn, live bool) {
+func (s *Server) track(c *Conn, isOpen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if live {
+	if isOpen {
 		s.conns[c] = true
 		return
 	}
--- a/wire/traffic.go
+++ b/wire/traffic.go
@@ -22,13 +22,13 @@
 	ReceivedMessages atomic.Uint64 // messages
 }
 
-func (t *Traffic) sent(size int) {
+func (t *Traffic) countSent(size int) {
 	t.SentBytes.Add(uint64(size))
 	sentMessages.Inc()
 	sentBytes.Add(size)
 }
 
-func (t *Traffic) received(size int) {
+func (t *Traffic) countReceived(size int) {
 	t.ReceivedBytes.Add(uint64(size))
 	t.ReceivedMessages.Add(1)
 	receivedMessages.Inc()
