--- a/wire/codec.go
+++ b/wire/codec.go
@@ -5,18 +5,18 @@
 	"github.com/pkg/errors"
 )
 
-// protocolVersion is the version of the messages in this package; a process
-// refuses an envelope of a higher one.
+// protocolVersion is the protocol version of this package's messages. A process rejects
+// envelopes of a higher version.
 const protocolVersion = 1
 
-// Message is a typed message; its kind names it on the wire.
+// Message is a typed message. Kind returns the name that identifies its type on the wire.
 type Message interface{ Kind() string }
 
-// Versions says what the sender has in force; each envelope carries it.
+// Versions holds the sender's active versions. Every envelope carries it.
 type Versions struct {
 	Config uint64 `cbor:"1,keyasint,omitempty"`
 	List   uint64 `cbor:"2,keyasint,omitempty"`
-	Digest uint64 `cbor:"3,keyasint,omitempty"` // of the configuration's text
+	Digest uint64 `cbor:"3,keyasint,omitempty"` // of the configuration text
 }
 
 type envelope struct {
@@ -41,14 +41,14 @@
 	return mode
 }
 
-// ProtocolError reports an envelope that this version can't read.
+// ProtocolError reports an envelope whose protocol version is too new for this release.
 type ProtocolError struct {
 	Got uint8
 }
 
-// Error names the fault and the remedy.
+// Error implements the error interface.
 func (e *ProtocolError) Error() string {
-	return "message of a newer protocol version; replace this box by the newer release first"
+	return "message has a newer protocol version than this release supports; upgrade this box"
 }
 
 func encodeEnvelope(e envelope, body Message) ([]byte, error) {
@@ -67,7 +67,7 @@
 func decodeEnvelope(data []byte) (envelope, error) {
 	var e envelope
 	if err := cbor.Unmarshal(data, &e); err != nil {
-		return e, errors.Wrap(err, "decode an envelope")
+		return e, errors.Wrap(err, "decode message envelope")
 	}
 	if e.Protocol > protocolVersion {
 		return e, &ProtocolError{Got: e.Protocol}
@@ -75,7 +75,7 @@
 	return e, nil
 }
 
-// EncodedSize gives the bytes that a message's body takes on the wire.
+// EncodedSize returns the encoded size of a message body in bytes, or 0 if it can't be encoded.
 func EncodedSize(m any) int {
 	raw, err := encMode.Marshal(m)
 	if err != nil {
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -13,22 +13,21 @@
 	"github.com/pkg/errors"
 )
 
-// maxMessageBytes bounds one message; a configuration document may be a megabyte.
+// maxMessageBytes limits the size of one message. A configuration document may reach one megabyte.
 const maxMessageBytes = 4 << 20
 
-// writeTimeout bounds one write, so that a link that stalls without breaking
-// is given up.
+// writeTimeout limits one write, so that a stalled connection is closed.
 const writeTimeout = 5 * time.Second
 
-// RemoteError is a fault that the other side answered with.
+// RemoteError is an error that the remote process returned as its answer.
 type RemoteError struct {
 	Fault string
 }
 
-// Error gives the other side's words.
-func (e *RemoteError) Error() string { return "the other process answered: " + e.Fault }
+// Error implements the error interface.
+func (e *RemoteError) Error() string { return "remote process returned an error: " + e.Fault }
 
-// Conn is one connection between two processes.
+// Conn is a connection between two processes. Both sides can send requests over it.
 type Conn struct {
 	socket        *websocket.Conn
 	remote        netip.AddrPort
@@ -39,7 +38,7 @@
 	closed        chan struct{}
 	once          sync.Once
 	openedAt      time.Time
-	lastReadNanos atomic.Int64 // from then until bytes came last, in nanoseconds
+	lastReadNanos atomic.Int64 // time of the last read, in nanoseconds since openedAt
 }
 
 func newConn(socket *websocket.Conn, remote netip.AddrPort, handlers *Handlers) *Conn {
@@ -68,14 +67,14 @@
 	return c, nil
 }
 
-// Remote gives the other side's address; the port is the one it listens on only
-// where this side connected.
+// Remote returns the address of the remote process. Its port is the remote listening port
+// only if this side dialed.
 func (c *Conn) Remote() netip.AddrPort { return c.remote }
 
-// Closed is closed when the connection has ended.
+// Closed returns a channel that is closed when the connection ends.
 func (c *Conn) Closed() <-chan struct{} { return c.closed }
 
-// IsClosed tells whether the connection has ended.
+// IsClosed reports whether the connection has ended.
 func (c *Conn) IsClosed() bool {
 	select {
 	case <-c.closed:
@@ -85,7 +84,7 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection. It may be called more than once.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.closed)
@@ -165,7 +164,7 @@
 		Answer: true,
 	}, answer)
 	if answer == nil {
-		return // a pushed kind that came as a question
+		return // a request whose kind is registered as a push has no answer body
 	}
 	c.handlers.onAnswerSent(SentAnswer{
 		Conn:      c,
@@ -187,7 +186,7 @@
 	}, nil)
 }
 
-// write sends a message and gives its size in bytes.
+// write sends a message and returns its encoded size in bytes.
 func (c *Conn) write(ctx context.Context, e envelope, body Message) (int, error) {
 	e.Versions = c.handlers.versions()
 	data, err := encodeEnvelope(e, body)
@@ -199,12 +198,12 @@
 	c.handlers.traffic.countSent(len(data))
 	if err := c.socket.Write(ctx, websocket.MessageBinary, data); err != nil {
 		c.Close()
-		return len(data), errors.Wrap(err, "write to the other process")
+		return len(data), errors.Wrap(err, "write to remote process")
 	}
 	return len(data), nil
 }
 
-// Push sends a message that gets no answer.
+// Push sends a message that needs no answer.
 func (c *Conn) Push(ctx context.Context, m Message) error {
 	_, err := c.write(ctx, envelope{}, m)
 	return err
@@ -238,12 +237,12 @@
 		if e.Fault != "" {
 			return answer, &RemoteError{Fault: e.Fault}
 		}
-		return answer, errors.Wrap(cbor.Unmarshal(e.Body, &answer), "decode the answer to "+request.Kind())
+		return answer, errors.Wrap(cbor.Unmarshal(e.Body, &answer), "decode answer to "+request.Kind())
 	case <-ctx.Done():
 		c.removePending(id)
 		return answer, errors.Wrap(ctx.Err(), "no answer to "+request.Kind())
 	case <-c.closed:
 		c.removePending(id)
-		return answer, errors.New("connection ended before the answer to " + request.Kind())
+		return answer, errors.New("connection closed before the answer to " + request.Kind())
 	}
 }
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("messages between processes", func() {
-	It("carry typed questions and answers, with the sender's versions", func() {
+	It("carry typed requests and answers with the sender's versions", func() {
 		server := wire.NewHandlers(wire.WithVersions(func() wire.Versions { return wire.Versions{Config: 7} }))
 		wire.HandleRequest(server, func(_ context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
 			return wire.ClaimAnswer{Verdict: core.VerdictGranted, Response: []byte(q.Key.Key)}, nil
@@ -40,12 +40,12 @@
 		Eventually(seen).Should(Receive(Equal(wire.Versions{Config: 7})))
 	})
 
-	It("give each question its own answer, however they cross, and drop a late one", func() {
+	It("match each answer to its request and drop late answers", func() {
 		server := wire.NewHandlers()
-		hold := make(chan struct{})
+		release := make(chan struct{})
 		wire.HandleRequest(server, func(_ context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
 			if q.Attempt == "late" {
-				<-hold
+				<-release
 			}
 			return wire.ClaimAnswer{Response: []byte(q.Attempt)}, nil
 		})
@@ -57,7 +57,7 @@
 		defer cancel()
 		_, err = wire.Call[wire.ClaimAnswer](ctx, conn, wire.ClaimRequest{Attempt: "late"})
 		Expect(err).To(MatchError(ContainSubstring("no answer")))
-		close(hold)
+		close(release)
 		for range 20 {
 			answer, err := wire.Call[wire.ClaimAnswer](context.Background(), conn, wire.ClaimRequest{Attempt: "next"})
 			Expect(err).NotTo(HaveOccurred())
@@ -66,18 +66,18 @@
 		Eventually(client.Traffic().LateAnswers.Load).Should(BeEquivalentTo(1))
 	})
 
-	It("answer a question of a kind that is only pushed, and stay", func() {
+	It("answer a request whose kind is registered as a push and keep the connection", func() {
 		server := wire.NewHandlers()
 		wire.HandlePush(server, func(context.Context, *wire.Conn, wire.Fetch) {})
 		pool := wire.NewPool(wire.NewHandlers())
 		address := listen(server)
 		for range 2 {
 			_, err := wire.Request[wire.Done](context.Background(), pool, address, wire.Fetch{})
-			Expect(err).To(HaveOccurred(), "an empty answer is none of the kind asked for")
+			Expect(err).To(HaveOccurred(), "an empty answer must not decode as the requested kind")
 		}
 	})
 
-	It("tell the fault of a kind that the other process doesn't know", func() {
+	It("return an error for a kind that the remote process does not handle", func() {
 		pool := wire.NewPool(wire.NewHandlers())
 		_, err := wire.Request[wire.Done](context.Background(), pool, listen(wire.NewHandlers()), wire.StatusRequest{})
 		Expect(err).To(MatchError(ContainSubstring("one release on all boxes")))
@@ -85,8 +85,8 @@
 })
 
 var _ = Describe("the size of a message", func() {
-	It("is bounded by short floats in a lease's profile", func() {
-		wish := wire.LeaseDemand{Endpoint: "engine-0001", Mean: []float32{1024, 2048}}
-		Expect(wire.EncodedSize(wish)).To(BeNumerically("<", 60))
+	It("stays small because lease profiles use 16-bit floats where possible", func() {
+		demand := wire.LeaseDemand{Endpoint: "engine-0001", Mean: []float32{1024, 2048}}
+		Expect(wire.EncodedSize(demand)).To(BeNumerically("<", 60))
 	})
 })
--- a/wire/handler.go
+++ b/wire/handler.go
@@ -11,7 +11,7 @@
 
 type handler func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error)
 
-// Handlers says what to do with each kind of message.
+// Handlers holds the handler of each kind of message and the options of its connections.
 type Handlers struct {
 	byKind       map[string]handler
 	onVersions   func(c *Conn, v Versions)
@@ -19,42 +19,42 @@
 	traffic      *Traffic
 	onAnswerSent func(SentAnswer)
 	network      Network
-	client       *http.Client // opens connections over the network
+	client       *http.Client // dials WebSocket connections over network
 }
 
-// SentAnswer is an answer that was handed to its connection, or couldn't be.
+// SentAnswer describes an answer that was written to its connection, or failed to be.
 type SentAnswer struct {
 	Conn      *Conn
 	Kind      string
 	Bytes     int
-	WriteTime time.Duration // until the connection had taken all of it
+	WriteTime time.Duration // how long the write to the connection took
 	Err       error
 }
 
-// HandlersOption changes how handlers are built.
+// HandlersOption configures Handlers.
 type HandlersOption func(*Handlers)
 
-// WithVersions gives the versions to put on each message.
+// WithVersions sets the function that returns the versions to send with each message.
 func WithVersions(current func() Versions) HandlersOption {
 	return func(h *Handlers) { h.versions = current }
 }
 
-// WithOnVersions is called with the versions on each received message.
+// WithOnVersions sets a callback for the versions in each received message.
 func WithOnVersions(callback func(c *Conn, v Versions)) HandlersOption {
 	return func(h *Handlers) { h.onVersions = callback }
 }
 
-// WithOnAnswerSent is called after each answer.
+// WithOnAnswerSent sets a callback that runs after each answer has been written or has failed.
 func WithOnAnswerSent(callback func(SentAnswer)) HandlersOption {
 	return func(h *Handlers) { h.onAnswerSent = callback }
 }
 
-// WithNetwork gives what connections run over; without it, the operating system's.
+// WithNetwork sets the network for connections. The default is TCPNetwork.
 func WithNetwork(n Network) HandlersOption {
 	return func(h *Handlers) { h.network = n }
 }
 
-// NewHandlers builds an empty table.
+// NewHandlers returns Handlers without any registered handler.
 func NewHandlers(options ...HandlersOption) *Handlers {
 	h := &Handlers{
 		byKind:       make(map[string]handler),
@@ -71,10 +71,10 @@
 	return h
 }
 
-// Traffic gives the counters of all connections with these handlers.
+// Traffic returns the traffic counters of all connections that use these handlers.
 func (h *Handlers) Traffic() *Traffic { return h.traffic }
 
-// HandleRequest registers what answers requests of the kind Q.
+// HandleRequest registers the handler for requests of type Q, which returns their answer.
 func HandleRequest[Q, A Message](h *Handlers, handle func(ctx context.Context, c *Conn, q Q) (A, error)) {
 	var zero Q
 	h.byKind[zero.Kind()] = func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// HandlePush registers what takes pushes of the kind M, which get no answer.
+// HandlePush registers the handler for pushes of type M, which get no answer.
 func HandlePush[M Message](h *Handlers, handle func(ctx context.Context, c *Conn, m M)) {
 	var zero M
 	h.byKind[zero.Kind()] = func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error) {
--- a/wire/idle_timeout.go
+++ b/wire/idle_timeout.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// CallWithIdleTimeout is Call with a bound on each pause, in which no byte comes on the
-// connection, in place of one on the whole: a large answer takes as long as its link
-// asks, and a link that stalls is given up.
+// CallWithIdleTimeout is like Call, but fails when the connection receives no bytes for
+// idleTimeout. It sets no limit on the total time, so that large answers can complete on
+// slow links.
 func CallWithIdleTimeout[A Message](ctx context.Context, c *Conn, request Message, idleTimeout time.Duration) (A, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -30,21 +30,21 @@
 	return answer, err
 }
 
-// recordRead notes that bytes came, by the time since the connection began: the time of
-// day may jump.
+// recordRead records that the connection received bytes. It stores the monotonic time since
+// openedAt, because the wall clock may jump.
 func (c *Conn) recordRead() { c.lastReadNanos.Store(int64(time.Since(c.openedAt))) }
 
 func (c *Conn) sinceLastRead() time.Duration {
 	return time.Since(c.openedAt) - time.Duration(c.lastReadNanos.Load())
 }
 
-// progressReader notes when bytes came.
+// progressReader records on its connection when bytes are read.
 type progressReader struct {
 	source io.Reader
 	conn   *Conn
 }
 
-// Read gives what came.
+// Read implements io.Reader.
 func (p progressReader) Read(buffer []byte) (int, error) {
 	n, err := p.source.Read(buffer)
 	p.conn.recordRead()
--- a/wire/idle_timeout_test.go
+++ b/wire/idle_timeout_test.go
@@ -13,8 +13,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// callOverLink asks another process over a link in virtual time, which answers after a
-// pause with a configuration of some bytes.
+// callOverLink makes a call over an emulated link in virtual time. The server waits for
+// the pause and then answers with a configuration of the given size.
 func callOverLink(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, ask func(c *wire.Conn) error) error {
 	var err error
 	synctest.Test(t, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	return err
 }
 
-// A snapshot of a megabyte takes 1.7 s of a link of 5 Mbit/s. A bound on the whole of it
-// threw it away after a second, and had it sent again: each time.
+// A limit on the total time of a call would abort every transfer of a large snapshot over
+// a slow link.
 func TestSlowAnswerCompletesWhileBytesArrive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	err := callOverLink(t, 5e6/8, 1<<20, 0, func(c *wire.Conn) error {
--- a/wire/message.go
+++ b/wire/message.go
@@ -6,73 +6,74 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Subscribe asks a watch for its snapshot and for every later one.
+// Subscribe requests the current snapshot of a watch process and all later ones.
 type Subscribe struct{}
 
-// Kind names the message.
+// Kind implements Message.
 func (Subscribe) Kind() string { return "subscribe" }
 
-// Snapshot is what a watch has in force.
+// Snapshot holds the active configuration and list of a watch process.
 type Snapshot struct {
 	ConfigVersion uint64        `cbor:"1,keyasint"`
 	Config        []byte        `cbor:"2,keyasint,omitempty"`
 	List          *core.List    `cbor:"3,keyasint,omitempty"`
-	ListAge       time.Duration `cbor:"4,keyasint"` // since the list was confirmed
+	ListAge       time.Duration `cbor:"4,keyasint"` // time since the list was confirmed
 	Suspected     []string      `cbor:"5,keyasint,omitempty"`
 	ListVersion   uint64        `cbor:"6,keyasint"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (Snapshot) Kind() string { return "snapshot" }
 
-// Heartbeat is what peers tell each other of their versions and of themselves.
+// Heartbeat reports a box, its state and its list version to a peer.
 type Heartbeat struct {
 	From        core.Box      `cbor:"1,keyasint"`
-	ListAge     time.Duration `cbor:"2,keyasint"` // since the list was confirmed
+	ListAge     time.Duration `cbor:"2,keyasint"` // time since the list was confirmed
 	Leaving     bool          `cbor:"3,keyasint,omitempty"`
 	Suspected   []string      `cbor:"4,keyasint,omitempty"`
 	ListVersion uint64        `cbor:"5,keyasint"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (Heartbeat) Kind() string { return "heartbeat" }
 
-// Fetch asks a peer for what it has in force, above given versions.
+// Fetch requests a peer's active configuration and list, if newer than the given versions.
 type Fetch struct {
 	Config uint64 `cbor:"1,keyasint"`
 	List   uint64 `cbor:"2,keyasint"`
 	Digest uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (Fetch) Kind() string { return "fetch" }
 
-// LeaseRequest asks an owner for leases on its endpoints.
+// LeaseRequest requests leases on endpoints from the box that owns their slots.
 type LeaseRequest struct {
 	Box             core.Box         `cbor:"1,keyasint"`
 	Demands         []LeaseDemand    `cbor:"2,keyasint"`
 	ObservedLengths []ObservedLength `cbor:"3,keyasint,omitempty"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (LeaseRequest) Kind() string { return "lease-ask" }
 
-// LeaseDemand is what an entry uses of one endpoint and what it wants.
+// LeaseDemand describes an entry process's current and expected use of one owner slot.
 type LeaseDemand struct {
 	Endpoint  string    `cbor:"1,keyasint"`
-	Mean      []float32 `cbor:"2,keyasint"` // expected tokens held, by horizon
+	Mean      []float32 `cbor:"2,keyasint"` // expected tokens in memory, per horizon
 	Deviation []float32 `cbor:"3,keyasint"`
 	Running   int       `cbor:"4,keyasint"`
-	Waiting   int       `cbor:"5,keyasint"` // expected tokens of waiting requests
+	Waiting   int       `cbor:"5,keyasint"` // expected tokens of queued requests
 	Rank      int       `cbor:"8,keyasint,omitempty"`
 
-	// WantOtherUsage asks what other boxes hold; both owners know, one says so.
+	// WantOtherUsage requests the usage of other boxes. It is set for one of the
+	// endpoint's slots only, since both owners have the same data.
 	WantOtherUsage bool   `cbor:"10,keyasint,omitempty"`
 	Model          string `cbor:"6,keyasint"`
 	Slot           int    `cbor:"7,keyasint,omitempty"`
 }
 
-// ObservedLength tells the length of an ended generation, for the estimates.
+// ObservedLength is the length of a completed generation, as input to length estimates.
 type ObservedLength struct {
 	Model    string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint"`
@@ -80,39 +81,39 @@
 	Tokens   int    `cbor:"4,keyasint"`
 }
 
-// LeaseGrants answers with one lease an endpoint.
+// LeaseGrants answers a LeaseRequest with one grant per granted lease.
 type LeaseGrants struct {
 	Grants []LeaseGrant `cbor:"1,keyasint"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (LeaseGrants) Kind() string { return "lease-grants" }
 
-// LeaseGrant is the right to send to one endpoint for a while.
+// LeaseGrant is a time-limited right to send requests to one endpoint.
 type LeaseGrant struct {
 	Endpoint       string        `cbor:"1,keyasint"`
 	TTL            time.Duration `cbor:"2,keyasint"`
-	Tokens         int           `cbor:"3,keyasint"` // memory that may be planned for
+	Tokens         int           `cbor:"3,keyasint"` // memory that the box may plan to use
 	Slots          int           `cbor:"4,keyasint"`
-	OtherMean      []float32     `cbor:"5,keyasint,omitempty"` // what other boxes hold
+	OtherMean      []float32     `cbor:"5,keyasint,omitempty"` // memory use of other boxes
 	OtherDeviation []float32     `cbor:"6,keyasint,omitempty"`
 	OtherRunning   int           `cbor:"7,keyasint"`
-	Growth         int           `cbor:"8,keyasint"` // tokens that may be added on this lease
+	Growth         int           `cbor:"8,keyasint"` // tokens that may be added under this lease
 	Incarnation    uint64        `cbor:"9,keyasint"`
-	Step           time.Duration `cbor:"10,keyasint"` // engine's last time between tokens
+	Step           time.Duration `cbor:"10,keyasint"` // engine's latest time between tokens
 	Hints          []CacheHint   `cbor:"11,keyasint,omitempty"`
 	Model          string        `cbor:"12,keyasint"`
 	Slot           int           `cbor:"13,keyasint,omitempty"`
 	HasOthers      bool          `cbor:"14,keyasint,omitempty"`
 }
 
-// CacheHint tells that an endpoint kept or dropped a prompt prefix.
+// CacheHint reports that an endpoint cached or evicted a prompt prefix.
 type CacheHint struct {
 	Prefix  uint64 `cbor:"1,keyasint"`
 	Dropped bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// ClaimRequest asks a home for the right to run a key.
+// ClaimRequest asks a claim owner for permission to run a request with an idempotency key.
 type ClaimRequest struct {
 	Key         core.ClaimKey    `cbor:"1,keyasint"`
 	Attempt     string           `cbor:"2,keyasint"`
@@ -120,13 +121,13 @@
 	ListVersion uint64           `cbor:"4,keyasint"`
 	HomeKnown   core.Incarnation `cbor:"5,keyasint,omitempty"`
 	Timed       bool             `cbor:"6,keyasint,omitempty"`
-	KeyTime     time.Time        `cbor:"7,keyasint"` // by the key itself, if it is timed
+	KeyTime     time.Time        `cbor:"7,keyasint"` // creation time in the key, if Timed
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (ClaimRequest) Kind() string { return "claim-ask" }
 
-// ClaimAnswer is a home's verdict.
+// ClaimAnswer is the claim owner's verdict on a ClaimRequest.
 type ClaimAnswer struct {
 	Verdict    core.ClaimVerdict `cbor:"1,keyasint"`
 	ValidFor   time.Duration     `cbor:"2,keyasint"`
@@ -135,10 +136,10 @@
 	ClaimOwner core.Box          `cbor:"5,keyasint"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (ClaimAnswer) Kind() string { return "claim-answer" }
 
-// ClaimSettle tells a home how a granted attempt ended.
+// ClaimSettle reports the outcome of a granted attempt to the claim owner.
 type ClaimSettle struct {
 	Key      core.ClaimKey `cbor:"1,keyasint"`
 	Attempt  string        `cbor:"2,keyasint"`
@@ -147,50 +148,50 @@
 	Response []byte        `cbor:"5,keyasint,omitempty"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (ClaimSettle) Kind() string { return "claim-settle" }
 
-// Done is the answer that says only that a message was taken.
+// Done acknowledges a message and carries no data.
 type Done struct{}
 
-// Kind names the message.
+// Kind implements Message.
 func (Done) Kind() string { return "done" }
 
-// HandoverRequest asks a home for what the asker takes over.
+// HandoverRequest asks a claim owner for the claims that the sender takes over.
 type HandoverRequest struct {
 	From        core.Box `cbor:"1,keyasint"`
 	ListVersion uint64   `cbor:"2,keyasint"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (HandoverRequest) Kind() string { return "handover-ask" }
 
-// HandoverTransfer carries a handover; None says that there is none yet.
+// HandoverTransfer carries a handover of claims. None is set if no handover is available yet.
 type HandoverTransfer struct {
 	None     bool          `cbor:"1,keyasint,omitempty"`
 	Handover core.Handover `cbor:"2,keyasint"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (HandoverTransfer) Kind() string { return "handover-give" }
 
-// StatusRequest asks a scheduler for its part of a box's status.
+// StatusRequest requests the scheduler's part of a box's status.
 type StatusRequest struct{}
 
-// Kind names the message.
+// Kind implements Message.
 func (StatusRequest) Kind() string { return "status-ask" }
 
-// SchedulerStatus is a scheduler's part of a box's status.
+// SchedulerStatus is the scheduler's part of a box's status.
 type SchedulerStatus struct {
 	OwnedSlots []OwnedSlotStatus `cbor:"1,keyasint" json:"holds"`
 	Claims     int               `cbor:"2,keyasint" json:"claims"`
 	Drain      string            `cbor:"3,keyasint" json:"drain"`
 }
 
-// Kind names the message.
+// Kind implements Message.
 func (SchedulerStatus) Kind() string { return "scheduler-status" }
 
-// OwnedSlotStatus is one endpoint that a scheduler owns.
+// OwnedSlotStatus is the status of one endpoint slot that a scheduler owns.
 type OwnedSlotStatus struct {
 	Endpoint string `cbor:"1,keyasint" json:"endpoint"`
 	Slot     int    `cbor:"7,keyasint" json:"slot"`
--- a/wire/network.go
+++ b/wire/network.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Network opens and accepts connections.
+// Network dials and accepts connections between processes.
 type Network interface {
-	// Listen opens a port of this process.
+	// Listen opens a listening port.
 	Listen(at netip.AddrPort) (net.Listener, error)
 	// Dial connects to another process.
 	Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 }
 
-// TCPNetwork is the network of the operating system.
+// TCPNetwork is the operating system's TCP network.
 type TCPNetwork struct{}
 
 // Listen opens a TCP port.
@@ -30,12 +30,11 @@
 	return d.DialContext(ctx, "tcp", to.String())
 }
 
-// unusedConnTimeout is how long a connection stays that came after who asked for it had
-// given up: nobody uses it, and the client would keep it for good. Greetings are given
-// up after less than a second.
+// unusedConnTimeout is how long the HTTP client keeps a connection whose dial completed
+// after its caller had given up. Without it, the client would keep such a connection forever.
 const unusedConnTimeout = 2 * time.Second
 
-// newHTTPClient gives a client whose connections run over a network.
+// newHTTPClient returns an HTTP client that dials over the given network.
 func newHTTPClient(n Network) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
--- a/wire/pack.go
+++ b/wire/pack.go
@@ -9,13 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnpackedBytes bounds what packed bytes may grow to: a configuration of a megabyte
-// and a list of some thousand endpoints are within it.
+// maxUnpackedBytes limits the decompressed size of a message. It leaves room for a
+// configuration of one megabyte and a list of several thousand endpoints.
 const maxUnpackedBytes = 32 << 20
 
-// Pack gives a message's body compressed, to be sent in parts. Names and paths of
-// routes are random, the rest of them is alike: a configuration of 2,850 routes takes
-// 47 KB of 244; packing takes 3.1 ms of a core.
+// Pack returns a message body in compressed form, to be sent in chunks. It uses the fastest
+// compression level, which is enough for the repetitive text of configurations.
 func Pack(m Message) ([]byte, error) {
 	raw, err := encMode.Marshal(m)
 	if err != nil {
@@ -35,7 +34,7 @@
 	return out.Bytes(), nil
 }
 
-// Unpack gives the message that was packed.
+// Unpack decompresses and decodes a message that was encoded by Pack.
 func Unpack[M Message](packed []byte) (M, error) {
 	var m M
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes+1))
@@ -43,7 +42,7 @@
 		return m, errors.Wrap(err, "decompress "+m.Kind())
 	}
 	if len(raw) > maxUnpackedBytes {
-		return m, errors.Errorf("%s has over %d bytes; raise the bound on all boxes", m.Kind(), maxUnpackedBytes)
+		return m, errors.Errorf("decompressed %s is larger than %d bytes; raise the bound on all boxes", m.Kind(), maxUnpackedBytes)
 	}
 	return m, errors.Wrap(cbor.Unmarshal(raw, &m), "decode "+m.Kind())
 }
--- a/wire/pack_test.go
+++ b/wire/pack_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("packed messages", func() {
-	It("come back as they were, smaller on the way", func() {
+	It("are restored unchanged and are smaller than the original", func() {
 		m := wire.LeaseDemand{Endpoint: strings.Repeat("engine-0001/", 500)}
 		packed, err := wire.Pack(wire.LeaseRequest{Demands: []wire.LeaseDemand{m}})
 		Expect(err).NotTo(HaveOccurred())
@@ -21,7 +21,7 @@
 		Expect(back.Demands[0].Endpoint).To(Equal(m.Endpoint))
 	})
 
-	It("are refused when they are cut short, or grow beyond all bounds", func() {
+	It("are rejected if truncated or if their decompressed size exceeds the limit", func() {
 		packed, err := wire.Pack(wire.LeaseRequest{Demands: []wire.LeaseDemand{{Endpoint: strings.Repeat("x", 33<<20)}}})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = wire.Unpack[wire.LeaseRequest](packed)
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -9,21 +9,21 @@
 	"github.com/pkg/errors"
 )
 
-// dialTimeout bounds one try to connect.
+// dialTimeout limits one dial attempt.
 const dialTimeout = time.Second
 
-// redialDelay is how long a failed address is left alone.
+// redialDelay is how long after a failed dial the address is not dialed again.
 const redialDelay = 300 * time.Millisecond
 
-// Pool keeps one connection to each address that is in use.
+// Pool keeps at most one connection per remote address.
 type Pool struct {
 	handlers *Handlers
 	mu       sync.Mutex
 	conns    map[netip.AddrPort]*pooledConn
 }
 
-// pooledConn is an address's connection. Its lock is a channel: it is held while a
-// connection is opened, which whoever waits for it may give up.
+// pooledConn holds the connection to one address. sem is held during a dial; it is a channel
+// so that callers can stop waiting for it when their context ends.
 type pooledConn struct {
 	sem      chan struct{}
 	conn     *Conn
@@ -31,7 +31,7 @@
 	dialErr  error
 }
 
-// NewPool builds an empty pool.
+// NewPool returns an empty pool.
 func NewPool(handlers *Handlers) *Pool {
 	return &Pool{
 		handlers: handlers,
@@ -50,13 +50,13 @@
 	return s
 }
 
-// Get gives the connection to an address and dials it if there is none.
+// Get returns the connection to an address and dials it if there is none.
 func (p *Pool) Get(ctx context.Context, address netip.AddrPort) (*Conn, error) {
 	s := p.pooledConn(address)
 	select {
 	case s.sem <- struct{}{}:
 	case <-ctx.Done():
-		return nil, errors.Wrap(ctx.Err(), "wait for a connection that others open")
+		return nil, errors.Wrap(ctx.Err(), "wait for another caller's dial")
 	}
 	defer func() { <-s.sem }()
 	if s.isOpen() {
@@ -78,7 +78,7 @@
 	return s.conn != nil && !s.conn.IsClosed()
 }
 
-// Drop closes the connection to an address, as one that has stalled.
+// Drop closes the connection to an address, for example after it has stalled.
 func (p *Pool) Drop(address netip.AddrPort) {
 	s := p.pooledConn(address)
 	s.sem <- struct{}{}
@@ -89,8 +89,8 @@
 	}
 }
 
-// Request calls a process by address; a call without an answer in time drops
-// the connection, since a stalled link doesn't break by itself.
+// Request sends a request to an address and waits for its answer. If the context ends first,
+// the connection is closed, because a stalled connection reports no error.
 func Request[A Message](ctx context.Context, p *Pool, address netip.AddrPort, request Message) (A, error) {
 	c, err := p.Get(ctx, address)
 	if err != nil {
--- a/wire/server.go
+++ b/wire/server.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Path is where a process accepts connections from the others.
+// Path is the HTTP path on which a process accepts WebSocket connections.
 const Path = "/dillsaddle/1"
 
 // Server accepts connections from other processes.
@@ -21,7 +21,7 @@
 	conns    map[*Conn]bool
 }
 
-// Listen starts a server on an address.
+// Listen starts a server on the given address.
 func Listen(address netip.AddrPort, handlers *Handlers) (*Server, error) {
 	listener, err := handlers.network.Listen(address)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	remote, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
-		remote = netip.AddrPort{} // only logs name it
+		remote = netip.AddrPort{} // used in log messages only
 	}
 	c := newConn(socket, remote, s.handlers)
 	s.track(c, true)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Close ends the server and its connections.
+// Close closes the server and its connections.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	s.mu.Lock()
--- a/wire/traffic.go
+++ b/wire/traffic.go
@@ -13,13 +13,13 @@
 	receivedBytes    = metrics.NewCounter("dillsaddle_wire_received_bytes_total")
 )
 
-// Traffic counts what passed over the connections of one table of handlers; the
-// process's metrics count all of them.
+// Traffic counts the messages and bytes of all connections that use one Handlers. The
+// metrics count those of the whole process.
 type Traffic struct {
 	SentBytes        atomic.Uint64
 	ReceivedBytes    atomic.Uint64
 	LateAnswers      atomic.Uint64
-	ReceivedMessages atomic.Uint64 // messages
+	ReceivedMessages atomic.Uint64
 }
 
 func (t *Traffic) countSent(size int) {
