--- a/entry/answer.go
+++ b/entry/answer.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The headers that answers carry.
+// The headers of requests and responses that the entry reads or sets.
 const (
 	outcomeHeader    = "Dillsaddle-Outcome"
 	requestHeader    = "Dillsaddle-Request"
@@ -22,8 +22,8 @@
 	requestIDHeader  = "X-Request-Id"
 )
 
-// Problem is a final answer that is no success: its status, a stable code, and
-// a message that names the remedy.
+// Problem is an error response: its HTTP status, a stable error code and a message
+// that tells the caller what to do.
 type Problem struct {
 	Status     int
 	Code       string
@@ -32,7 +32,7 @@
 	RetryAfter time.Duration
 }
 
-// Error gives the message.
+// Error implements the error interface.
 func (p *Problem) Error() string { return p.Message }
 
 type problemBody struct {
@@ -76,7 +76,7 @@
 	c.JSON(p.Status, p.body())
 }
 
-// newRejection is a caller's fault: nothing was sent anywhere.
+// newRejection returns the problem for a faulty request that was not sent to any endpoint.
 func newRejection(status int, code, message string) *Problem {
 	return &Problem{
 		Status:  status,
@@ -86,7 +86,7 @@
 	}
 }
 
-// newRefusal is a request that is given up at once, with when to come back.
+// newRefusal returns the problem for a request that was not run and may be retried after a delay.
 func newRefusal(status int, code, message string, retryAfter time.Duration) *Problem {
 	return &Problem{
 		Status:     status,
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// serviceSection publishes a service at an address.
+// serviceSection returns the configuration section of a service at an address.
 func serviceSection(address string) string {
 	return fmt.Sprintf(`,"services":[{"name":"records","addresses":[%q]}]`, address)
 }
@@ -71,7 +71,7 @@
 
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i+1) }
 
-// startEngine starts an engine and gives what ends it.
+// startEngine starts an emulated engine and returns a function that stops it.
 func startEngine(name string, address netip.AddrPort) (end func()) {
 	served := standin.NewEngine(standin.EngineRules{
 		Name:   name,
@@ -87,15 +87,15 @@
 	return func() { _ = served.Close() }
 }
 
-// startBox starts a whole box in this process before one engine, with a worker of the
-// test's.
+// startBox starts all processes of a box in the test process, with one engine and the
+// given worker.
 func startBox(worker engine.Worker, sections ...string) *settings.Box {
 	engineAt := freeAddress()
 	startEngine(engineName(0), engineAt)
 	return startBoxWithEngines([]netip.AddrPort{engineAt}, worker, sections...)
 }
 
-// startBoxWithEngines starts one before some engines.
+// startBoxWithEngines starts all processes of a box with endpoints at the given addresses.
 func startBoxWithEngines(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
 	platformAt := freeAddress()
 	b := testBox(platformAt)
--- a/entry/call.go
+++ b/entry/call.go
@@ -15,15 +15,15 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// sinkCapacity bounds the messages between a worker and a caller: a slow caller
-// holds its worker up and, by that, its endpoint's link.
+// sinkCapacity is the number of messages buffered between a worker and a caller. When the
+// buffer is full, a slow caller blocks its worker and thereby the connection to the endpoint.
 const sinkCapacity = 64
 
-// reportInterval is after how many tokens admission learns of a stream's progress.
+// reportInterval is the number of tokens between progress reports to admission.
 const reportInterval = 16
 
-// call carries one caller's stream from admission to its end. Its decisions are
-// the generation's; it only does what they ask.
+// call handles one caller's stream from admission to its end. gen decides what to do next,
+// and call executes its commands.
 type call struct {
 	entry          *Entry
 	ctx            context.Context
@@ -34,47 +34,47 @@
 	model          *model
 	p              *parsedRequest
 	request        admission.Request
-	rules          core.GenerationRules
+	rules          core.GenerationRules // limits of attempts and resumption
 	gen            *core.Generation
 	out            writer
 	streamMetrics  streamMetrics
 	claim          *claim
-	name           string
-	id             string
-	placementID    string
-	until          time.Time
-	sink           chan engine.Message
+	name           string              // identifies the call in traces and logs
+	id             string              // stream ID; empty until the first token
+	placementID    string              // ID of the current placement in admission; empty if there is none
+	until          time.Time           // end of the lease that the placement uses
+	sink           chan engine.Message // messages of the current attempt
 	cancelSink     context.CancelFunc
 	sinkAttempt    int
-	incarnation    core.Incarnation // of the endpoint that took the attempt; 0 before it said so
-	reportedOffset uint64
+	incarnation    core.Incarnation // of the endpoint that runs the attempt; 0 until known
+	reportedOffset uint64           // token offset of the last progress report
 	usage          engine.Usage
-	cancelled      chan struct{}
+	cancelled      chan struct{} // closed when the stream is cancelled
 	cancelOnce     sync.Once
-	superseded     chan struct{}
+	superseded     chan struct{} // closed when another connection continues the stream
 	supersedeOnce  sync.Once
-	restarted      bool
+	restarted      bool // a buffered answer was started over
 	problem        *Problem
 }
 
-// writer hands a stream to its caller.
+// writer writes a stream to its caller.
 type writer interface {
 	token(id string, offset uint64, data []byte)
 	flush() error
 	finish(id string, offset uint64, last engine.Finished) error
-	fail(id string, offset uint64, p *Problem) bool // false: nothing was sent yet
+	fail(id string, offset uint64, p *Problem) bool // reports whether the response had already begun
 	begin(id string)
 }
 
-// run carries the call to its end; a problem is for the caller to be told while
-// nothing was sent.
+// run executes the call to its end. It returns a problem if the caller has received
+// nothing yet.
 func (k *call) run() *Problem {
 	k.runFrom(core.PlaceAgain{})
 	return k.problem
 }
 
-// runFrom begins with a command and goes on until the generation has ended; what
-// the call holds is given back also when a panic cuts it short.
+// runFrom executes the first command and then handles messages until the generation ends.
+// The call's resources are released even after a panic.
 func (k *call) runFrom(first core.Command) {
 	defer k.close()
 	k.execute(first)
@@ -83,10 +83,10 @@
 	}
 }
 
-// cancel ends the call from outside.
+// cancel cancels the call at the request of its caller.
 func (k *call) cancel() { k.cancelOnce.Do(func() { close(k.cancelled) }) }
 
-// supersede makes an older link of the same stream leave it to a newer one.
+// supersede ends the call because another connection continues its stream.
 func (k *call) supersede() { k.supersedeOnce.Do(func() { close(k.superseded) }) }
 
 func (k *call) step(ev core.Event) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// place waits for a place, a refusal or the caller's leaving.
+// place waits until the request is placed or refused, or its caller has left.
 func (k *call) place(avoid string) {
 	k.releasePlacement(false)
 	if k.refuseQuarantined() {
@@ -162,18 +162,18 @@
 	}
 }
 
-// refuse refuses the request at once, with when to come back.
+// refuse ends the call with a refusal that the caller may retry after a delay.
 func (k *call) refuse(reason admission.RefusalReason, retryAfter time.Duration) {
 	k.step(core.CallerGone{})
 	status := http.StatusServiceUnavailable
 	if reason == admission.RefusePolicy || reason == admission.RefuseTooManyWaiting {
 		status = http.StatusTooManyRequests
 	}
-	k.problem = newRefusal(status, string(reason), "the engines are crowded; come back after the time in Retry-After", retryAfter)
+	k.problem = newRefusal(status, string(reason), "the engines are overloaded; retry after the time in Retry-After", retryAfter)
 	k.problem.Outcome = k.gen.Outcome
 }
 
-// releasePlacement tells admission that the call holds no memory any more.
+// releasePlacement tells admission that the call no longer uses memory on its endpoint.
 func (k *call) releasePlacement(complete bool) {
 	if k.placementID == "" {
 		return
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -73,8 +73,8 @@
 	}()
 }
 
-// handleNextMessage takes one message of the attempt, or notices that none came in time or
-// that the caller left.
+// handleNextMessage waits for the next message of the attempt and handles it, or handles a
+// timeout, a disconnect or a cancellation.
 func (k *call) handleNextMessage() {
 	timer := time.NewTimer(k.messageTimeout())
 	defer timer.Stop()
@@ -97,8 +97,8 @@
 	}
 }
 
-// messageTimeout is how long the next message may take; the first may wait in the
-// endpoint's own queue.
+// messageTimeout returns the time limit for the next message. The first message has a longer
+// limit, because the request may wait in the endpoint's own queue.
 func (k *call) messageTimeout() time.Duration {
 	if k.gen.State == core.GenerationPlaced {
 		return k.document.Limits.MaxWait
@@ -111,7 +111,7 @@
 	case engine.Token:
 		k.tokens(t)
 	case engine.Opened:
-		if t.Incarnation != 0 { // one that says nothing stands for the end of a batch
+		if t.Incarnation != 0 { // tokens passes an empty Opened at the end of a batch
 			k.incarnation = t.Incarnation
 		}
 	case engine.Finished:
@@ -129,7 +129,7 @@
 	}
 }
 
-// tokens writes a token and those that already wait behind it in one go.
+// tokens writes a token, and all tokens already buffered after it, in one write.
 func (k *call) tokens(t engine.Token) {
 	count := k.token(t)
 	var after engine.Message
@@ -159,7 +159,7 @@
 	k.handleMessage(after)
 }
 
-// token forwards one token if the generation accepts it, and counts it.
+// token forwards a token if the generation accepts it, and returns the number forwarded.
 func (k *call) token(t engine.Token) int {
 	arrived := core.FrameArrived{
 		Attempt: k.sinkAttempt,
@@ -171,7 +171,7 @@
 		k.step(arrived)
 		return 0
 	}
-	if k.entry.recorder != nil { // the event would be made on the heap for nothing
+	if k.entry.recorder != nil { // avoids allocating the event when tracing is off
 		k.entry.recorder.Event(time.Now(), trace.Generation+k.name, arrived)
 	}
 	if reason != core.DropNone {
@@ -186,8 +186,8 @@
 	return 1
 }
 
-// assignID names the stream when its first token is there: the id says which
-// generation it is, for any box to continue it.
+// assignID creates the stream ID when the first token arrives. The ID identifies the
+// generation, so that any box can continue the stream.
 func (k *call) assignID(origin core.Origin) {
 	id, err := encodeStreamID(k.entry.settings.Secret, &identity{
 		Endpoint:     origin.Endpoint,
@@ -238,8 +238,8 @@
 	}
 }
 
-// handleRefusal tells a refusal that another endpoint would repeat from one that is
-// worth another try.
+// handleRefusal rejects the request if every endpoint would refuse it, and retries it
+// otherwise.
 func (k *call) handleRefusal(r engine.Refused) {
 	switch r.Status {
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -10,8 +10,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// handleCallerLoss tells that nobody reads the stream any more. An answer that was to
-// be given whole has no id by which its caller could come back.
+// handleCallerLoss handles the caller's disconnect. A buffered answer has no stream ID yet
+// with which the caller could continue it, so its generation is cancelled.
 func (k *call) handleCallerLoss() {
 	if !k.p.stream {
 		k.step(core.CallerGone{})
@@ -20,7 +20,7 @@
 	k.step(core.CallerLeft{})
 }
 
-// handleWriteError tells why the caller did not take what was written.
+// handleWriteError handles a failed write to the caller.
 func (k *call) handleWriteError(err error) {
 	if errors.Is(err, errSlowCaller) {
 		k.step(core.CallerSlow{})
@@ -29,8 +29,8 @@
 	k.handleCallerLoss()
 }
 
-// detachCaller leaves the generation running for a while: its caller may come back
-// through any box.
+// detachCaller keeps the generation running for the resume window, in which its caller may
+// continue the stream through any box.
 func (k *call) detachCaller(origin core.Origin) {
 	k.closeSink()
 	placed, m, generated := k.placementID, k.model, int(k.gen.NextOffset)
@@ -45,8 +45,8 @@
 	})
 }
 
-// restart starts an answer that is given whole over from its beginning, since
-// nothing of it reached the caller.
+// restart starts a lost, repeatable buffered answer over, since its caller has received
+// nothing of it. It reports whether it did.
 func (k *call) restart() bool {
 	if k.p.stream || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
 		return false
@@ -76,7 +76,7 @@
 	k.problem = problem
 }
 
-// cancelUnfinished ends a generation whose call was cut short by a panic.
+// cancelUnfinished cancels the generation of a call that a panic interrupted.
 func (k *call) cancelUnfinished() {
 	for _, command := range k.gen.Step(time.Now(), core.CallerGone{}) {
 		if c, ok := command.(core.CancelAttempt); ok {
@@ -85,7 +85,7 @@
 	}
 }
 
-// close settles what the call holds beside its stream.
+// close releases the call's resources, records its metrics and settles its claim.
 func (k *call) close() {
 	if k.gen.State != core.GenerationEnded {
 		k.cancelUnfinished()
@@ -113,21 +113,21 @@
 	}
 	switch c.Code {
 	case core.EndRefused:
-		p.Message = "no endpoint took the request; come back after the time in Retry-After"
+		p.Message = "no endpoint accepted the request; retry after the time in Retry-After"
 	case core.EndLost:
-		p.Message = "the generation was lost with its endpoint; send the request again for a new one"
+		p.Message = "the generation was lost with its endpoint; send the request again to start a new one"
 	case core.EndNotRepeatable:
-		p.Message = "the endpoint was lost before it answered and the request may not be repeated; look at its effects first"
+		p.Message = "the endpoint was lost before it answered and the request must not be repeated automatically; check its effects first"
 	case core.EndCancelled:
 		p.Status = statusClientClosed
 		p.Message = "the request was cancelled"
 	case core.EndSlowCaller:
 		p.Message = "the stream was not read for the time slow_caller; continue it soon at GET /v1/streams/ID with Last-Event-ID, and read faster"
 	case core.EndRetriesSpent:
-		p.Message = "every attempt was lost before its first token; come back after the time in Retry-After"
+		p.Message = "every attempt was lost before its first token; retry after the time in Retry-After"
 	}
 	return p
 }
 
-// statusClientClosed is the usual status of a request whose caller left.
+// statusClientClosed is the non-standard status 499, used when the caller closed the request.
 const statusClientClosed = 499
--- a/entry/caller_conn.go
+++ b/entry/caller_conn.go
@@ -11,24 +11,23 @@
 )
 
 const (
-	// callerBufferSize bounds what the system's buffers take for a caller that does
-	// not read: without it they grow to megabytes, minutes of a stream, and only
-	// then would the caller be found slow.
+	// callerBufferSize is the socket write buffer of a caller's connection. Automatic
+	// sizing could grow it to megabytes and delay the detection of a slow caller by minutes.
 	callerBufferSize = 64 << 10
-	// finalBufferSize is the buffer's size once the caller was found slow, so that the
-	// end of its answer can be left there for it.
+	// finalBufferSize is the write buffer after the caller was found to be slow. It has
+	// room for the end of the response.
 	finalBufferSize = 4 * callerBufferSize
-	// finalWriteTimeout bounds the write into that room.
+	// finalWriteTimeout limits the write of the end of the response to a slow caller.
 	finalWriteTimeout = 100 * time.Millisecond
-	// defaultStallTimeout holds until a request's configuration is known.
+	// defaultStallTimeout applies until the configuration of the request is known.
 	defaultStallTimeout = 10 * time.Second
 )
 
-var errSlowCaller = errors.New("the caller read nothing of its answer for the time slow_caller; read faster or continue the stream")
+var errSlowCaller = errors.New("the caller read nothing of the response for the time slow_caller; read faster or continue the stream")
 
-// callerConn is a caller's connection. A caller that takes nothing for the time
-// of its patience is found slow: what was being written goes into a larger
-// buffer, and the answer must come to its end.
+// callerConn is a caller's connection. When a write makes no progress for stallTimeout, the
+// caller is marked as slow and the write buffer is enlarged once, so that the response can
+// be ended.
 type callerConn struct {
 	net.Conn
 	stallTimeout atomic.Int64
@@ -48,7 +47,7 @@
 	}
 }
 
-// Write waits for the caller as long as it takes something now and then.
+// Write writes p and waits as long as the caller reads at least one byte per stallTimeout.
 func (l *callerConn) Write(p []byte) (int, error) {
 	written := 0
 	for {
@@ -71,10 +70,10 @@
 
 type connKey struct{}
 
-// callerListener accepts callers' connections as links.
+// callerListener wraps accepted connections in callerConn.
 type callerListener struct{ net.Listener }
 
-// Accept gives the next caller's connection.
+// Accept returns the next caller's connection.
 func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -83,12 +82,12 @@
 	return newCallerConn(c), nil
 }
 
-// withConn lets a request find the connection that it came by.
+// withConn returns a context that holds the connection, for connOf.
 func withConn(c net.Conn) context.Context {
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// connOf gives the connection of a request.
+// connOf returns the connection on which a request arrived.
 func connOf(ctx context.Context) *callerConn {
 	l, _ := ctx.Value(connKey{}).(*callerConn)
 	return l
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -13,7 +13,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// The times of an entry's dealings with a claim's home.
+// Timeouts and retry intervals for requests to claim owners.
 const (
 	claimTimeout       = time.Second
 	claimRetryTime     = 2 * time.Second
@@ -21,23 +21,23 @@
 	settleRetryTime    = time.Minute
 )
 
-// maxStoredResponse bounds the answer that a home keeps for a repeat, in bytes.
+// maxStoredResponse limits the response that the claim owner stores for replay, in bytes.
 const maxStoredResponse = 4 << 10
 
-// claim is the right to send one request that may run at most once.
+// claim is the permission to send a request that may run at most once.
 type claim struct {
 	key          core.ClaimKey
 	hasKeyTime   bool
-	keyCreatedAt time.Time // when its caller made the key, if the key says so
+	keyCreatedAt time.Time // creation time in the key, if hasKeyTime
 	attempt      string
 	owner        string
 	until        time.Time
-	isUnkeyed    bool // no caller knows the key, so no home needs to
+	isUnkeyed    bool // the request has no idempotency key, so no claim owner is involved
 }
 
-// claim asks for the right to send a request that may run at most once. A
-// request without a key of its caller's can't come twice by that key: its claim
-// needs no home, and it is sent once.
+// claim obtains permission to send a request that may run at most once. A request without
+// an idempotency key can't be recognized as a repeat: it needs no claim owner and is sent
+// once. If the request has already run, claim replays its answer and returns a nil claim.
 func (e *Entry) claim(ctx context.Context, c *app.RequestContext, customerConfig *config.Customer) (*claim, *Problem) {
 	name := string(c.GetHeader(idempotencyKey))
 	if name == "" {
@@ -55,7 +55,7 @@
 	}
 	k.keyCreatedAt, k.hasKeyTime = keyTime(name)
 	if k.hasKeyTime && time.Until(k.keyCreatedAt) > core.DefaultClaimRules().Skew {
-		return nil, newRejection(http.StatusBadRequest, "key_from_the_future", "the Idempotency-Key's own time is ahead of this box's clock; set the clock of whoever makes the keys")
+		return nil, newRejection(http.StatusBadRequest, "key_from_the_future", "the time in the Idempotency-Key is ahead of this box's clock; correct the clock of the process that creates the keys")
 	}
 	answer, asked := e.requestClaim(ctx, k)
 	switch answer.Verdict {
@@ -66,15 +66,15 @@
 		e.replay(c, answer)
 		return nil, nil
 	case core.VerdictInFlight:
-		return nil, newConflict("in_progress", "a request with this key is running; ask again after the time in Retry-After")
+		return nil, newConflict("in_progress", "a request with this key is running; retry after the time in Retry-After")
 	case core.VerdictUnknown:
-		return nil, newConflict("claim_unknown", "whether a request with this key ran can't be known; look at its effects before you send it under another key")
+		return nil, newConflict("claim_unknown", "it is unknown whether a request with this key ran; check its effects before you send it with another key")
 	}
 	go e.settleClaim(k, core.NotRun, 0, nil)
-	return nil, newRefusal(http.StatusServiceUnavailable, "claim_home_unavailable", "the box that keeps this key can't vouch for it now; come back after the time in Retry-After", claimRetryTime)
+	return nil, newRefusal(http.StatusServiceUnavailable, "claim_home_unavailable", "the box that stores claims for this key can't confirm it now; retry after the time in Retry-After", claimRetryTime)
 }
 
-// keyTime reads the time that a key carries: a UUID of version 7 does (RFC 9562).
+// keyTime returns the creation time in a key that is a version 7 UUID (RFC 9562).
 func keyTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// replay answers a repeat with what is kept of the first answer.
+// replay answers a repeated request with the stored response of the first one.
 func (e *Entry) replay(c *app.RequestContext, answer wire.ClaimAnswer) {
 	c.Response.Header.Set(outcomeHeader, string(core.Ran))
 	c.Response.Header.Set("Dillsaddle-Replayed", "true")
@@ -105,7 +105,7 @@
 		(&Problem{
 			Status:  http.StatusConflict,
 			Code:    "already_ran",
-			Message: "a request with this key ran before and its answer is not kept; GET /v1/streams/ID with its Dillsaddle-Request, or use another key for another request",
+			Message: "a request with this key already ran and its response was not stored; GET /v1/streams/ID with its Dillsaddle-Request, or use another key for another request",
 			Outcome: core.Ran,
 		}).answer(c)
 		return
@@ -113,7 +113,8 @@
 	c.Data(answer.Status, "application/json", answer.Response)
 }
 
-// requestClaim asks the key's home until it gives a verdict or patience ends.
+// requestClaim asks the claim owner until it gives a verdict or claimRetryTime has passed.
+// It also returns when the last request was sent.
 func (e *Entry) requestClaim(ctx context.Context, k *claim) (wire.ClaimAnswer, time.Time) {
 	deadline := time.Now().Add(claimRetryTime)
 	for {
@@ -152,16 +153,16 @@
 	return answer, err
 }
 
-// noClaimOwnerError reports that the list names no box that a key can belong to.
+// noClaimOwnerError reports that no box in the list can own a claim.
 type noClaimOwnerError struct{}
 
-// Error names the fault and the remedy.
+// Error implements the error interface.
 func (*noClaimOwnerError) Error() string {
-	return "no box of the list can keep claims; see the platform's list"
+	return "no box in the list can own claims; check the platform's list"
 }
 
-// settleClaim tells the home how a claim ended; it tries for a while, and a home
-// that never hears of it answers "unknown" to repeats.
+// settleClaim reports the outcome of a claim to its owner and retries in the background for
+// settleRetryTime. Without the report, the owner answers "unknown" to repeats.
 func (e *Entry) settleClaim(k *claim, outcome core.Outcome, status int, response []byte) {
 	if k.isUnkeyed {
 		return
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -12,7 +12,7 @@
 	"dillsaddle.example/dillsaddle/engine"
 )
 
-// contentDigest gives the digest of what the request asks for, the same for each repeat of it.
+// contentDigest returns the digest of the request's content, which is equal for all repeats.
 func (k *call) contentDigest() core.Digest {
 	kind := "text"
 	if k.p.chat {
@@ -21,8 +21,8 @@
 	return core.NewDigest([]byte(k.customerConfig.Name), []byte(kind), k.p.body)
 }
 
-// detectEndpointCrash finds out whether the endpoint of a lost attempt has ended under it. An
-// endpoint that is known to leave ends as planned.
+// detectEndpointCrash checks whether the endpoint of a lost attempt has crashed. It skips
+// endpoints that are leaving, whose exit is planned.
 func (k *call) detectEndpointCrash() {
 	name := k.gen.Origin.Endpoint
 	at := k.document.Endpoint(name)
@@ -48,18 +48,18 @@
 	}
 }
 
-// lostAttempt is an attempt that was lost with its endpoint's connection.
+// lostAttempt is an attempt whose connection to the endpoint was lost.
 type lostAttempt struct {
 	entry         *Entry
 	request       string
 	customer      string
 	contentDigest core.Digest
-	incarnation   string // of the endpoint
+	incarnation   string // endpoint name and incarnation
 	address       netip.AddrPort
 }
 
-// detectCrash finds out whether the endpoint has ended. What came from it meanwhile isn't known
-// here, beside its own word.
+// detectCrash checks whether the endpoint has crashed and, if so, records it for quarantine.
+// The entry doesn't track when an endpoint was last active, so heardSince is always false.
 func (l *lostAttempt) detectCrash() {
 	sign, crashed := l.entry.presences.Crashed(l.incarnation, l.address, func(time.Time) bool { return false })
 	if !crashed {
@@ -75,7 +75,7 @@
 	l.entry.quarantine.Crashed(time.Now(), l.contentDigest, l.incarnation)
 }
 
-// isLeaving tells whether the platform's list says that an endpoint leaves or is gone.
+// isLeaving reports whether the platform's list has the endpoint as leaving or not at all.
 func (e *Entry) isLeaving(endpoint string) bool {
 	list := e.state.View().List
 	if list == nil {
@@ -89,9 +89,9 @@
 	return true
 }
 
-// refuseQuarantined refuses a generation under which endpoints end, whatever was tried before.
-// A generation that ends engines was sent on to three, and each of its repeats to three
-// more; now three end in all at one box.
+// refuseQuarantined refuses a request that is quarantined because endpoints crashed while
+// running it. It reports whether it did. Without the quarantine, each repeat of such a
+// request could crash as many endpoints as it has attempts.
 func (k *call) refuseQuarantined() bool {
 	now := time.Now()
 	until, quarantined := k.entry.quarantine.QuarantinedUntil(now, k.contentDigest())
@@ -99,7 +99,7 @@
 		return false
 	}
 	k.step(core.CallerGone{})
-	k.problem = newRefusal(http.StatusServiceUnavailable, "endpoints_end", "endpoints end under this request, and it isn't run before the time in Retry-After; change it", until.Sub(now))
+	k.problem = newRefusal(http.StatusServiceUnavailable, "endpoints_end", "endpoints crash while running this request, so it is blocked until the time in Retry-After; change it", until.Sub(now))
 	k.problem.Outcome = k.gen.Outcome
 	return true
 }
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -14,10 +14,10 @@
 	"dillsaddle.example/dillsaddle/engine/completions"
 )
 
-// crashPrompt is in the prompts that no engine survives.
+// crashPrompt is the text in prompts that crash the engine.
 const crashPrompt = "no engine survives this"
 
-// crashingWorker ends the engine that runs such a prompt.
+// crashingWorker stops the engine that is to run a prompt with crashPrompt.
 type crashingWorker struct {
 	engine.Worker
 	mu      sync.Mutex
@@ -46,8 +46,8 @@
 	return w.crashed
 }
 
-var _ = Describe("a generation that ends every engine that runs it", func() {
-	It("is refused once three have ended, by itself or by its repeats, and no other is", func() {
+var _ = Describe("a request that crashes every engine that runs it", func() {
+	It("is refused after three crashes, counting its repeats, while other requests run", func() {
 		inner, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		worker := &crashingWorker{
--- a/entry/customer.go
+++ b/entry/customer.go
@@ -8,7 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// customer is what one box keeps of one customer, under its own lock.
+// customer holds one box's counters, budgets and metrics of a customer.
 type customer struct {
 	mu            sync.Mutex
 	streams       int
@@ -19,7 +19,7 @@
 	classMetrics  map[string]*classMetrics
 }
 
-// retryBurst is how many retries a customer may spend at once.
+// retryBurst is how many retries a customer may use at once.
 const retryBurst = 10
 
 func newCustomer(ratio float64) *customer {
@@ -30,7 +30,7 @@
 	}
 }
 
-// acquireStream counts a stream in unless the customer is at its limit.
+// acquireStream counts a new stream and reports false if the customer is at its limit.
 func (c *customer) acquireStream(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,18 +82,19 @@
 	return m
 }
 
-// maxTokenCreditSeconds is how many seconds of its token rate a customer may save.
+// maxTokenCreditSeconds limits the unused token rate that a customer accumulates, in seconds
+// of its rate.
 const maxTokenCreditSeconds = 10
 
-// chargeTokens takes generated tokens from the customer's rate.
+// chargeTokens subtracts generated tokens from the customer's credit.
 func (c *customer) chargeTokens(tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokenCredit -= float64(tokens)
 }
 
-// rateLimitDelay tells how long the customer must wait until its token rate allows
-// another request; the rate is this box's part of the customer's.
+// rateLimitDelay returns how long the customer must wait before its next request, or 0.
+// Each box enforces an equal part of the customer's token rate.
 func (c *customer) rateLimitDelay(now time.Time, settings *config.Customer, boxes int) time.Duration {
 	if settings.TokenRate <= 0 {
 		return 0
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry is the callers' side of a box: it authenticates customers,
-// admits their requests, streams tokens, continues and cancels streams, passes
-// calls to services, and answers refusals at once.
+// Package entry implements the process of a box that serves callers. It authenticates
+// customers, admits and places their requests, streams, resumes and cancels generations,
+// forwards calls to services, and refuses requests with the time of the next retry.
 package entry
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -13,13 +13,13 @@
 	return e.drain.Accepting()
 }
 
-// Stop starts a planned stop: new requests are refused with when to come back,
-// those in progress go on to their end. A second call changes nothing.
+// Stop starts a planned stop: new requests are refused with a retry delay, and running
+// requests may complete. Further calls have no effect.
 func (e *Entry) Stop() {
 	if len(e.drainStep(core.StopRequested{})) == 0 {
 		return
 	}
-	e.log.Info("planned stop")
+	e.log.Info("planned stop: refusing new requests and draining running ones")
 	go e.waitForDrain()
 }
 
@@ -30,7 +30,7 @@
 	return e.drain.Step(time.Now(), ev)
 }
 
-// Left is closed when the process may end.
+// Left returns a channel that is closed when the process may exit.
 func (e *Entry) Left() <-chan struct{} { return e.exited }
 
 func (e *Entry) waitForDrain() {
@@ -57,7 +57,7 @@
 	return e.drain.State
 }
 
-// Close ends the entry at once.
+// Close stops the entry without waiting for running requests.
 func (e *Entry) Close() {
 	e.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -26,10 +26,10 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// maxHeader bounds a caller's headers, in bytes.
+// maxHeader limits the size of a request's headers, in bytes.
 const maxHeader = 64 << 10
 
-// Entry is the callers' side of one box.
+// Entry serves the callers of one box.
 type Entry struct {
 	settings          *settings.Box
 	self              core.Box
@@ -43,23 +43,23 @@
 	services          *serviceClient
 	models            *shard.Map[*model]
 	customers         *shard.Map[*customer]
-	calls             *shard.Map[*call]
-	ownerIncarnations *shard.Map[core.Incarnation]
-	latencies         *shard.Map[*latencyTracker]
+	calls             *shard.Map[*call]            // by stream ID
+	ownerIncarnations *shard.Map[core.Incarnation] // latest known incarnation of each claim owner
+	latencies         *shard.Map[*latencyTracker]  // by service
 	owners            watch.Owners
 	leaseByteBudget   leaseByteBudget
 
 	presences  *engine.Presences
 	quarantine *fleet.Quarantine
-	wasReady   atomic.Bool // every model that is served had a lease once
+	wasReady   atomic.Bool // every served model has had a lease
 	drainLock  sync.Mutex
 	drain      *core.Drain
-	active     int
+	active     int // requests in progress; guarded by drainLock
 	exited     chan struct{}
 	stop       context.CancelFunc
 }
 
-// Start starts an entry.
+// Start starts an entry and its HTTP server.
 func Start(b *settings.Box, log *zap.Logger, worker engine.Worker, recorder *trace.Recorder) (*Entry, error) {
 	services, err := newServiceClient()
 	if err != nil {
@@ -130,7 +130,7 @@
 	return h
 }
 
-// handlePanic ends one request whose handler panicked, and that request alone.
+// handlePanic answers a request whose handler panicked. Other requests are not affected.
 func (e *Entry) handlePanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
 	panicLogger(e.log, "handler")(fault, stack)
 	(&Problem{
@@ -141,7 +141,7 @@
 	}).answer(c)
 }
 
-// panicLogger counts a panic and logs where it was.
+// panicLogger returns a callback that counts and logs panics in the named component.
 func panicLogger(log *zap.Logger, where string) engine.PanicSeen {
 	return func(fault any, stack []byte) {
 		panics.Inc()
@@ -149,7 +149,7 @@
 	}
 }
 
-// Ready says what is missing before a stream can be served.
+// Ready returns the reason why the entry can't serve streams yet, or "" if it can.
 func (e *Entry) Ready() string {
 	if !e.isAccepting() {
 		return "draining"
@@ -159,7 +159,7 @@
 		return "no configuration or list of boxes from this box's watch yet"
 	}
 	if e.wasReady.Load() {
-		return "" // an endpoint that is lost later is no reason to send callers elsewhere
+		return "" // a box that loses an endpoint later remains ready
 	}
 	for i := range v.Document.Models {
 		name := v.Document.Models[i].Name
@@ -171,7 +171,8 @@
 	return ""
 }
 
-// beginRequest starts a caller's request, or says why not.
+// beginRequest authenticates a request and counts it as active, or returns a problem.
+// endRequest must be called unless it returns a problem.
 func (e *Entry) beginRequest(ctx context.Context, c *app.RequestContext) (*config.Document, *config.Customer, *Problem) {
 	e.drainLock.Lock()
 	accepting := e.drain.Accepting()
@@ -180,12 +181,12 @@
 	}
 	e.drainLock.Unlock()
 	if !accepting {
-		return nil, nil, newRefusal(http.StatusServiceUnavailable, "draining", "this box is being stopped; ask again and the balancer picks another", time.Second)
+		return nil, nil, newRefusal(http.StatusServiceUnavailable, "draining", "this box is shutting down; retry so that the load balancer selects another", time.Second)
 	}
 	d := e.state.View().Document
 	if d == nil {
 		e.endRequest()
-		return nil, nil, newRefusal(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; ask again shortly", time.Second)
+		return nil, nil, newRefusal(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; retry shortly", time.Second)
 	}
 	connOf(ctx).stallTimeout.Store(int64(d.Limits.SlowCaller))
 	key := bearerToken(c)
@@ -197,7 +198,7 @@
 	return d, customerConfig, nil
 }
 
-// endRequest ends what enter started.
+// endRequest ends a request that beginRequest has counted as active.
 func (e *Entry) endRequest() {
 	e.drainLock.Lock()
 	defer e.drainLock.Unlock()
--- a/entry/headers_test.go
+++ b/entry/headers_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("a call to a service", func() {
-	It("carries no header that concerns one connection only, in either direction", func() {
+	It("removes hop-by-hop headers in both directions", func() {
 		seen := make(chan http.Header, 1)
 		service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			seen <- q.Header.Clone()
@@ -23,7 +23,7 @@
 			w.Header().Set("Keep-Alive", "timeout=1")
 			w.Header().Set("X-Answer", "1")
 			fmt.Fprint(w, "fo")
-			w.(http.Flusher).Flush() // chunks on this link, which are its own matter
+			w.(http.Flusher).Flush() // forces chunked encoding on the connection to the service
 			fmt.Fprint(w, "und")
 		}))
 		DeferCleanup(service.Close)
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -12,17 +12,17 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The bounds of a hedge: the second call goes out when the first has taken longer
-// than nearly all did.
+// A hedged call is sent to a second server when the first has not answered within a delay,
+// which is the lower of a high quantile and a multiple of the median of recent latencies.
 const (
 	hedgeQuantile       = 0.95
-	hedgeMedianFactor   = 4 // or this often the median, if that is sooner: one in twenty may be late
+	hedgeMedianFactor   = 4
 	minHedgeDelay       = 5 * time.Millisecond
-	hedgeUpdateInterval = 64   // answers before there is a hedge
-	hedgeResetSamples   = 4096 // answers after which times are learnt anew
+	hedgeUpdateInterval = 64   // number of samples between updates of the delay
+	hedgeResetSamples   = 4096 // number of samples after which they are discarded
 )
 
-// latencyTracker are how long a service's answers take.
+// latencyTracker collects the latencies of a service's answers and derives the hedge delay.
 type latencyTracker struct {
 	mu          sync.Mutex
 	samples     *histogram.Fast
@@ -32,7 +32,7 @@
 
 func newLatencyTracker() *latencyTracker { return &latencyTracker{samples: histogram.NewFast()} }
 
-// observe learns one answer's time.
+// observe adds the latency of one answer.
 func (a *latencyTracker) observe(took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,23 +49,23 @@
 	}
 }
 
-// hedgeDelay gives the time after which a call is sent to a second server, or 0
-// while too few answers were seen.
+// hedgeDelay returns the delay after which a call is sent to a second server, or 0 while
+// there are too few samples.
 func (a *latencyTracker) hedgeDelay() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.delay
 }
 
-// tryResult is what one server gave.
+// tryResult is the result of sending a call to one server.
 type tryResult struct {
 	resp *protocol.Response
 	err  error
 }
 
-// exchangeHedged sends a repeatable call to its server and, when no answer came in the
-// time in which nearly all come, to a second one within the customer's budget of
-// retries. The first answer goes; the other try is cancelled and let go.
+// exchangeHedged sends a repeatable call to its server and, after the hedge delay, to a second
+// one if the customer's retry budget allows it. It returns the first answer and cancels the
+// other try.
 func (k *serviceCall) exchangeHedged(c core.SendAttempt) tryResult {
 	ctx, cancel := context.WithCancel(k.ctx)
 	defer cancel()
@@ -93,7 +93,7 @@
 	}
 }
 
-// startTry sends the call to one server at the side.
+// startTry sends the call to one server in the background.
 func (k *serviceCall) startTry(ctx context.Context, c core.SendAttempt, server netip.AddrPort, results chan<- tryResult) {
 	req := protocol.AcquireRequest()
 	k.fillRequest(req, c, server)
@@ -104,7 +104,7 @@
 	}()
 }
 
-// releaseResponses gives back the answers that nobody waits for.
+// releaseResponses waits for the pending results and releases their responses.
 func releaseResponses(results <-chan tryResult, pending int) {
 	for range pending {
 		r := <-results
--- a/entry/hop.go
+++ b/entry/hop.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1, and RFC 2616).
+// hopHeaders are the hop-by-hop headers (RFC 9110, section 7.6.1, and RFC 2616).
 var hopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -17,14 +17,13 @@
 	"Upgrade",
 }
 
-// headerSet are a request's or an answer's.
+// headerSet holds the headers of a request or response.
 type headerSet interface {
 	Peek(name string) []byte
 	Del(name string)
 }
 
-// dropHopHeaders leaves out what is not to be passed on, and what the other side
-// named as such.
+// dropHopHeaders removes hop-by-hop headers, including those named in the Connection header.
 func dropHopHeaders(h headerSet) {
 	for _, name := range strings.Split(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" {
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -13,14 +13,14 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// macSize is the length of the mark that authenticates a stream id.
+// macSize is the length of the MAC in a stream ID, in bytes.
 const macSize = 12
 
-// tagSize is how much of a stream's mark its event ids repeat.
+// tagSize is the length of the stream ID's prefix in its event IDs, in characters.
 const tagSize = 8
 
-// identity is all that a box needs to continue a stream that another began; it
-// is the stream's id, authenticated by the fleet's secret.
+// identity holds what a box needs to continue a stream that another box began. A stream ID
+// is its encoding, with a MAC keyed by the fleet's secret.
 type identity struct {
 	Endpoint     string           `cbor:"1,keyasint"`
 	Incarnation  core.Incarnation `cbor:"2,keyasint"`
@@ -54,7 +54,7 @@
 	return m.Sum(nil)[:macSize]
 }
 
-// decodeStreamID reads a stream id; it fails for an id that this fleet didn't make.
+// decodeStreamID decodes a stream ID and reports false if the fleet did not issue it.
 func decodeStreamID(secret, id string) (*identity, bool) {
 	raw, err := base64.RawURLEncoding.DecodeString(id)
 	if err != nil || len(raw) <= macSize {
@@ -70,11 +70,11 @@
 	return &i, true
 }
 
-// eventTag is the start of a stream's event ids.
+// eventTag returns the prefix of the event IDs of a stream.
 func eventTag(id string) string { return id[:tagSize] }
 
-// eventMark tells apart the events after a stream's last token, which share its
-// offset.
+// eventMark is a suffix of an event ID. It distinguishes the events after the last token,
+// which all have its offset.
 type eventMark string
 
 // The marks of the events after the last token.
@@ -84,8 +84,8 @@
 	markError eventMark = "error"
 )
 
-// nextOffset reads the offset after a Last-Event-ID of a stream, with or
-// without a mark.
+// nextOffset returns the offset that follows a Last-Event-ID, with or without a mark. It
+// reports false if the ID is not from the given stream.
 func nextOffset(id, lastEvent string) (uint64, bool) {
 	if lastEvent == "" {
 		return 0, true
@@ -99,7 +99,7 @@
 	return n + 1, err == nil
 }
 
-// newToken gives an unguessable name for a request, attempt or generation.
+// newToken returns a random, unguessable ID for a request, attempt or generation.
 func newToken() string {
 	var raw [16]byte
 	_, _ = rand.Read(raw[:])
--- a/entry/lease_budget.go
+++ b/entry/lease_budget.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// The bytes that lease messages may take: of a box's 23 KB a second for control,
-// what heartbeats, lists and configurations leave with a margin.
+// Limits on lease messages. They leave room for heartbeats, lists and configurations within
+// the 23 KB/s that a box may use for control messages.
 const (
 	leaseBytesPerSecond = 14 << 10
 	maxLeaseBytes       = 28 << 10
-	demandBytes         = 170 // a wish and its grant, by measurement
+	demandBytes         = 170 // approximate encoded size of a demand and its grant
 )
 
-// leaseByteBudget bounds the bytes of lease messages beyond those that are due.
+// leaseByteBudget limits the bytes of lease messages that are sent before a lease is due.
 type leaseByteBudget struct {
 	mu        sync.Mutex
 	bytes     float64
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -20,7 +20,7 @@
 	panics         = metrics.NewCounter("dillsaddle_request_panics_total")
 )
 
-// classMetrics are the histograms of one customer and class.
+// classMetrics holds the metrics of one customer and class.
 type classMetrics struct {
 	firstToken    *metrics.Histogram
 	betweenTokens *metrics.Histogram
@@ -50,10 +50,10 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf("dillsaddle_dropped_frames_total{reason=%q}", reason)).Inc()
 }
 
-// stallAfter is the silence between tokens that counts as a stall.
+// stallAfter is the longest gap between tokens that is not counted as a stall.
 const stallAfter = 250 * time.Millisecond
 
-// streamMetrics measures the rhythm of one stream.
+// streamMetrics records the token timing of one stream.
 type streamMetrics struct {
 	histograms  *classMetrics
 	startedAt   time.Time
@@ -61,7 +61,7 @@
 	stalledFor  time.Duration
 }
 
-// tokens notes that some tokens were written together.
+// tokens records that a number of tokens were written together.
 func (p *streamMetrics) tokens(now time.Time, count int) {
 	p.histograms.tokens.Add(count)
 	if p.lastTokenAt.IsZero() {
--- a/entry/model.go
+++ b/entry/model.go
@@ -15,9 +15,9 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// A box uses a subset of each model's endpoints, so that its leases don't grow
-// with the fleet: leaseBudget endpoints in all, but for each model between the
-// two bounds.
+// A box uses only a subset of each model's endpoints, so that its lease traffic is
+// independent of the fleet size: maxLeasedEndpoints divided by the number of models, but
+// from minSubset to maxSubset per model.
 const (
 	maxLeasedEndpoints = 96
 	minSubset          = 3
@@ -28,14 +28,14 @@
 	return min(maxSubset, max(minSubset, maxLeasedEndpoints/max(1, models)))
 }
 
-// model is one model's admission on this box, under its own lock.
+// model holds a box's admission state of one model. mu guards all mutable fields.
 type model struct {
 	name          string
 	mu            sync.Mutex
 	core          *admission.Model
-	waiters       map[string]chan core.Command
+	waiters       map[string]chan core.Command // by request ID
 	recorder      *trace.Recorder
-	until         map[string]time.Time
+	until         map[string]time.Time // lease expiry by endpoint
 	requestLeases func()
 }
 
@@ -58,7 +58,7 @@
 	})
 }
 
-// step applies an event and hands each answer to the request that waits.
+// step applies an event and passes each resulting answer to the waiting request.
 func (m *model) step(now time.Time, ev core.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// enqueue queues a request and gives the channel of its one answer.
+// enqueue submits a request and returns the channel that receives its answer.
 func (m *model) enqueue(now time.Time, r admission.Request) <-chan core.Command {
 	waiter := make(chan core.Command, 1)
 	m.mu.Lock()
@@ -97,8 +97,8 @@
 	return waiter
 }
 
-// withdraw takes a waiting request back; one that was placed in the meantime is
-// ended.
+// withdraw removes a waiting request. If the request was placed in the meantime, its
+// placement is ended.
 func (m *model) withdraw(now time.Time, id, customer string, waiter <-chan core.Command) {
 	m.step(now, admission.RequestWithdrawn{
 		ID:       id,
@@ -127,7 +127,7 @@
 	return false
 }
 
-// applyView puts a new configuration's rules and endpoints in force.
+// applyView updates the rules and endpoints of every model from a new view.
 func (e *Entry) applyView(v watch.View) {
 	if v.Document == nil || v.List == nil {
 		return
@@ -149,9 +149,9 @@
 	}
 }
 
-// selectEndpoints gives the endpoints of a model that a box uses: all if they are few.
-// Else half are of the box's zone and half of the rest of its region, each ranked
-// by rendezvous; those beyond fill up where the region has too few.
+// selectEndpoints returns the subset of a model's endpoints that a box uses. Half are in the
+// box's availability zone and half in the rest of its region, ranked by rendezvous hashing.
+// If there are too few, more endpoints of the zone and then of other regions are added.
 func selectEndpoints(v watch.View, self *core.Member, model string) []string {
 	regions := make(map[string]string)
 	for i := range v.List.Boxes {
@@ -206,7 +206,7 @@
 	return rules
 }
 
-// renewLeases asks the owners for leases until the context ends.
+// renewLeases requests leases at an interval until the context ends.
 func (e *Entry) renewLeases(ctx context.Context) {
 	tick := time.NewTicker(e.settings.LeaseEvery)
 	defer tick.Stop()
@@ -221,8 +221,8 @@
 	}
 }
 
-// renewModels sends one message to each owner, with a wish for each half of an
-// endpoint. Beyond the leases that are due it asks only within its credit.
+// renewModels sends one lease request to each owner, with a demand for each owner slot.
+// Leases that are not due yet are requested only while the byte budget lasts.
 func (e *Entry) renewModels(ctx context.Context, models ...string) {
 	v := e.state.View()
 	if v.Document == nil || v.List == nil {
--- a/entry/panic_test.go
+++ b/entry/panic_test.go
@@ -13,11 +13,11 @@
 	"dillsaddle.example/dillsaddle/engine/completions"
 )
 
-// poisonPrompt is in the prompts that make the worker panic.
+// poisonPrompt is the text in prompts that make the worker panic.
 const poisonPrompt = "poison"
 
-// faultyWorker panics on requests whose prompt is poisoned, before or after the
-// engine took them.
+// faultyWorker panics when it starts a request whose prompt has poisonPrompt, and on every
+// cancellation.
 type faultyWorker struct{ engine.Worker }
 
 func (w *faultyWorker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("a panic in a worker", func() {
-	It("ends the request in which it happened with a final answer, and no other", func() {
+	It("ends the affected request with a final answer and leaves other requests running", func() {
 		worker, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		b := startBox(&faultyWorker{Worker: worker})
--- a/entry/request.go
+++ b/entry/request.go
@@ -10,8 +10,8 @@
 	"dillsaddle.example/dillsaddle/config"
 )
 
-// completionBody is the part of a caller's request that the entry reads; the
-// rest passes to the endpoint unchanged.
+// completionBody holds the fields of a completion request that the entry reads. The body is
+// forwarded to the endpoint unchanged.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -30,13 +30,13 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// rawPrompt is the text whose start the endpoints cache.
+// rawPrompt holds the raw prompt, whose first bytes identify its cached prefix.
 type rawPrompt struct {
 	Prompt   json.RawMessage `json:"prompt"`
 	Messages json.RawMessage `json:"messages"`
 }
 
-// parsedRequest is a checked request.
+// parsedRequest is a validated completion request.
 type parsedRequest struct {
 	body         []byte
 	model        string
@@ -44,15 +44,15 @@
 	stream       bool
 	includeUsage bool
 	maxTokens    int
-	promptTokens int
-	prefix       uint64
+	promptTokens int    // estimate
+	prefix       uint64 // hash of the first bytes of the prompt
 	modelConfig  *config.Model
 }
 
-// bytesPerToken is the rough size of a token before an endpoint counts.
+// bytesPerToken is a rough average used to estimate the prompt's length in tokens.
 const bytesPerToken = 4
 
-// prefixBytes is how much of a prompt's start names its cached prefix.
+// prefixBytes is how much of the prompt's start is hashed to identify its cached prefix.
 const prefixBytes = 64
 
 func parseCompletion(d *config.Document, body []byte, chat bool) (*parsedRequest, *Problem) {
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -12,19 +12,20 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// cancelTimeout bounds a cancel at an endpoint.
+// cancelTimeout limits a cancellation request to an endpoint.
 const cancelTimeout = 2 * time.Second
 
-// lookupStream reads the stream that a path names, if it is the customer's own.
+// lookupStream decodes the stream ID in the path, if the stream belongs to the customer.
 func (e *Entry) lookupStream(c *app.RequestContext, customer string) (*identity, *Problem) {
 	i, ok := decodeStreamID(e.settings.Secret, c.Param("id"))
 	if !ok || i.Customer != customer {
-		return nil, newRejection(http.StatusNotFound, "stream_not_found", "no stream of this customer has this id; use the Dillsaddle-Request of a stream's answer")
+		return nil, newRejection(http.StatusNotFound, "stream_not_found", "this customer has no stream with this id; use the Dillsaddle-Request of a stream's answer")
 	}
 	return i, nil
 }
 
-// withStream lets a customer in to a stream of its own, or answers why not.
+// withStream authenticates the caller, looks up its stream and calls do, or answers with a
+// problem.
 func (e *Entry) withStream(ctx context.Context, c *app.RequestContext, do func(*config.Document, *config.Customer, *identity)) {
 	d, customerConfig, problem := e.beginRequest(ctx, c)
 	if problem != nil {
@@ -40,7 +41,7 @@
 	do(d, customerConfig, i)
 }
 
-// continueStream goes on with a stream that any box began.
+// continueStream resumes a stream that any box may have begun.
 func (e *Entry) continueStream(ctx context.Context, c *app.RequestContext) {
 	e.withStream(ctx, c, func(d *config.Document, customerConfig *config.Customer, i *identity) {
 		e.resumeStream(ctx, c, d, customerConfig, i)
@@ -51,7 +52,7 @@
 	id := c.Param("id")
 	next, ok := nextOffset(id, string(c.GetHeader(lastEventHeader)))
 	if !ok {
-		newRejection(http.StatusBadRequest, "invalid_last_event_id", "Last-Event-ID is not of this stream; send the id of its last event").answer(c)
+		newRejection(http.StatusBadRequest, "invalid_last_event_id", "Last-Event-ID does not belong to this stream; send the id of its last event").answer(c)
 		return
 	}
 	p := &parsedRequest{
@@ -69,7 +70,8 @@
 	k.runFromOffset()
 }
 
-// registerResumed counts the stream into this box's own use of the endpoint.
+// registerResumed adds the resumed stream to this box's calls and admission state. A previous
+// connection of the stream on this box is ended.
 func (k *call) registerResumed(i *identity, next uint64) {
 	if old, here := k.entry.calls.Get(k.id); here {
 		old.supersede()
@@ -92,7 +94,7 @@
 	})
 }
 
-// cancelStream cancels a stream from any box.
+// cancelStream cancels a stream that any box may have begun.
 func (e *Entry) cancelStream(ctx context.Context, c *app.RequestContext) {
 	e.withStream(ctx, c, func(_ *config.Document, _ *config.Customer, i *identity) { e.cancelIdentified(c, i) })
 }
@@ -105,7 +107,7 @@
 		(&Problem{
 			Status:     http.StatusServiceUnavailable,
 			Code:       "cancel_not_confirmed",
-			Message:    "the endpoint didn't confirm the cancel; send it again",
+			Message:    "the endpoint didn't confirm the cancellation; send it again",
 			Outcome:    core.Unknown,
 			RetryAfter: time.Second,
 		}).answer(c)
--- a/entry/service_client.go
+++ b/entry/service_client.go
@@ -14,9 +14,9 @@
 	"github.com/pkg/errors"
 )
 
-// serviceClient calls plain services. What may not be repeated goes over a
-// fresh connection each time: on a kept one, a close by the other side can't be
-// told from a loss, and the HTTP library sends some methods again by itself.
+// serviceClient sends calls to services. Calls that must not be repeated use a new connection
+// each: on a reused one, a close by the server can't be told from a lost request, and the
+// HTTP library retries some methods by itself.
 type serviceClient struct {
 	keepAlive *client.Client
 	fresh     *client.Client
@@ -24,14 +24,14 @@
 	load      map[netip.AddrPort]*serverLoad
 }
 
-// serverLoad is what one box knows of one server of a service.
+// serverLoad holds this box's view of the load and latency of one server of a service.
 type serverLoad struct {
-	open     int
-	latency  float64 // seconds, smoothed
+	open     int     // calls in progress
+	latency  float64 // exponential moving average, in seconds
 	failedAt time.Time
 }
 
-// maxServiceConnections bounds the connections to one server.
+// maxServiceConnections limits the connections to one server.
 const maxServiceConnections = 4096
 
 func newServiceClient() (*serviceClient, error) {
@@ -42,11 +42,11 @@
 	}
 	keepAlive, err := client.NewClient(options...)
 	if err != nil {
-		return nil, errors.Wrap(err, "build the service client")
+		return nil, errors.Wrap(err, "create service client")
 	}
 	fresh, err := client.NewClient(append(options, client.WithKeepAlive(false))...)
 	if err != nil {
-		return nil, errors.Wrap(err, "build the service client")
+		return nil, errors.Wrap(err, "create service client")
 	}
 	return &serviceClient{
 		keepAlive: keepAlive,
@@ -64,11 +64,11 @@
 	return l
 }
 
-// failurePenaltyTime is how long a server that failed goes last.
+// failurePenaltyTime is how long after a failure a server is used only if no other works.
 const failurePenaltyTime = 2 * time.Second
 
-// pick gives the server with the least expected time to answer, but for those
-// to avoid, and counts the call in.
+// pick returns the server with the shortest expected time to answer and counts the call as
+// open. The server to avoid is chosen only if there is no other.
 func (s *serviceClient) pick(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	return best
 }
 
-// latencyWeight is the weight of the newest call.
+// latencyWeight is the weight of the newest sample in the moving average.
 const latencyWeight = 0.2
 
 func (s *serviceClient) recordResult(address netip.AddrPort, took time.Duration, failed bool) {
@@ -106,7 +106,7 @@
 	l.latency += latencyWeight * (took.Seconds() - l.latency)
 }
 
-// do sends one call within a time.
+// do sends a call with a timeout.
 func (s *serviceClient) do(ctx context.Context, req *protocol.Request, resp *protocol.Response, timeout time.Duration, repeatable bool) error {
 	req.SetOptions(config.WithRequestTimeout(timeout))
 	if repeatable {
@@ -115,7 +115,7 @@
 	return s.fresh.Do(ctx, req, resp)
 }
 
-// isUnsent reports whether an error means that no byte of the request left.
+// isUnsent reports whether a request failed before any byte of it was sent.
 func isUnsent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/entry/services.go
+++ b/entry/services.go
@@ -16,8 +16,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// serviceCall carries one call to a plain service. Its decisions are those of a
-// generation with a single frame: the answer.
+// serviceCall handles one call to a service. It uses a core.Generation with a single frame,
+// the answer, to decide on retries.
 type serviceCall struct {
 	entry          *Entry
 	ctx            context.Context
@@ -29,12 +29,12 @@
 	path           string
 	body           []byte
 	deadline       time.Time
-	lastServer     netip.AddrPort
+	lastServer     netip.AddrPort // server of the latest try
 	answer         *protocol.Response
 	problem        *Problem
 }
 
-// handleServiceCall passes a call to a service.
+// handleServiceCall authenticates a caller and forwards its call to a service.
 func (e *Entry) handleServiceCall(ctx context.Context, c *app.RequestContext) {
 	d, customerConfig, problem := e.beginRequest(ctx, c)
 	if problem != nil {
@@ -59,7 +59,7 @@
 	}
 	customer := e.customerOf(customerConfig)
 	if !customer.acquireServiceCall(service.Name, service.Concurrency) {
-		return newRefusal(http.StatusTooManyRequests, "too_many_calls", "the customer has as many calls to this service as its concurrency allows; wait for one to end", time.Second)
+		return newRefusal(http.StatusTooManyRequests, "too_many_calls", "the customer already has as many calls to this service as its concurrency allows; wait for one to end", time.Second)
 	}
 	defer customer.releaseServiceCall(service.Name)
 	method := string(c.Method())
@@ -131,13 +131,13 @@
 	}
 }
 
-// The pauses before another try, so that a server that returns meets no storm.
+// The bounds of the delay before a retry, which keeps a recovering server from overload.
 const (
 	retryPause    = 10 * time.Millisecond
 	maxRetryPause = 200 * time.Millisecond
 )
 
-// place picks a server for the next try, if there is time and budget for one.
+// place selects a server for the next try, if the deadline and the retry budget allow one.
 func (k *serviceCall) place(c core.PlaceAgain) {
 	again := c.Avoid != ""
 	if again && (time.Until(k.deadline) <= 0 || !k.entry.customerOf(k.customerConfig).takeRetry()) {
@@ -159,8 +159,8 @@
 	})
 }
 
-// tryTimeout is the time of one try: a repeatable call keeps half of what is left
-// for another, so that one late server leaves nobody without an answer.
+// tryTimeout returns the time limit of one try. A repeatable call reserves half of the
+// remaining time for another try.
 func (k *serviceCall) tryTimeout() time.Duration {
 	left := time.Until(k.deadline)
 	if k.gen.Repeatable && k.gen.Attempt < maxAttempts && len(k.service.Addresses) > 1 {
@@ -180,7 +180,7 @@
 	k.handleResult(c, r.resp, r.err)
 }
 
-// exchange sends the call and waits for what comes back.
+// exchange sends the call and waits for the result.
 func (k *serviceCall) exchange(c core.SendAttempt) tryResult {
 	if k.mayHedge() {
 		return k.exchangeHedged(c)
@@ -199,7 +199,7 @@
 	return k.entry.latencies.GetOrCreate(k.service.Name, newLatencyTracker)
 }
 
-// try sends the call to one server and learns how long its answer took.
+// try sends the call to one server and records the latency of its answer.
 func (k *serviceCall) try(ctx context.Context, req *protocol.Request, server netip.AddrPort, timeout time.Duration) tryResult {
 	resp := protocol.AcquireResponse()
 	began := time.Now()
@@ -232,8 +232,8 @@
 	}
 }
 
-// handleResult turns what came back into the call's next event. An answer that names
-// another request is crossed and is not the caller's.
+// handleResult converts the result of a try into an event for the generation. A response with
+// the ID of another request is dropped.
 func (k *serviceCall) handleResult(c core.SendAttempt, resp *protocol.Response, err error) {
 	echoed := string(resp.Header.Peek(requestIDHeader))
 	switch {
@@ -275,9 +275,9 @@
 	if time.Until(k.deadline) <= 0 {
 		p.Status = http.StatusGatewayTimeout
 		p.Code = "deadline"
-		p.Message = "the service didn't answer within its deadline; come back after the time in Retry-After"
+		p.Message = "the service didn't answer within its deadline; retry after the time in Retry-After"
 		if c.Outcome == core.Unknown && !k.gen.Repeatable {
-			p.Message = "the service didn't answer within its deadline and the call may have run; look at its effects first"
+			p.Message = "the service didn't answer within its deadline and the call may have run; check its effects first"
 		}
 	}
 	return p
--- a/entry/status.go
+++ b/entry/status.go
@@ -9,7 +9,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// Status is what an operator sees of a box.
+// Status is the status of a box, as shown to its operator.
 type Status struct {
 	Box           string               `json:"box"`
 	Zone          string               `json:"zone"`
@@ -23,7 +23,7 @@
 	Scheduler     wire.SchedulerStatus `json:"scheduler"`
 }
 
-// ModelStatus is one model's admission on a box.
+// ModelStatus is a box's admission state of one model.
 type ModelStatus struct {
 	Model   string         `json:"model"`
 	Running int            `json:"running"`
@@ -31,13 +31,13 @@
 	Leases  []LeaseStatus  `json:"leases"`
 }
 
-// LeaseStatus is one lease that an entry holds.
+// LeaseStatus is the status of a lease that the entry holds.
 type LeaseStatus struct {
 	Endpoint string `json:"endpoint"`
 	TimeLeft string `json:"left"`
 }
 
-// Status gives the box's status, the scheduler's part included.
+// Status returns the status of the box, including its scheduler's part.
 func (e *Entry) Status() any {
 	v := e.state.View()
 	versions := e.state.Versions()
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -16,8 +16,8 @@
 	"dillsaddle.example/dillsaddle/engine"
 )
 
-// streamWriter writes server-sent events. Several tokens go out in one write
-// when they are there together.
+// streamWriter writes a response as server-sent events. Tokens that are available together
+// are sent in one write.
 type streamWriter struct {
 	c      *app.RequestContext
 	conn   *callerConn
@@ -48,8 +48,8 @@
 	w.event(id, offset, eventMark(""), data)
 }
 
-// event writes an event under the id of its offset; those that follow the last
-// token carry a mark, so that no two events of a stream share an id.
+// event adds an event to the buffer. Its ID has the offset and, for events after the last
+// token, a mark, so that event IDs are unique in the stream.
 func (w *streamWriter) event(id string, offset uint64, mark eventMark, data []byte) {
 	w.eventID(id, offset, mark)
 	b := append(w.buffer, "data: "...)
@@ -69,8 +69,8 @@
 	w.buffer = append(b, '\n')
 }
 
-// flush writes what is there; a caller that takes nothing is found slow after
-// its time, and until then holds its endpoint's link up.
+// flush writes the buffered events. A caller that reads nothing blocks the write, and thereby
+// its endpoint's connection, until it is found to be slow.
 func (w *streamWriter) flush() error {
 	if len(w.buffer) == 0 {
 		return nil
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// completionResponse is a whole answer, or the last chunk of a stream whose caller asked for
-// usage, which has no choices.
+// completionResponse is the body of a non-streamed response. It is also the usage chunk of a
+// stream, in which the choices are empty.
 type completionResponse struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -136,7 +136,7 @@
 	return w.writeDone(id, offset, core.Ran)
 }
 
-// appendOutcome adds the outcome to a chunk as its last field.
+// appendOutcome adds the outcome as the last field of a JSON chunk.
 func appendOutcome(data []byte, outcome core.Outcome) []byte {
 	trimmed := bytes.TrimRight(data, " \n")
 	if len(trimmed) < 2 || trimmed[len(trimmed)-1] != '}' {
@@ -148,8 +148,8 @@
 	return append(out, `"}`...)
 }
 
-// writeDone writes the mark that ends a stream; its outcome is a field of the event,
-// which clients that don't know it pass over.
+// writeDone writes the event that ends a stream. The outcome is an additional event field,
+// which clients that don't know it ignore.
 func (w *streamWriter) writeDone(id string, offset uint64, outcome core.Outcome) error {
 	w.eventID(id, offset, markDone)
 	w.buffer = append(w.buffer, outcomeHeader+": "...)
@@ -188,7 +188,7 @@
 	return "text_completion"
 }
 
-// bufferedWriter gathers a stream for a caller that wants one answer.
+// bufferedWriter collects a stream into a single response.
 type bufferedWriter struct {
 	c    *app.RequestContext
 	p    *parsedRequest
