--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -72,7 +72,7 @@
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i+1) }
 
 // startEngine starts an emulated engine and returns a function that stops it.
-func startEngine(name string, address netip.AddrPort) (end func()) {
+func startEngine(name string, address netip.AddrPort) (stop func()) {
 	served := standin.NewEngine(standin.EngineRules{
 		Name:   name,
 		Models: []string{modelName},
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -10,8 +10,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// handleCallerLoss handles the caller's disconnect. A buffered answer has no stream ID yet
-// with which the caller could continue it, so its generation is cancelled.
+// handleCallerLoss handles the disconnect of the caller. A caller that waits for a buffered
+// answer has received no stream ID to continue with, so its generation is cancelled.
 func (k *call) handleCallerLoss() {
 	if !k.p.stream {
 		k.step(core.CallerGone{})
--- a/entry/caller_conn.go
+++ b/entry/caller_conn.go
@@ -41,18 +41,18 @@
 	return l
 }
 
-func (l *callerConn) setBuffer(size int) {
-	if tcp, ok := l.Conn.(*net.TCPConn); ok {
+func (c *callerConn) setBuffer(size int) {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(size)
 	}
 }
 
 // Write writes p and waits as long as the caller reads at least one byte per stallTimeout.
-func (l *callerConn) Write(p []byte) (int, error) {
+func (c *callerConn) Write(p []byte) (int, error) {
 	written := 0
 	for {
-		_ = l.SetWriteDeadline(time.Now().Add(time.Duration(l.stallTimeout.Load())))
-		n, err := l.Conn.Write(p[written:])
+		_ = c.SetWriteDeadline(time.Now().Add(time.Duration(c.stallTimeout.Load())))
+		n, err := c.Conn.Write(p[written:])
 		written += n
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
@@ -60,11 +60,11 @@
 		if n > 0 {
 			continue
 		}
-		if l.isSlow.Swap(true) {
+		if c.isSlow.Swap(true) {
 			return written, errSlowCaller
 		}
-		l.stallTimeout.Store(int64(finalWriteTimeout))
-		l.setBuffer(finalBufferSize)
+		c.stallTimeout.Store(int64(finalWriteTimeout))
+		c.setBuffer(finalBufferSize)
 	}
 }
 
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -57,10 +57,10 @@
 	if k.hasKeyTime && time.Until(k.keyCreatedAt) > core.DefaultClaimRules().Skew {
 		return nil, newRejection(http.StatusBadRequest, "key_from_the_future", "the time in the Idempotency-Key is ahead of this box's clock; correct the clock of the process that creates the keys")
 	}
-	answer, asked := e.requestClaim(ctx, k)
+	answer, requestedAt := e.requestClaim(ctx, k)
 	switch answer.Verdict {
 	case core.VerdictGranted:
-		k.until = asked.Add(answer.ValidFor)
+		k.until = requestedAt.Add(answer.ValidFor)
 		return k, nil
 	case core.VerdictRan:
 		e.replay(c, answer)
@@ -118,11 +118,11 @@
 func (e *Entry) requestClaim(ctx context.Context, k *claim) (wire.ClaimAnswer, time.Time) {
 	deadline := time.Now().Add(claimRetryTime)
 	for {
-		asked := time.Now()
+		requestedAt := time.Now()
 		answer, err := e.tryRequestClaim(ctx, k)
 		decided := err == nil && answer.Verdict != core.VerdictNotOwner && answer.Verdict != core.VerdictNotYet
 		if decided || time.Now().After(deadline) || ctx.Err() != nil {
-			return answer, asked
+			return answer, requestedAt
 		}
 		time.Sleep(claimRetryInterval)
 	}
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -57,7 +57,7 @@
 	return e.drain.State
 }
 
-// Close stops the entry without waiting for running requests.
+// Close stops the entry at once, without draining it.
 func (e *Entry) Close() {
 	e.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -33,28 +33,28 @@
 func newLatencyTracker() *latencyTracker { return &latencyTracker{samples: histogram.NewFast()} }
 
 // observe adds the latency of one answer.
-func (a *latencyTracker) observe(took time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.samples.Update(took.Seconds())
-	a.sampleCount++
-	if a.sampleCount%hedgeUpdateInterval != 0 {
+func (t *latencyTracker) observe(took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.samples.Update(took.Seconds())
+	t.sampleCount++
+	if t.sampleCount%hedgeUpdateInterval != 0 {
 		return
 	}
-	threshold := min(a.samples.Quantile(hedgeQuantile), hedgeMedianFactor*a.samples.Quantile(0.5))
-	a.delay = max(minHedgeDelay, time.Duration(threshold*float64(time.Second)))
-	if a.sampleCount >= hedgeResetSamples {
-		a.samples.Reset()
-		a.sampleCount = 0
+	threshold := min(t.samples.Quantile(hedgeQuantile), hedgeMedianFactor*t.samples.Quantile(0.5))
+	t.delay = max(minHedgeDelay, time.Duration(threshold*float64(time.Second)))
+	if t.sampleCount >= hedgeResetSamples {
+		t.samples.Reset()
+		t.sampleCount = 0
 	}
 }
 
 // hedgeDelay returns the delay after which a call is sent to a second server, or 0 while
 // there are too few samples.
-func (a *latencyTracker) hedgeDelay() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.delay
+func (t *latencyTracker) hedgeDelay() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.delay
 }
 
 // tryResult is the result of sending a call to one server.
--- a/entry/lease_budget.go
+++ b/entry/lease_budget.go
@@ -13,27 +13,28 @@
 	demandBytes         = 170 // approximate encoded size of a demand and its grant
 )
 
-// leaseByteBudget limits the bytes of lease messages that are sent before a lease is due.
+// leaseByteBudget is a token bucket for the bytes of lease messages. All messages are charged,
+// but only requests for leases that are not due yet are held back.
 type leaseByteBudget struct {
 	mu        sync.Mutex
 	bytes     float64
 	updatedAt time.Time
 }
 
-func (c *leaseByteBudget) isAvailable(now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.updatedAt.IsZero() {
-		c.bytes = maxLeaseBytes
+func (b *leaseByteBudget) isAvailable(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.updatedAt.IsZero() {
+		b.bytes = maxLeaseBytes
 	} else {
-		c.bytes = min(maxLeaseBytes, c.bytes+leaseBytesPerSecond*now.Sub(c.updatedAt).Seconds())
+		b.bytes = min(maxLeaseBytes, b.bytes+leaseBytesPerSecond*now.Sub(b.updatedAt).Seconds())
 	}
-	c.updatedAt = now
-	return c.bytes > 0
+	b.updatedAt = now
+	return b.bytes > 0
 }
 
-func (c *leaseByteBudget) charge(bytes int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.bytes -= float64(bytes)
+func (b *leaseByteBudget) charge(bytes int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.bytes -= float64(bytes)
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -62,23 +62,23 @@
 }
 
 // tokens records that a number of tokens were written together.
-func (p *streamMetrics) tokens(now time.Time, count int) {
-	p.histograms.tokens.Add(count)
-	if p.lastTokenAt.IsZero() {
-		p.histograms.firstToken.Update(now.Sub(p.startedAt).Seconds())
-		p.lastTokenAt = now
+func (m *streamMetrics) tokens(now time.Time, count int) {
+	m.histograms.tokens.Add(count)
+	if m.lastTokenAt.IsZero() {
+		m.histograms.firstToken.Update(now.Sub(m.startedAt).Seconds())
+		m.lastTokenAt = now
 		return
 	}
-	gap := now.Sub(p.lastTokenAt)
-	p.histograms.betweenTokens.Update(gap.Seconds())
+	gap := now.Sub(m.lastTokenAt)
+	m.histograms.betweenTokens.Update(gap.Seconds())
 	if gap > stallAfter {
-		p.stalledFor += gap - stallAfter
+		m.stalledFor += gap - stallAfter
 	}
-	p.lastTokenAt = now
+	m.lastTokenAt = now
 }
 
-func (p *streamMetrics) recordStalls() {
-	if !p.lastTokenAt.IsZero() {
-		p.histograms.stall.Update(p.stalledFor.Seconds())
+func (m *streamMetrics) recordStalls() {
+	if !m.lastTokenAt.IsZero() {
+		m.histograms.stall.Update(m.stalledFor.Seconds())
 	}
 }
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -24,9 +24,9 @@
 	return i, nil
 }
 
-// withStream authenticates the caller, looks up its stream and calls do, or answers with a
+// withStream authenticates the caller, looks up its stream and calls handle, or answers with a
 // problem.
-func (e *Entry) withStream(ctx context.Context, c *app.RequestContext, do func(*config.Document, *config.Customer, *identity)) {
+func (e *Entry) withStream(ctx context.Context, c *app.RequestContext, handle func(*config.Document, *config.Customer, *identity)) {
 	d, customerConfig, problem := e.beginRequest(ctx, c)
 	if problem != nil {
 		problem.answer(c)
@@ -38,7 +38,7 @@
 		problem.answer(c)
 		return
 	}
-	do(d, customerConfig, i)
+	handle(d, customerConfig, i)
 }
 
 // continueStream resumes a stream that any box may have begun.
--- a/entry/service_client.go
+++ b/entry/service_client.go
@@ -64,7 +64,7 @@
 	return l
 }
 
-// failurePenaltyTime is how long after a failure a server is used only if no other works.
+// failurePenaltyTime is how long after a failure a server ranks behind all others.
 const failurePenaltyTime = 2 * time.Second
 
 // pick returns the server with the shortest expected time to answer and counts the call as
--- a/wire/idle_timeout_test.go
+++ b/wire/idle_timeout_test.go
@@ -15,7 +15,7 @@
 
 // callOverLink makes a call over an emulated link in virtual time. The server waits for
 // the pause and then answers with a configuration of the given size.
-func callOverLink(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, ask func(c *wire.Conn) error) error {
+func callOverLink(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, call func(c *wire.Conn) error) error {
 	var err error
 	synctest.Test(t, func(t *testing.T) {
 		n := emulator.NewNetwork(time.Millisecond)
@@ -35,7 +35,7 @@
 		if dialErr != nil {
 			t.Fatal(dialErr)
 		}
-		err = ask(c)
+		err = call(c)
 		c.Close()
 		s.Close()
 		time.Sleep(time.Minute)
