--- a/entry/drain.go
+++ b/entry/drain.go
@@ -30,12 +30,12 @@
 	return e.drain.Step(time.Now(), ev)
 }
 
-// Left returns a channel that is closed when the process may exit.
-func (e *Entry) Left() <-chan struct{} { return e.exited }
+// Done returns a channel that is closed when the process may exit.
+func (e *Entry) Done() <-chan struct{} { return e.exited }
 
 func (e *Entry) waitForDrain() {
 	began := time.Now()
-	for time.Since(began) < e.settings.DrainLimit {
+	for time.Since(began) < e.settings.DrainTimeout {
 		e.drainStep(core.WorkChanged{Streams: e.activeRequests()})
 		if e.drainState() == core.DrainLeft {
 			break
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -188,7 +188,7 @@
 		e.endRequest()
 		return nil, nil, newRefusal(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; retry shortly", time.Second)
 	}
-	connOf(ctx).stallTimeout.Store(int64(d.Limits.SlowCaller))
+	connOf(ctx).stallTimeout.Store(int64(d.Limits.SlowCallerTimeout))
 	key := bearerToken(c)
 	customerConfig := d.Authenticate(key)
 	if customerConfig == nil {
--- a/entry/model.go
+++ b/entry/model.go
@@ -208,7 +208,7 @@
 
 // renewLeases requests leases at an interval until the context ends.
 func (e *Entry) renewLeases(ctx context.Context) {
-	tick := time.NewTicker(e.settings.LeaseEvery)
+	tick := time.NewTicker(e.settings.LeaseInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/entry/services.go
+++ b/entry/services.go
@@ -244,7 +244,7 @@
 	case echoed != "" && echoed != c.Origin.Generation:
 		droppedLate.Inc()
 		k.discard(resp, core.LinkLost{Attempt: c.Attempt})
-	case slices.Contains(k.service.Refusals, resp.StatusCode()):
+	case slices.Contains(k.service.RefusalStatuses, resp.StatusCode()):
 		k.discard(resp, core.Refused{Attempt: c.Attempt})
 	case resp.StatusCode() >= http.StatusInternalServerError && k.gen.Repeatable && k.gen.Attempt < maxAttempts:
 		k.discard(resp, core.LinkLost{Attempt: c.Attempt})
