--- a/entry/crash.go
+++ b/entry/crash.go
@@ -44,7 +44,7 @@
 	}()
 	select {
 	case <-detected:
-	case <-time.After(engine.EndPatience):
+	case <-time.After(engine.CrashProbeWait):
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,7 +49,7 @@
 	owners            watch.Owners
 	leaseByteBudget   leaseByteBudget
 
-	presences  *engine.Presences
+	presences  *engine.CrashProber
 	quarantine *fleet.Quarantine
 	wasReady   atomic.Bool // every served model has had a lease
 	drainLock  sync.Mutex
@@ -75,7 +75,7 @@
 		log:               log,
 		recorder:          recorder,
 		state:             watch.NewState(log),
-		worker:            engine.Guard(worker, panicLogger(log, "worker")),
+		worker:            engine.WithPanicRecovery(worker, panicLogger(log, "worker")),
 		services:          services,
 		models:            shard.NewMap[*model](),
 		customers:         shard.NewMap[*customer](),
@@ -86,7 +86,7 @@
 		exited:            make(chan struct{}),
 		stop:              cancel,
 
-		presences:  engine.NewPresences(),
+		presences:  engine.NewCrashProber(),
 		quarantine: fleet.NewQuarantine(log),
 	}
 	e.handlers = wire.NewHandlers(wire.WithVersions(e.state.Versions))
@@ -142,7 +142,7 @@
 }
 
 // panicLogger returns a callback that counts and logs panics in the named component.
-func panicLogger(log *zap.Logger, where string) engine.PanicSeen {
+func panicLogger(log *zap.Logger, where string) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		panics.Inc()
 		log.Error("a request's "+where+" panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
