--- a/entry/drain.go
+++ b/entry/drain.go
@@ -19,7 +19,7 @@
 	if len(e.drainStep(core.StopRequested{})) == 0 {
 		return
 	}
-	e.log.Info("planned stop: refusing new requests and draining running ones")
+	e.log.Info("planned stop started; refusing new requests and draining running ones")
 	go e.waitForDrain()
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -97,7 +97,7 @@
 	callers, err := net.Listen("tcp", b.Entry.String())
 	if err != nil {
 		cancel()
-		return nil, errors.Wrap(err, "listen for callers; free the address or change the setting entry")
+		return nil, errors.Wrap(err, "listen for callers; free the port or change the setting entry")
 	}
 	e.http = e.routes(callers)
 	go func() { _ = e.http.Run() }()
@@ -145,7 +145,7 @@
 func panicLogger(log *zap.Logger, where string) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		panics.Inc()
-		log.Error("a request's "+where+" panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
+		log.Error("request "+where+" panicked; other requests continue", zap.Any("fault", fault), zap.ByteString("stack", stack))
 	}
 }
 
