--- a/entry/service_client.go
+++ b/entry/service_client.go
@@ -64,11 +64,11 @@
 	return l
 }
 
-// failurePenaltyTime is how long after a failure a server ranks behind all others.
+// failurePenaltyTime is how long after a failure a server ranks behind those without one.
 const failurePenaltyTime = 2 * time.Second
 
 // pick returns the server with the shortest expected time to answer and counts the call as
-// open. The server to avoid is chosen only if there is no other.
+// open. The server to avoid ranks last.
 func (s *serviceClient) pick(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
