--- a/entry/body.go
+++ b/entry/body.go
@@ -13,11 +13,11 @@
 func readBody(c *app.RequestContext, limit int) ([]byte, *Problem) {
 	body, err := io.ReadAll(io.LimitReader(c.RequestBodyStream(), int64(limit)+1))
 	if err != nil {
-		return nil, newRejection(http.StatusBadRequest, "body_cut", "the request body was truncated; send it again")
+		return nil, newRejection(http.StatusBadRequest, "body_cut", "the body ended early; send it again")
 	}
 	if len(body) > limit {
 		return nil, newRejection(http.StatusRequestEntityTooLarge, "body_too_large",
-			fmt.Sprintf("the request body is longer than the limit of %d bytes; shorten it", limit))
+			fmt.Sprintf("the body is longer than the limit of %d bytes; shorten it", limit))
 	}
 	return body, nil
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -169,7 +169,7 @@
 	if reason == admission.RefusePolicy || reason == admission.RefuseTooManyWaiting {
 		status = http.StatusTooManyRequests
 	}
-	k.problem = newRefusal(status, string(reason), "the engines are overloaded; retry after the time in Retry-After", retryAfter)
+	k.problem = newRefusal(status, string(reason), "the engines are crowded; come back after the time in Retry-After", retryAfter)
 	k.problem.Outcome = k.gen.Outcome
 }
 
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -113,18 +113,18 @@
 	}
 	switch c.Code {
 	case core.EndRefused:
-		p.Message = "no endpoint accepted the request; retry after the time in Retry-After"
+		p.Message = "no endpoint took the request; come back after the time in Retry-After"
 	case core.EndLost:
-		p.Message = "the generation was lost with its endpoint; send the request again to start a new one"
+		p.Message = "the generation was lost with its endpoint; send the request again for a new one"
 	case core.EndNotRepeatable:
-		p.Message = "the endpoint was lost before it answered and the request must not be repeated automatically; check its effects first"
+		p.Message = "the endpoint was lost before it answered and the request may not be repeated; look at its effects first"
 	case core.EndCancelled:
 		p.Status = statusClientClosed
 		p.Message = "the request was cancelled"
 	case core.EndSlowCaller:
 		p.Message = "the stream was not read for the time slow_caller; continue it soon at GET /v1/streams/ID with Last-Event-ID, and read faster"
 	case core.EndRetriesSpent:
-		p.Message = "every attempt was lost before its first token; retry after the time in Retry-After"
+		p.Message = "every attempt was lost before its first token; come back after the time in Retry-After"
 	}
 	return p
 }
--- a/entry/caller_conn.go
+++ b/entry/caller_conn.go
@@ -23,7 +23,7 @@
 	defaultStallTimeout = 10 * time.Second
 )
 
-var errSlowCaller = errors.New("the caller read nothing of the response for the time slow_caller; read faster or continue the stream")
+var errSlowCaller = errors.New("the caller read nothing of its answer for the time slow_caller; read faster or continue the stream")
 
 // callerConn is a caller's connection. When a write makes no progress for stallTimeout, the
 // caller is marked as slow and the write buffer is enlarged once, so that the response can
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -55,7 +55,7 @@
 	}
 	k.keyCreatedAt, k.hasKeyTime = keyTime(name)
 	if k.hasKeyTime && time.Until(k.keyCreatedAt) > core.DefaultClaimRules().Skew {
-		return nil, newRejection(http.StatusBadRequest, "key_from_the_future", "the time in the Idempotency-Key is ahead of this box's clock; correct the clock of the process that creates the keys")
+		return nil, newRejection(http.StatusBadRequest, "key_from_the_future", "the Idempotency-Key's own time is ahead of this box's clock; set the clock of whoever makes the keys")
 	}
 	answer, requestedAt := e.requestClaim(ctx, k)
 	switch answer.Verdict {
@@ -66,12 +66,12 @@
 		e.replay(c, answer)
 		return nil, nil
 	case core.VerdictInFlight:
-		return nil, newConflict("in_progress", "a request with this key is running; retry after the time in Retry-After")
+		return nil, newConflict("in_progress", "a request with this key is running; ask again after the time in Retry-After")
 	case core.VerdictUnknown:
-		return nil, newConflict("claim_unknown", "it is unknown whether a request with this key ran; check its effects before you send it with another key")
+		return nil, newConflict("claim_unknown", "whether a request with this key ran can't be known; look at its effects before you send it under another key")
 	}
 	go e.settleClaim(k, core.NotRun, 0, nil)
-	return nil, newRefusal(http.StatusServiceUnavailable, "claim_home_unavailable", "the box that stores claims for this key can't confirm it now; retry after the time in Retry-After", claimRetryTime)
+	return nil, newRefusal(http.StatusServiceUnavailable, "claim_home_unavailable", "the box that keeps this key can't vouch for it now; come back after the time in Retry-After", claimRetryTime)
 }
 
 // keyTime returns the creation time in a key that is a version 7 UUID (RFC 9562).
@@ -105,7 +105,7 @@
 		(&Problem{
 			Status:  http.StatusConflict,
 			Code:    "already_ran",
-			Message: "a request with this key already ran and its response was not stored; GET /v1/streams/ID with its Dillsaddle-Request, or use another key for another request",
+			Message: "a request with this key ran before and its answer is not kept; GET /v1/streams/ID with its Dillsaddle-Request, or use another key for another request",
 			Outcome: core.Ran,
 		}).answer(c)
 		return
@@ -158,7 +158,7 @@
 
 // Error implements the error interface.
 func (*noClaimOwnerError) Error() string {
-	return "no box in the list can own claims; check the platform's list"
+	return "no box of the list can keep claims; see the platform's list"
 }
 
 // settleClaim reports the outcome of a claim to its owner and retries in the background for
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -50,10 +50,10 @@
 	customer := e.customerOf(customerConfig)
 	boxes := len(e.state.View().List.Boxes)
 	if wait := customer.rateLimitDelay(time.Now(), customerConfig, boxes); wait > 0 {
-		return newRefusal(http.StatusTooManyRequests, "token_rate", "the customer's token rate is exhausted; retry later or raise tokens_per_second", wait)
+		return newRefusal(http.StatusTooManyRequests, "token_rate", "the customer's token rate is spent; come back later or raise tokens_per_second", wait)
 	}
 	if !customer.acquireStream(customerConfig.MaxStreams) {
-		return newRefusal(http.StatusTooManyRequests, "too_many_streams", "the customer already has as many streams as max_streams allows; end one first", time.Second)
+		return newRefusal(http.StatusTooManyRequests, "too_many_streams", "the customer has as many streams as max_streams allows; end one first", time.Second)
 	}
 	defer customer.releaseStream()
 	repeatable := string(c.GetHeader(repeatableHeader)) != "false"
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	k.step(core.CallerGone{})
-	k.problem = newRefusal(http.StatusServiceUnavailable, "endpoints_end", "endpoints crash while running this request, so it is blocked until the time in Retry-After; change it", until.Sub(now))
+	k.problem = newRefusal(http.StatusServiceUnavailable, "endpoints_end", "endpoints end under this request, and it isn't run before the time in Retry-After; change it", until.Sub(now))
 	k.problem.Outcome = k.gen.Outcome
 	return true
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -181,12 +181,12 @@
 	}
 	e.drainLock.Unlock()
 	if !accepting {
-		return nil, nil, newRefusal(http.StatusServiceUnavailable, "draining", "this box is shutting down; retry so that the load balancer selects another", time.Second)
+		return nil, nil, newRefusal(http.StatusServiceUnavailable, "draining", "this box is being stopped; ask again and the balancer picks another", time.Second)
 	}
 	d := e.state.View().Document
 	if d == nil {
 		e.endRequest()
-		return nil, nil, newRefusal(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; retry shortly", time.Second)
+		return nil, nil, newRefusal(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; ask again shortly", time.Second)
 	}
 	connOf(ctx).stallTimeout.Store(int64(d.Limits.SlowCallerTimeout))
 	key := bearerToken(c)
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -19,7 +19,7 @@
 func (e *Entry) lookupStream(c *app.RequestContext, customer string) (*identity, *Problem) {
 	i, ok := decodeStreamID(e.settings.Secret, c.Param("id"))
 	if !ok || i.Customer != customer {
-		return nil, newRejection(http.StatusNotFound, "stream_not_found", "this customer has no stream with this id; use the Dillsaddle-Request of a stream's answer")
+		return nil, newRejection(http.StatusNotFound, "stream_not_found", "no stream of this customer has this id; use the Dillsaddle-Request of a stream's answer")
 	}
 	return i, nil
 }
@@ -52,7 +52,7 @@
 	id := c.Param("id")
 	next, ok := nextOffset(id, string(c.GetHeader(lastEventHeader)))
 	if !ok {
-		newRejection(http.StatusBadRequest, "invalid_last_event_id", "Last-Event-ID does not belong to this stream; send the id of its last event").answer(c)
+		newRejection(http.StatusBadRequest, "invalid_last_event_id", "Last-Event-ID is not of this stream; send the id of its last event").answer(c)
 		return
 	}
 	p := &parsedRequest{
@@ -107,7 +107,7 @@
 		(&Problem{
 			Status:     http.StatusServiceUnavailable,
 			Code:       "cancel_not_confirmed",
-			Message:    "the endpoint didn't confirm the cancellation; send it again",
+			Message:    "the endpoint didn't confirm the cancel; send it again",
 			Outcome:    core.Unknown,
 			RetryAfter: time.Second,
 		}).answer(c)
--- a/entry/services.go
+++ b/entry/services.go
@@ -59,7 +59,7 @@
 	}
 	customer := e.customerOf(customerConfig)
 	if !customer.acquireServiceCall(service.Name, service.Concurrency) {
-		return newRefusal(http.StatusTooManyRequests, "too_many_calls", "the customer already has as many calls to this service as its concurrency allows; wait for one to end", time.Second)
+		return newRefusal(http.StatusTooManyRequests, "too_many_calls", "the customer has as many calls to this service as its concurrency allows; wait for one to end", time.Second)
 	}
 	defer customer.releaseServiceCall(service.Name)
 	method := string(c.Method())
@@ -275,9 +275,9 @@
 	if time.Until(k.deadline) <= 0 {
 		p.Status = http.StatusGatewayTimeout
 		p.Code = "deadline"
-		p.Message = "the service didn't answer within its deadline; retry after the time in Retry-After"
+		p.Message = "the service didn't answer within its deadline; come back after the time in Retry-After"
 		if c.Outcome == core.Unknown && !k.gen.Repeatable {
-			p.Message = "the service didn't answer within its deadline and the call may have run; check its effects first"
+			p.Message = "the service didn't answer within its deadline and the call may have run; look at its effects first"
 		}
 	}
 	return p
