--- a/entry/answer.go
+++ b/entry/answer.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The headers that answers carry.
+// The headers of requests and responses that the entry reads or sets.
 const (
 	outcomeHeader    = "Dillsaddle-Outcome"
 	requestHeader    = "Dillsaddle-Request"
@@ -22,8 +22,8 @@
 	requestIDHeader  = "X-Request-Id"
 )
 
-// Problem is a final answer that is no success: its status, a stable code, and
-// a message that names the remedy.
+// Problem is an error response: its HTTP status, a stable error code and a message
+// that tells the caller what to do.
 type Problem struct {
 	Status     int
 	Code       string
@@ -32,7 +32,7 @@
 	RetryAfter time.Duration
 }
 
-// Error gives the message.
+// Error implements the error interface.
 func (p *Problem) Error() string { return p.Message }
 
 type problemBody struct {
@@ -48,36 +48,36 @@
 }
 
 func (p *Problem) body() problemBody {
-	kind := "invalid_request_error"
+	errorType := "invalid_request_error"
 	switch {
 	case p.Status == http.StatusTooManyRequests:
-		kind = "rate_limit_error"
+		errorType = "rate_limit_error"
 	case p.Status >= http.StatusInternalServerError:
-		kind = "server_error"
+		errorType = "server_error"
 	}
 	return problemBody{
 		Error: problemDetail{
 			Message:    p.Message,
-			Type:       kind,
+			Type:       errorType,
 			Code:       p.Code,
-			RetryAfter: seconds(p.RetryAfter),
+			RetryAfter: ceilSeconds(p.RetryAfter),
 		},
 		Outcome: p.Outcome,
 	}
 }
 
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 func (p *Problem) answer(c *app.RequestContext) {
 	c.Response.Header.Set(outcomeHeader, string(p.Outcome))
 	if p.RetryAfter > 0 {
-		c.Response.Header.Set(retryAfterHeader, strconv.Itoa(seconds(p.RetryAfter)))
+		c.Response.Header.Set(retryAfterHeader, strconv.Itoa(ceilSeconds(p.RetryAfter)))
 	}
 	c.JSON(p.Status, p.body())
 }
 
-// invalid is a caller's fault: nothing was sent anywhere.
-func invalid(status int, code, message string) *Problem {
+// newRejection returns the problem for a faulty request that was not sent to any endpoint.
+func newRejection(status int, code, message string) *Problem {
 	return &Problem{
 		Status:  status,
 		Code:    code,
@@ -86,13 +86,13 @@
 	}
 }
 
-// refused is a request that is given up at once, with when to come back.
-func refused(status int, code, message string, after time.Duration) *Problem {
+// newRefusal returns the problem for a request that was not run and may be retried after a delay.
+func newRefusal(status int, code, message string, retryAfter time.Duration) *Problem {
 	return &Problem{
 		Status:     status,
 		Code:       code,
 		Message:    message,
 		Outcome:    core.NotRun,
-		RetryAfter: max(after, time.Second),
+		RetryAfter: max(retryAfter, time.Second),
 	}
 }
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// withService publishes a service at an address.
-func withService(address string) string {
+// serviceSection returns the configuration section of a service at an address.
+func serviceSection(address string) string {
 	return fmt.Sprintf(`,"services":[{"name":"records","addresses":[%q]}]`, address)
 }
 
@@ -71,8 +71,8 @@
 
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i+1) }
 
-// testEngine starts an engine and gives what ends it.
-func testEngine(name string, address netip.AddrPort) (end func()) {
+// startEngine starts an emulated engine and returns a function that stops it.
+func startEngine(name string, address netip.AddrPort) (stop func()) {
 	served := standin.NewEngine(standin.EngineRules{
 		Name:   name,
 		Models: []string{modelName},
@@ -87,16 +87,16 @@
 	return func() { _ = served.Close() }
 }
 
-// startBox starts a whole box in this process before one engine, with a worker of the
-// test's.
+// startBox starts all processes of a box in the test process, with one engine and the
+// given worker.
 func startBox(worker engine.Worker, sections ...string) *settings.Box {
 	engineAt := freeAddress()
-	testEngine(engineName(0), engineAt)
-	return startBoxBefore([]netip.AddrPort{engineAt}, worker, sections...)
+	startEngine(engineName(0), engineAt)
+	return startBoxWithEngines([]netip.AddrPort{engineAt}, worker, sections...)
 }
 
-// startBoxBefore starts one before some engines.
-func startBoxBefore(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
+// startBoxWithEngines starts all processes of a box with endpoints at the given addresses.
+func startBoxWithEngines(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
 	platformAt := freeAddress()
 	b := testBox(platformAt)
 	var statuses []core.EndpointStatus
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -12,100 +12,100 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The bounds of a hedge: the second call goes out when the first has taken longer
-// than nearly all did.
+// A hedged call is sent to a second server when the first has not answered within a delay,
+// which is the lower of a high quantile and a multiple of the median of recent latencies.
 const (
-	hedgePart    = 0.95
-	hedgeMedians = 4 // or this often the median, if that is sooner: one in twenty may be late
-	hedgeLeast   = 5 * time.Millisecond
-	hedgeSamples = 64   // answers before there is a hedge
-	hedgeForget  = 4096 // answers after which times are learnt anew
+	hedgeQuantile       = 0.95
+	hedgeMedianFactor   = 4
+	minHedgeDelay       = 5 * time.Millisecond
+	hedgeUpdateInterval = 64   // number of samples between updates of the delay
+	hedgeResetSamples   = 4096 // number of samples after which they are discarded
 )
 
-// answerTimes are how long a service's answers take.
-type answerTimes struct {
-	mu    sync.Mutex
-	times *histogram.Fast
-	seen  int
-	after time.Duration
+// latencyTracker collects the latencies of a service's answers and derives the hedge delay.
+type latencyTracker struct {
+	mu          sync.Mutex
+	samples     *histogram.Fast
+	sampleCount int
+	delay       time.Duration
 }
 
-func newAnswerTimes() *answerTimes { return &answerTimes{times: histogram.NewFast()} }
+func newLatencyTracker() *latencyTracker { return &latencyTracker{samples: histogram.NewFast()} }
 
-// observe learns one answer's time.
-func (a *answerTimes) observe(took time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.times.Update(took.Seconds())
-	a.seen++
-	if a.seen%hedgeSamples != 0 {
+// observe adds the latency of one answer.
+func (t *latencyTracker) observe(took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.samples.Update(took.Seconds())
+	t.sampleCount++
+	if t.sampleCount%hedgeUpdateInterval != 0 {
 		return
 	}
-	late := min(a.times.Quantile(hedgePart), hedgeMedians*a.times.Quantile(0.5))
-	a.after = max(hedgeLeast, time.Duration(late*float64(time.Second)))
-	if a.seen >= hedgeForget {
-		a.times.Reset()
-		a.seen = 0
+	threshold := min(t.samples.Quantile(hedgeQuantile), hedgeMedianFactor*t.samples.Quantile(0.5))
+	t.delay = max(minHedgeDelay, time.Duration(threshold*float64(time.Second)))
+	if t.sampleCount >= hedgeResetSamples {
+		t.samples.Reset()
+		t.sampleCount = 0
 	}
 }
 
-// hedgeAfter gives the time after which a call is sent to a second server, or 0
-// while too few answers were seen.
-func (a *answerTimes) hedgeAfter() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.after
+// hedgeDelay returns the delay after which a call is sent to a second server, or 0 while
+// there are too few samples.
+func (t *latencyTracker) hedgeDelay() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.delay
 }
 
-// tried is what one server gave.
-type tried struct {
+// tryResult is the result of sending a call to one server.
+type tryResult struct {
 	resp *protocol.Response
 	err  error
 }
 
-// hedged sends a repeatable call to its server and, when no answer came in the
-// time in which nearly all come, to a second one within the customer's budget of
-// retries. The first answer goes; the other try is cancelled and let go.
-func (k *serviceCall) hedged(c core.SendAttempt) tried {
+// exchangeHedged sends a repeatable call to its server and, after the hedge delay, to a second
+// one if the customer's retry budget allows it. It returns the first answer and cancels the
+// other try.
+func (k *serviceCall) exchangeHedged(c core.SendAttempt) tryResult {
 	ctx, cancel := context.WithCancel(k.ctx)
 	defer cancel()
-	results := make(chan tried, 2)
+	results := make(chan tryResult, 2)
 	pending := 1
-	k.goTry(ctx, c, k.last, results)
-	second := time.NewTimer(k.times().hedgeAfter())
+	k.startTry(ctx, c, k.lastServer, results)
+	second := time.NewTimer(k.latency().hedgeDelay())
 	defer second.Stop()
 	for {
 		select {
 		case r := <-results:
 			pending--
 			if r.err == nil || pending == 0 {
-				go letGo(results, pending)
+				go releaseResponses(results, pending)
 				return r
 			}
 			protocol.ReleaseResponse(r.resp)
 		case <-second.C:
-			if time.Until(k.deadline) > 0 && k.entry.customerOf(k.who).mayRetry() {
+			if time.Until(k.deadline) > 0 && k.entry.customerOf(k.customerConfig).takeRetry() {
 				hedges.Inc()
 				pending++
-				k.goTry(ctx, c, k.entry.services.choose(time.Now(), k.service.Addresses, k.last), results)
+				k.startTry(ctx, c, k.entry.services.pick(time.Now(), k.service.Addresses, k.lastServer), results)
 			}
 		}
 	}
 }
 
-// goTry sends the call to one server at the side.
-func (k *serviceCall) goTry(ctx context.Context, c core.SendAttempt, server netip.AddrPort, results chan<- tried) {
+// startTry sends the call to one server in the background.
+func (k *serviceCall) startTry(ctx context.Context, c core.SendAttempt, server netip.AddrPort, results chan<- tryResult) {
 	req := protocol.AcquireRequest()
-	k.fill(req, c, server)
-	timeout := k.tryTime()
+	k.fillRequest(req, c, server)
+	timeout := k.tryTimeout()
 	go func() {
 		defer protocol.ReleaseRequest(req)
 		results <- k.try(ctx, req, server, timeout)
 	}()
 }
 
-// letGo gives back the answers that nobody waits for.
-func letGo(results <-chan tried, pending int) {
+// releaseResponses waits for the pending results and releases their responses.
+func releaseResponses(results <-chan tryResult, pending int) {
 	for range pending {
 		r := <-results
 		protocol.ReleaseResponse(r.resp)
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -20,25 +20,25 @@
 	panics         = metrics.NewCounter("dillsaddle_request_panics_total")
 )
 
-// measures are the histograms of one customer and class.
-type measures struct {
-	firstToken *metrics.Histogram
-	between    *metrics.Histogram
-	stall      *metrics.Histogram
-	waiting    *metrics.Histogram
-	preempted  *metrics.Counter
-	tokens     *metrics.Counter
+// classMetrics holds the metrics of one customer and class.
+type classMetrics struct {
+	firstToken    *metrics.Histogram
+	betweenTokens *metrics.Histogram
+	stall         *metrics.Histogram
+	queueWait     *metrics.Histogram
+	preemptions   *metrics.Counter
+	tokens        *metrics.Counter
 }
 
-func newMeasures(customer, class string) *measures {
+func newClassMetrics(customer, class string) *classMetrics {
 	labels := fmt.Sprintf("{customer=%q,class=%q}", customer, class)
-	return &measures{
-		firstToken: metrics.GetOrCreateHistogram("dillsaddle_first_token_seconds" + labels),
-		between:    metrics.GetOrCreateHistogram("dillsaddle_between_tokens_seconds" + labels),
-		stall:      metrics.GetOrCreateHistogram("dillsaddle_stall_seconds" + labels),
-		waiting:    metrics.GetOrCreateHistogram("dillsaddle_waiting_seconds" + labels),
-		preempted:  metrics.GetOrCreateCounter("dillsaddle_preemptions_total" + labels),
-		tokens:     metrics.GetOrCreateCounter("dillsaddle_tokens_total" + labels),
+	return &classMetrics{
+		firstToken:    metrics.GetOrCreateHistogram("dillsaddle_first_token_seconds" + labels),
+		betweenTokens: metrics.GetOrCreateHistogram("dillsaddle_between_tokens_seconds" + labels),
+		stall:         metrics.GetOrCreateHistogram("dillsaddle_stall_seconds" + labels),
+		queueWait:     metrics.GetOrCreateHistogram("dillsaddle_waiting_seconds" + labels),
+		preemptions:   metrics.GetOrCreateCounter("dillsaddle_preemptions_total" + labels),
+		tokens:        metrics.GetOrCreateCounter("dillsaddle_tokens_total" + labels),
 	}
 }
 
@@ -50,35 +50,35 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf("dillsaddle_dropped_frames_total{reason=%q}", reason)).Inc()
 }
 
-// stallAfter is the silence between tokens that counts as a stall.
+// stallAfter is the longest gap between tokens that is not counted as a stall.
 const stallAfter = 250 * time.Millisecond
 
-// pace measures the rhythm of one stream.
-type pace struct {
-	m       *measures
-	began   time.Time
-	last    time.Time
-	stalled time.Duration
+// streamMetrics records the token timing of one stream.
+type streamMetrics struct {
+	histograms  *classMetrics
+	startedAt   time.Time
+	lastTokenAt time.Time
+	stalledFor  time.Duration
 }
 
-// tokens notes that some tokens were written together.
-func (p *pace) tokens(now time.Time, count int) {
-	p.m.tokens.Add(count)
-	if p.last.IsZero() {
-		p.m.firstToken.Update(now.Sub(p.began).Seconds())
-		p.last = now
+// tokens records that a number of tokens were written together.
+func (m *streamMetrics) tokens(now time.Time, count int) {
+	m.histograms.tokens.Add(count)
+	if m.lastTokenAt.IsZero() {
+		m.histograms.firstToken.Update(now.Sub(m.startedAt).Seconds())
+		m.lastTokenAt = now
 		return
 	}
-	gap := now.Sub(p.last)
-	p.m.between.Update(gap.Seconds())
+	gap := now.Sub(m.lastTokenAt)
+	m.histograms.betweenTokens.Update(gap.Seconds())
 	if gap > stallAfter {
-		p.stalled += gap - stallAfter
+		m.stalledFor += gap - stallAfter
 	}
-	p.last = now
+	m.lastTokenAt = now
 }
 
-func (p *pace) end() {
-	if !p.last.IsZero() {
-		p.m.stall.Update(p.stalled.Seconds())
+func (m *streamMetrics) recordStalls() {
+	if !m.lastTokenAt.IsZero() {
+		m.histograms.stall.Update(m.stalledFor.Seconds())
 	}
 }
--- a/entry/panic_test.go
+++ b/entry/panic_test.go
@@ -13,15 +13,15 @@
 	"dillsaddle.example/dillsaddle/engine/completions"
 )
 
-// poison is in the prompts that make the worker panic.
-const poison = "poison"
+// poisonPrompt is the text in prompts that make the worker panic.
+const poisonPrompt = "poison"
 
-// faultyWorker panics on requests whose prompt is poisoned, before or after the
-// engine took them.
+// faultyWorker panics when it starts a request whose prompt has poisonPrompt, and on every
+// cancellation.
 type faultyWorker struct{ engine.Worker }
 
 func (w *faultyWorker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
-	if bytes.Contains(c.Body, []byte(poison)) {
+	if bytes.Contains(c.Body, []byte(poisonPrompt)) {
 		panic("a fault of the worker's")
 	}
 	w.Worker.Start(ctx, c, sink)
@@ -32,11 +32,11 @@
 }
 
 var _ = Describe("a panic in a worker", func() {
-	It("ends the request in which it happened with a final answer, and no other", func() {
+	It("ends the affected request with a final answer and leaves other requests running", func() {
 		worker, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		b := startBox(&faultyWorker{Worker: worker})
-		status, header, text := post(b, poison)
+		status, header, text := post(b, poisonPrompt)
 		Expect(status).To(Equal(http.StatusServiceUnavailable), text)
 		Expect(header.Get("Dillsaddle-Outcome")).To(Equal("unknown"))
 		Expect(header.Get("Retry-After")).NotTo(BeEmpty())
--- a/entry/service_client.go
+++ b/entry/service_client.go
@@ -14,24 +14,24 @@
 	"github.com/pkg/errors"
 )
 
-// serviceClient calls plain services. What may not be repeated goes over a
-// fresh connection each time: on a kept one, a close by the other side can't be
-// told from a loss, and the HTTP library sends some methods again by itself.
+// serviceClient sends calls to services. Calls that must not be repeated use a new connection
+// each: on a reused one, a close by the server can't be told from a lost request, and the
+// HTTP library retries some methods by itself.
 type serviceClient struct {
-	kept  *client.Client
-	fresh *client.Client
-	mu    sync.Mutex
-	load  map[netip.AddrPort]*serverLoad
+	keepAlive *client.Client
+	fresh     *client.Client
+	mu        sync.Mutex
+	load      map[netip.AddrPort]*serverLoad
 }
 
-// serverLoad is what one box knows of one server of a service.
+// serverLoad holds this box's view of the load and latency of one server of a service.
 type serverLoad struct {
-	open     int
-	latency  float64 // seconds, smoothed
+	open     int     // calls in progress
+	latency  float64 // exponential moving average, in seconds
 	failedAt time.Time
 }
 
-// maxServiceConnections bounds the connections to one server.
+// maxServiceConnections limits the connections to one server.
 const maxServiceConnections = 4096
 
 func newServiceClient() (*serviceClient, error) {
@@ -40,22 +40,22 @@
 		client.WithDialTimeout(time.Second),
 		client.WithMaxConnsPerHost(maxServiceConnections),
 	}
-	kept, err := client.NewClient(options...)
+	keepAlive, err := client.NewClient(options...)
 	if err != nil {
-		return nil, errors.Wrap(err, "build the service client")
+		return nil, errors.Wrap(err, "create service client")
 	}
 	fresh, err := client.NewClient(append(options, client.WithKeepAlive(false))...)
 	if err != nil {
-		return nil, errors.Wrap(err, "build the service client")
+		return nil, errors.Wrap(err, "create service client")
 	}
 	return &serviceClient{
-		kept:  kept,
-		fresh: fresh,
-		load:  make(map[netip.AddrPort]*serverLoad),
+		keepAlive: keepAlive,
+		fresh:     fresh,
+		load:      make(map[netip.AddrPort]*serverLoad),
 	}, nil
 }
 
-func (s *serviceClient) of(address netip.AddrPort) *serverLoad {
+func (s *serviceClient) loadOf(address netip.AddrPort) *serverLoad {
 	l := s.load[address]
 	if l == nil {
 		l = &serverLoad{}
@@ -64,20 +64,20 @@
 	return l
 }
 
-// failedFor is how long a server that failed goes last.
-const failedFor = 2 * time.Second
+// failurePenaltyTime is how long after a failure a server ranks behind those without one.
+const failurePenaltyTime = 2 * time.Second
 
-// choose gives the server with the least expected time to answer, but for those
-// to avoid, and counts the call in.
-func (s *serviceClient) choose(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
+// pick returns the server with the shortest expected time to answer and counts the call as
+// open. The server to avoid ranks last.
+func (s *serviceClient) pick(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var best netip.AddrPort
 	least := 0.0
 	for _, address := range all {
-		l := s.of(address)
+		l := s.loadOf(address)
 		cost := float64(l.open+1) * (l.latency + 0.001)
-		if now.Sub(l.failedAt) < failedFor {
+		if now.Sub(l.failedAt) < failurePenaltyTime {
 			cost += 1000
 		}
 		if address == avoid && len(all) > 1 {
@@ -87,17 +87,17 @@
 			best, least = address, cost
 		}
 	}
-	s.of(best).open++
+	s.loadOf(best).open++
 	return best
 }
 
-// latencyWeight is the weight of the newest call.
+// latencyWeight is the weight of the newest sample in the moving average.
 const latencyWeight = 0.2
 
-func (s *serviceClient) done(address netip.AddrPort, took time.Duration, failed bool) {
+func (s *serviceClient) recordResult(address netip.AddrPort, took time.Duration, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.of(address)
+	l := s.loadOf(address)
 	l.open--
 	if failed {
 		l.failedAt = time.Now()
@@ -106,17 +106,17 @@
 	l.latency += latencyWeight * (took.Seconds() - l.latency)
 }
 
-// do sends one call within a time.
+// do sends a call with a timeout.
 func (s *serviceClient) do(ctx context.Context, req *protocol.Request, resp *protocol.Response, timeout time.Duration, repeatable bool) error {
 	req.SetOptions(config.WithRequestTimeout(timeout))
 	if repeatable {
-		return s.kept.Do(ctx, req, resp)
+		return s.keepAlive.Do(ctx, req, resp)
 	}
 	return s.fresh.Do(ctx, req, resp)
 }
 
-// unsent reports whether an error means that no byte of the request left.
-func unsent(err error) bool {
+// isUnsent reports whether a request failed before any byte of it was sent.
+func isUnsent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -13,41 +13,40 @@
 	"github.com/pkg/errors"
 )
 
-// maxMessage bounds one message; a configuration document may be a megabyte.
-const maxMessage = 4 << 20
+// maxMessageBytes limits the size of one message. A configuration document may reach one megabyte.
+const maxMessageBytes = 4 << 20
 
-// writeTimeout bounds one write, so that a link that stalls without breaking
-// is given up.
+// writeTimeout limits one write, so that a stalled connection is closed.
 const writeTimeout = 5 * time.Second
 
-// RemoteError is a fault that the other side answered with.
+// RemoteError is an error that the remote process returned as its answer.
 type RemoteError struct {
 	Fault string
 }
 
-// Error gives the other side's words.
-func (e *RemoteError) Error() string { return "the other process answered: " + e.Fault }
+// Error implements the error interface.
+func (e *RemoteError) Error() string { return "remote process returned an error: " + e.Fault }
 
-// Conn is one connection between two processes.
+// Conn is a connection between two processes. Both sides can send requests over it.
 type Conn struct {
-	socket   *websocket.Conn
-	remote   netip.AddrPort
-	handlers *Handlers
-	mu       sync.Mutex
-	next     uint64
-	pending  map[uint64]chan envelope
-	closed   chan struct{}
-	once     sync.Once
-	began    time.Time
-	progress atomic.Int64 // from then until bytes came last, in nanoseconds
+	socket        *websocket.Conn
+	remote        netip.AddrPort
+	handlers      *Handlers
+	mu            sync.Mutex
+	lastID        uint64
+	pending       map[uint64]chan envelope
+	closed        chan struct{}
+	once          sync.Once
+	openedAt      time.Time
+	lastReadNanos atomic.Int64 // time of the last read, in nanoseconds since openedAt
 }
 
 func newConn(socket *websocket.Conn, remote netip.AddrPort, handlers *Handlers) *Conn {
-	socket.SetReadLimit(maxMessage)
+	socket.SetReadLimit(maxMessageBytes)
 	return &Conn{
 		socket:   socket,
 		remote:   remote,
-		began:    time.Now(),
+		openedAt: time.Now(),
 		handlers: handlers,
 		pending:  make(map[uint64]chan envelope),
 		closed:   make(chan struct{}),
@@ -68,14 +67,14 @@
 	return c, nil
 }
 
-// Remote gives the other side's address; the port is the one it listens on only
-// where this side connected.
+// Remote returns the address of the remote process. Its port is the remote listening port
+// only if this side dialed.
 func (c *Conn) Remote() netip.AddrPort { return c.remote }
 
-// Closed is closed when the connection has ended.
+// Closed returns a channel that is closed when the connection ends.
 func (c *Conn) Closed() <-chan struct{} { return c.closed }
 
-// IsClosed tells whether the connection has ended.
+// IsClosed reports whether the connection has ended.
 func (c *Conn) IsClosed() bool {
 	select {
 	case <-c.closed:
@@ -85,7 +84,7 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection. It may be called more than once.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.closed)
@@ -100,12 +99,12 @@
 		if err != nil {
 			return
 		}
-		c.handlers.traffic.received(len(data))
-		e, err := open(data)
+		c.handlers.traffic.countReceived(len(data))
+		e, err := decodeEnvelope(data)
 		if err != nil {
 			return
 		}
-		c.handlers.onVers(c, e.Versions)
+		c.handlers.onVersions(c, e.Versions)
 		c.dispatch(ctx, e)
 	}
 }
@@ -115,9 +114,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(progressing{
-		from: message,
-		conn: c,
+	return io.ReadAll(progressReader{
+		source: message,
+		conn:   c,
 	})
 }
 
@@ -135,20 +134,20 @@
 
 func (c *Conn) deliver(e envelope) {
 	c.mu.Lock()
-	waiting := c.pending[e.ID]
+	answers := c.pending[e.ID]
 	delete(c.pending, e.ID)
 	c.mu.Unlock()
-	if waiting == nil {
+	if answers == nil {
 		c.handlers.traffic.LateAnswers.Add(1)
 		return
 	}
-	waiting <- e
+	answers <- e
 }
 
 func (c *Conn) handle(ctx context.Context, e envelope) {
 	handle := c.handlers.byKind[e.Kind]
 	if handle == nil {
-		c.fault(ctx, e.ID, "no handler for "+e.Kind+"; use one release on all boxes")
+		c.sendFault(ctx, e.ID, "no handler for "+e.Kind+"; use one release on all boxes")
 		return
 	}
 	answer, err := handle(ctx, c, e.Body)
@@ -156,7 +155,7 @@
 		return
 	}
 	if err != nil {
-		c.fault(ctx, e.ID, err.Error())
+		c.sendFault(ctx, e.ID, err.Error())
 		return
 	}
 	began := time.Now()
@@ -165,9 +164,9 @@
 		Answer: true,
 	}, answer)
 	if answer == nil {
-		return // a pushed kind that came as a question
+		return // a request whose kind is registered as a push has no answer body
 	}
-	c.handlers.answered(SentAnswer{
+	c.handlers.onAnswerSent(SentAnswer{
 		Conn:      c,
 		Kind:      answer.Kind(),
 		Bytes:     size,
@@ -176,7 +175,7 @@
 	})
 }
 
-func (c *Conn) fault(ctx context.Context, id uint64, text string) {
+func (c *Conn) sendFault(ctx context.Context, id uint64, text string) {
 	if id == 0 {
 		return
 	}
@@ -187,24 +186,24 @@
 	}, nil)
 }
 
-// write sends a message and gives its size in bytes.
+// write sends a message and returns its encoded size in bytes.
 func (c *Conn) write(ctx context.Context, e envelope, body Message) (int, error) {
 	e.Versions = c.handlers.versions()
-	data, err := seal(e, body)
+	data, err := encodeEnvelope(e, body)
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	c.handlers.traffic.sent(len(data))
+	c.handlers.traffic.countSent(len(data))
 	if err := c.socket.Write(ctx, websocket.MessageBinary, data); err != nil {
 		c.Close()
-		return len(data), errors.Wrap(err, "write to the other process")
+		return len(data), errors.Wrap(err, "write to remote process")
 	}
 	return len(data), nil
 }
 
-// Push sends a message that gets no answer.
+// Push sends a message that needs no answer.
 func (c *Conn) Push(ctx context.Context, m Message) error {
 	_, err := c.write(ctx, envelope{}, m)
 	return err
@@ -213,37 +212,37 @@
 func (c *Conn) register() (uint64, chan envelope) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	waiting := make(chan envelope, 1)
-	c.pending[c.next] = waiting
-	return c.next, waiting
+	c.lastID++
+	answers := make(chan envelope, 1)
+	c.pending[c.lastID] = answers
+	return c.lastID, answers
 }
 
-func (c *Conn) forget(id uint64) {
+func (c *Conn) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
 // Call sends a request and waits for its answer.
-func Call[A Message](ctx context.Context, c *Conn, q Message) (A, error) {
+func Call[A Message](ctx context.Context, c *Conn, request Message) (A, error) {
 	var answer A
-	id, waiting := c.register()
-	if _, err := c.write(ctx, envelope{ID: id}, q); err != nil {
-		c.forget(id)
+	id, answers := c.register()
+	if _, err := c.write(ctx, envelope{ID: id}, request); err != nil {
+		c.removePending(id)
 		return answer, err
 	}
 	select {
-	case e := <-waiting:
+	case e := <-answers:
 		if e.Fault != "" {
 			return answer, &RemoteError{Fault: e.Fault}
 		}
-		return answer, errors.Wrap(cbor.Unmarshal(e.Body, &answer), "decode the answer to "+q.Kind())
+		return answer, errors.Wrap(cbor.Unmarshal(e.Body, &answer), "decode answer to "+request.Kind())
 	case <-ctx.Done():
-		c.forget(id)
-		return answer, errors.Wrap(ctx.Err(), "no answer to "+q.Kind())
+		c.removePending(id)
+		return answer, errors.Wrap(ctx.Err(), "no answer to "+request.Kind())
 	case <-c.closed:
-		c.forget(id)
-		return answer, errors.New("connection ended before the answer to " + q.Kind())
+		c.removePending(id)
+		return answer, errors.New("connection closed before the answer to " + request.Kind())
 	}
 }
--- a/wire/patience_test.go
+++ b/wire/idle_timeout_test.go
@@ -13,9 +13,9 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// callOver asks another process over a link in virtual time, which answers after a
-// pause with a configuration of some bytes.
-func callOver(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, ask func(c *wire.Conn) error) error {
+// callOverLink makes a call over an emulated link in virtual time. The server waits for
+// the pause and then answers with a configuration of the given size.
+func callOverLink(t *testing.T, bytesPerSecond float64, size int, pause time.Duration, call func(c *wire.Conn) error) error {
 	var err error
 	synctest.Test(t, func(t *testing.T) {
 		n := emulator.NewNetwork(time.Millisecond)
@@ -35,7 +35,7 @@
 		if dialErr != nil {
 			t.Fatal(dialErr)
 		}
-		err = ask(c)
+		err = call(c)
 		c.Close()
 		s.Close()
 		time.Sleep(time.Minute)
@@ -43,11 +43,11 @@
 	return err
 }
 
-// A snapshot of a megabyte takes 1.7 s of a link of 5 Mbit/s. A bound on the whole of it
-// threw it away after a second, and had it sent again: each time.
-func TestAnAnswerThatKeepsComingIsWaitedFor(t *testing.T) {
+// A limit on the total time of a call would abort every transfer of a large snapshot over
+// a slow link.
+func TestSlowAnswerCompletesWhileBytesArrive(t *testing.T) {
 	g := gomega.NewWithT(t)
-	err := callOver(t, 5e6/8, 1<<20, 0, func(c *wire.Conn) error {
+	err := callOverLink(t, 5e6/8, 1<<20, 0, func(c *wire.Conn) error {
 		s, err := wire.CallWithIdleTimeout[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
 		g.Expect(s.Config).To(gomega.HaveLen(1 << 20))
 		return err
@@ -55,10 +55,10 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestAnAnswerThatDoesNotBeginIsNotWaitedFor(t *testing.T) {
+func TestCallFailsWhenNoBytesArrive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var took time.Duration
-	err := callOver(t, 5e6/8, 10, 20*time.Second, func(c *wire.Conn) error {
+	err := callOverLink(t, 5e6/8, 10, 20*time.Second, func(c *wire.Conn) error {
 		began := time.Now()
 		_, err := wire.CallWithIdleTimeout[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
 		took = time.Since(began)
--- a/wire/traffic.go
+++ b/wire/traffic.go
@@ -13,22 +13,22 @@
 	receivedBytes    = metrics.NewCounter("dillsaddle_wire_received_bytes_total")
 )
 
-// Traffic counts what passed over the connections of one table of handlers; the
-// process's metrics count all of them.
+// Traffic counts the messages and bytes of all connections that use one Handlers. The
+// metrics count those of the whole process.
 type Traffic struct {
 	SentBytes        atomic.Uint64
 	ReceivedBytes    atomic.Uint64
 	LateAnswers      atomic.Uint64
-	ReceivedMessages atomic.Uint64 // messages
+	ReceivedMessages atomic.Uint64
 }
 
-func (t *Traffic) sent(size int) {
+func (t *Traffic) countSent(size int) {
 	t.SentBytes.Add(uint64(size))
 	sentMessages.Inc()
 	sentBytes.Add(size)
 }
 
-func (t *Traffic) received(size int) {
+func (t *Traffic) countReceived(size int) {
 	t.ReceivedBytes.Add(uint64(size))
 	t.ReceivedMessages.Add(1)
 	receivedMessages.Inc()
