--- a/box/rest_test.go
+++ b/box/backoff_test.go
@@ -28,10 +28,10 @@
 		most   = 2
 	)
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id, service string) *emulator.Server { return addTo(d, id, service) }
-	start := func(n int) { boxes = startReady(d, n) }
+	add := func(id, service string) *emulator.Server { return addServer(d, id, service) }
+	start := func(n int) { boxes = startReadyBoxes(d, n) }
 	// sender gives the box that sent a request: load puts its number into the id.
 	sender := func(a emulator.Arrival) string { return strings.SplitN(a.ID, "-", 2)[0] }
 	// disturbed gives the most requests that came within one rest from the box that it was
@@ -58,12 +58,12 @@
 		start(2)
 		tired.Announce(emulator.Notice{Rest: rest})
 		tired.SetFault(emulator.Shed, 4)
-		got := load(boxes, rest)
+		got := runLoad(boxes, rest)
 		Expect(got).To(HaveKey(http.StatusInternalServerError))
 		Expect(disturbed(tired.Arrivals(begin))).To(BeNumerically("<=", most))
 		other.SetFault(emulator.Well, 0)
-		Eventually(func() map[int]int { return load(boxes, time.Second) }).WithTimeout(patience).Should(HaveLen(1))
-		Eventually(func() int { load(boxes, 300*time.Millisecond); return len(tired.Runs()) }).WithTimeout(patience).Should(BeNumerically(">", 0), "it serves again")
+		Eventually(func() map[int]int { return runLoad(boxes, time.Second) }).WithTimeout(waitTimeout).Should(HaveLen(1))
+		Eventually(func() int { runLoad(boxes, 300*time.Millisecond); return len(tired.Runs()) }).WithTimeout(waitTimeout).Should(BeNumerically(">", 0), "it serves again")
 	})
 
 	It("gets it where there is no other, and requests are refused at once as not run", func() {
@@ -76,9 +76,9 @@
 		o := boxes[0].call("c0-second")
 		Expect(o).To(And(HaveField("Status", http.StatusServiceUnavailable), HaveField("Took", BeNumerically("<", 200*time.Millisecond))))
 		Expect(o.RetryIn).To(MatchRegexp(`^[1-4](\.\d+)?$`), "it is told when the rest ends")
-		load(boxes, rest-settle)
+		runLoad(boxes, rest-settle)
 		Expect(disturbed(tired.Arrivals(begin))).To(BeNumerically("<=", most))
-		Eventually(func() int { return boxes[0].call("c0-later").Status }).WithTimeout(patience).Should(Equal(http.StatusOK))
+		Eventually(func() int { return boxes[0].call("c0-later").Status }).WithTimeout(waitTimeout).Should(Equal(http.StatusOK))
 	})
 
 	It("gets it of an engine, from streams, moves and questions for its load", func() {
@@ -101,9 +101,9 @@
 			})
 		}
 		go func() { ended <- stream("long") }()
-		Eventually(func() int { return len(tired.Runs()) }).WithTimeout(patience).Should(Equal(1))
+		Eventually(func() int { return len(tired.Runs()) }).WithTimeout(waitTimeout).Should(Equal(1))
 		add("e-other", emulator.Model)
-		Eventually(func() string { return boxes[0].get("/status") }).WithTimeout(patience).Should(ContainSubstring(fmt.Sprintf(`"list_changed":%d,`, d.Store.Revision())))
+		Eventually(func() string { return boxes[0].get("/status") }).WithTimeout(waitTimeout).Should(ContainSubstring(fmt.Sprintf(`"list_changed":%d,`, d.Store.Revision())))
 		tired.Announce(emulator.Notice{Rest: rest})
 		tired.SetFault(emulator.Shed, 1)
 		refused := ContainElement(HaveField("Rest", rest))
--- a/box/box.go
+++ b/box/box.go
@@ -22,28 +22,28 @@
 )
 
 const (
-	// upkeepEvery spaces the box's housekeeping.
-	upkeepEvery = 250 * time.Millisecond
-	// settingsEvery spaces the looks at the settings file, which may change
+	// upkeepInterval spaces the box's housekeeping.
+	upkeepInterval = 250 * time.Millisecond
+	// settingsPollInterval spaces the looks at the settings file, which may change
 	// without a signal.
-	settingsEvery = 2 * time.Second
-	// retrySafety is the part of the retry budget that boxes spend: their
+	settingsPollInterval = 2 * time.Second
+	// retryBudgetSafety is the part of the retry budget that boxes spend: their
 	// windows and their counts of each other don't agree to the last request.
-	retrySafety = 0.85
-	// balancerTime is how long the balancer may still send new connections to
+	retryBudgetSafety = 0.85
+	// balancerDelay is how long the balancer may still send new connections to
 	// a box that says it isn't ready: two questions, a second apart, and a bit.
-	balancerTime = 2500 * time.Millisecond
-	// graceMargin is kept to the kill at the end of a planned stop.
-	graceMargin = 350 * time.Millisecond
-	// logFlush bounds the wait for a slow reader of the log at the end.
-	logFlush = 100 * time.Millisecond
-	// namesMost bounds the endpoints that one log line names.
-	namesMost = 64
-	// headerTime and restTime bound callers before a configuration is known.
-	headerTime = 5 * time.Second
-	callerRest = 60 * time.Second
-	// headerBytes is far above the configuration's limit, which callers keep.
-	headerBytes = 64 << 10
+	balancerDelay = 2500 * time.Millisecond
+	// killMargin is kept to the kill at the end of a planned stop.
+	killMargin = 350 * time.Millisecond
+	// logFlushTimeout bounds the wait for a slow reader of the log at the end.
+	logFlushTimeout = 100 * time.Millisecond
+	// maxLoggedIDs bounds the endpoints that one log line names.
+	maxLoggedIDs = 64
+	// readHeaderTimeout and restTime bound callers before a configuration is known.
+	readHeaderTimeout = 5 * time.Second
+	callerIdleTimeout = 60 * time.Second
+	// maxHeaderBytes is far above the configuration's limit, which callers keep.
+	maxHeaderBytes = 64 << 10
 )
 
 // Box is the one process of a box.
@@ -52,20 +52,20 @@
 	settings *platform.Settings
 	log      *zap.Logger
 	sink     *eventlog.Sink
-	belief   *fleet.State
+	state    *fleet.State
 	peers    *fleet.Peers
 	gateway  *gateway.Gateway
 	clock    *clock.SuspensionDetector
 
-	quarantine *fleet.Quarantine
-	limits     *fleet.Limits
-	front      *http.Server
-	cancel     context.CancelFunc
-	once       sync.Once
-	stopping   atomic.Bool
-	left       chan struct{}
-	hup        chan struct{}
-	digest     uint64 // of the settings file's text at the last reading
+	quarantine     *fleet.Quarantine
+	limits         *fleet.Limits
+	frontServer    *http.Server
+	cancel         context.CancelFunc
+	stopOnce       sync.Once
+	stopping       atomic.Bool
+	done           chan struct{}
+	reloads        chan struct{}
+	settingsDigest uint64 // of the settings file's text at the last reading
 }
 
 // Start starts a box with its settings.
@@ -75,8 +75,8 @@
 		settings: s,
 		log:      log,
 		sink:     sink,
-		left:     make(chan struct{}),
-		hup:      make(chan struct{}, 1),
+		done:     make(chan struct{}),
+		reloads:  make(chan struct{}, 1),
 	}
 	log.Info("start",
 		zap.String("box", s.Box),
@@ -85,10 +85,10 @@
 		zap.Stringer("store", s.Store),
 		zap.Bool("first", s.FirstStart),
 	)
-	b.clock = clock.New(b.suspended, clock.WithErrorHandler(func(err error) { log.Warn("suspensions aren't noticed", zap.Error(err)) }))
-	b.belief = fleet.NewState(fleet.WithOnChange(b.changed))
-	engines := platform.NewEngineClient(platform.WithOnNotice(b.noticed))
-	reports := fleet.NewLoadReports(engines, b.belief, log.Named("reports"), b.reported, fleet.WithLoadQueryFilter(b.mayAsk))
+	b.clock = clock.New(b.handleSuspension, clock.WithErrorHandler(func(err error) { log.Warn("suspensions aren't noticed", zap.Error(err)) }))
+	b.state = fleet.NewState(fleet.WithOnChange(b.handleChange))
+	engines := platform.NewEngineClient(platform.WithOnNotice(b.handleNotice))
+	reports := fleet.NewLoadReports(engines, b.state, log.Named("reports"), b.handleReport, fleet.WithLoadQueryFilter(b.allowLoadQuery))
 	b.quarantine = fleet.NewQuarantine(log.Named("quarantine"))
 	b.limits = fleet.NewLimits(log.Named("limits"))
 	peers, err := fleet.NewPeers(core.Peer{
@@ -97,18 +97,18 @@
 		Address:    s.Peer,
 		InstanceID: rand.Uint64(),
 		LinkMbps:   s.LinkMbps,
-	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithLoadReports(reports), fleet.WithPlacementHandler(b.placed), fleet.WithEvacuationHandler(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Check))
+	}, s.Seeds, b.state, fleet.WithPeersLog(log.Named("peers")), fleet.WithLoadReports(reports), fleet.WithPlacementHandler(b.handlePlacement), fleet.WithEvacuationHandler(b.handleEvacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Check))
 	if err != nil {
 		return nil, err
 	}
 	b.peers = peers
 	protocol := platform.Protocol{}
-	b.gateway = gateway.New(s.Zone, protocol, b.belief.View, gateway.Rules{
+	b.gateway = gateway.New(s.Zone, protocol, b.state.View, gateway.Rules{
 		Retry: core.BudgetRules{
 			Ratio:  s.RetryRatio,
 			Slack:  s.RetrySlack,
 			Window: s.RetryWindow,
-			Safety: retrySafety,
+			Safety: retryBudgetSafety,
 		},
 		MemoryBytes:  s.MemoryBytes,
 		FirstProcess: s.FirstStart,
@@ -134,26 +134,26 @@
 	if err := b.listen(); err != nil {
 		return nil, err
 	}
-	follower := fleet.NewStoreWatcher(b.store(), b.belief, s.ChangeBound(),
+	watcher := fleet.NewStoreWatcher(b.newStoreClient(), b.state, s.ChangeBound(),
 		fleet.WithStoreWatcherLog(log.Named("store")),
 		fleet.WithReaderRank(b.peers.ReaderRank),
 		fleet.WithOnUpdate(b.peers.BroadcastUpdate),
-		fleet.WithOnStoreCall(countStoreCalls),
+		fleet.WithOnStoreCall(countStoreCall),
 	)
-	go follower.Run(ctx)
+	go watcher.Run(ctx)
 	go b.peers.Run(ctx)
 	go reports.Run(ctx)
-	go b.upkeep(ctx)
+	go b.runUpkeep(ctx)
 	return b, nil
 }
 
-// store builds the client of the platform's store.
-func (b *Box) store() *platform.Store {
-	return platform.NewStore(b.settings.Store, platform.WithOnResponse(b.storeAnswered), platform.WithOnInvalidEntry(b.entryUnreadable))
+// newStoreClient builds the client of the platform's store.
+func (b *Box) newStoreClient() *platform.Store {
+	return platform.NewStore(b.settings.Store, platform.WithOnResponse(b.logStoreResponse), platform.WithOnInvalidEntry(b.logInvalidEntry))
 }
 
-// changed logs a change of belief and tells the gateway.
-func (b *Box) changed(c fleet.Change) {
+// handleChange logs a change of belief and tells the gateway.
+func (b *Box) handleChange(c fleet.Change) {
 	fields := []zap.Field{
 		zap.Uint64("era", c.Revision.Era()),
 		zap.Uint64("revision", c.Revision.Number()),
@@ -162,17 +162,17 @@
 	switch c.Kind {
 	case fleet.ConfigurationActivated:
 		waited := c.PropagationDelay(time.Now())
-		configurationWait.Update(waited.Seconds())
+		configDelay.Update(waited.Seconds())
 		fields = append(fields, zap.Uint64("version", c.Version), zap.Int("routes", c.Routes), zap.Duration("waited", waited))
 	case fleet.ZoneDrained, fleet.ZoneDrainEnded:
 		fields = append(fields, zap.String("drained_zone", c.Zone))
 	case fleet.StoreRestored:
-		storeEras.Inc()
+		storeRestores.Inc()
 		fields = append(fields, zap.Uint64("era_before", c.PreviousRevision.Era()), zap.Uint64("revision_before", c.PreviousRevision.Number()))
 	case fleet.EndpointListLoaded:
 		fields = append(fields, zap.Int("count", c.EndpointCount))
 	case fleet.EndpointJoined:
-		fields = append(fields, zap.Int("count", len(c.JoinedIDs)), zap.Strings("endpoints", c.JoinedIDs[:min(len(c.JoinedIDs), namesMost)]))
+		fields = append(fields, zap.Int("count", len(c.JoinedIDs)), zap.Strings("endpoints", c.JoinedIDs[:min(len(c.JoinedIDs), maxLoggedIDs)]))
 	default:
 		fields = append(fields, zap.String("endpoint", c.Endpoint.ID), zap.String("service", c.Endpoint.Service))
 	}
@@ -182,9 +182,9 @@
 	}
 }
 
-// suspended takes that the machine was suspended, before anything is decided by ages that
+// handleSuspension takes that the machine was suspended, before anything is decided by ages that
 // don't count that time.
-func (b *Box) suspended(d time.Duration) {
+func (b *Box) handleSuspension(d time.Duration) {
 	b.log.Warn("the machine was suspended, all ages are corrected", zap.Duration("for", d))
 	if b.gateway != nil {
 		b.gateway.HandleSuspension(d)
@@ -192,55 +192,55 @@
 	}
 }
 
-// placed hands a partner's placement to the gateway.
-func (b *Box) placed(now time.Time, p fleet.Placement) {
+// handlePlacement hands a partner's placement to the gateway.
+func (b *Box) handlePlacement(now time.Time, p fleet.Placement) {
 	if b.gateway != nil {
 		b.gateway.HandlePlacement(now, p)
 	}
 }
 
-// evacuating hands a fellow's word on an engine that leaves to the gateway.
-func (b *Box) evacuating(now time.Time, e fleet.Evacuating) {
+// handleEvacuating hands a fellow's word on an engine that leaves to the gateway.
+func (b *Box) handleEvacuating(now time.Time, e fleet.Evacuating) {
 	if b.gateway != nil {
 		b.gateway.Evacuating(now, e)
 	}
 }
 
-// noticed hands what an engine says of itself to the gateway.
-func (b *Box) noticed(e routing.Endpoint, n gateway.Notice) {
+// handleNotice hands what an engine says of itself to the gateway.
+func (b *Box) handleNotice(e routing.Endpoint, n gateway.Notice) {
 	if b.gateway != nil {
 		b.gateway.HandleNotice(time.Now(), e, n)
 	}
 }
 
-// mayAsk tells whether an engine may be asked for its load now.
-func (b *Box) mayAsk(e routing.Endpoint) bool {
+// allowLoadQuery tells whether an engine may be asked for its load now.
+func (b *Box) allowLoadQuery(e routing.Endpoint) bool {
 	return b.gateway == nil || b.gateway.AllowLoadQuery(time.Now(), e)
 }
 
-// reported hands an engine's report to the gateway.
-func (b *Box) reported(at time.Time, r routing.Report) {
+// handleReport hands an engine's report to the gateway.
+func (b *Box) handleReport(at time.Time, r routing.Report) {
 	if b.gateway != nil {
 		b.gateway.HandleReport(at, r)
 	}
 }
 
-func (b *Box) upkeep(ctx context.Context) {
-	t := time.NewTicker(upkeepEvery)
+func (b *Box) runUpkeep(ctx context.Context) {
+	t := time.NewTicker(upkeepInterval)
 	defer t.Stop()
-	looked := time.Now()
+	lastPoll := time.Now()
 	for {
 		select {
 		case now := <-t.C:
 			b.clock.Check()
-			b.belief.DropExpired(now)
+			b.state.DropExpired(now)
 			b.gateway.Sweep(now)
-			b.shareOut()
-			if now.Sub(looked) >= settingsEvery {
-				looked = now
+			b.updateGroupEngines()
+			if now.Sub(lastPoll) >= settingsPollInterval {
+				lastPoll = now
 				b.reload("the file changed")
 			}
-		case <-b.hup:
+		case <-b.reloads:
 			b.reload("SIGHUP")
 		case <-ctx.Done():
 			return
@@ -248,17 +248,17 @@
 	}
 }
 
-// shareOut tells the gateway which engines the group uses first.
-func (b *Box) shareOut() {
-	if share := b.peers.PreferredEndpoints(b.belief.View()); share != nil {
-		b.gateway.SetGroupEngines(share)
+// updateGroupEngines tells the gateway which engines the group uses first.
+func (b *Box) updateGroupEngines() {
+	if engines := b.peers.PreferredEndpoints(b.state.View()); engines != nil {
+		b.gateway.SetGroupEngines(engines)
 	}
 }
 
 // Reload asks for the settings file to be read anew.
 func (b *Box) Reload() {
 	select {
-	case b.hup <- struct{}{}:
+	case b.reloads <- struct{}{}:
 	default: // one is under way already
 	}
 }
@@ -271,11 +271,11 @@
 		b.log.Error("settings can't be read, those before stay in force", zap.Error(err))
 		return
 	}
-	digest := xxhash.Sum64(text)
-	if digest == b.digest {
+	settingsDigest := xxhash.Sum64(text)
+	if settingsDigest == b.settingsDigest {
 		return
 	}
-	b.digest = digest
+	b.settingsDigest = settingsDigest
 	s, err := platform.ParseSettings(text)
 	if err != nil {
 		b.log.Error("reload failed, the settings before stay in force", zap.String("why", why), zap.Error(err))
--- a/box/box_test.go
+++ b/box/box_test.go
@@ -24,27 +24,27 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// patience bounds waits for things that happen within milliseconds.
-const patience = 20 * time.Second
+// waitTimeout bounds waits for things that happen within milliseconds.
+const waitTimeout = 20 * time.Second
 
-// started is a box in this process, and how to reach it.
-type started struct {
+// testBox is a box in this process, and how to reach it.
+type testBox struct {
 	*box.Box
-	settings  emulator.BoxSettings
-	caller    *emulator.Caller
-	operators string
+	settings   emulator.BoxSettings
+	caller     *emulator.Caller
+	statusAddr string
 }
 
 // startBoxes starts boxes of which the first one is known to all.
-func startBoxes(d *emulator.Deployment, n int) []*started {
-	return startBoxesBeside(d, "", n)
+func startBoxes(d *emulator.Deployment, n int) []*testBox {
+	return startBoxesWithSeed(d, "", n)
 }
 
-// startReady starts boxes that serve, and stops them at the test's end.
-func startReady(d *emulator.Deployment, n int) []*started {
+// startReadyBoxes starts boxes that serve, and stops them at the test's end.
+func startReadyBoxes(d *emulator.Deployment, n int) []*testBox {
 	boxes := startBoxes(d, n)
 	for _, b := range boxes {
-		Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
+		Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
 		DeferCleanup(b.Stop)
 	}
 	return boxes
@@ -58,18 +58,18 @@
 	return d
 }
 
-// addTo starts a server of a service and lists it.
-func addTo(d *emulator.Deployment, id, service string) *emulator.Server {
+// addServer starts a server of a service and lists it.
+func addServer(d *emulator.Deployment, id, service string) *emulator.Server {
 	s, err := d.Add(id, service)
 	Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-// startBoxesBeside starts boxes that know one which is there already.
-func startBoxesBeside(d *emulator.Deployment, seed string, n int) []*started {
+// startBoxesWithSeed starts boxes that know one which is there already.
+func startBoxesWithSeed(d *emulator.Deployment, seed string, n int) []*testBox {
 	addresses, err := emulator.FreeAddresses(4 * n)
 	Expect(err).NotTo(HaveOccurred())
-	var all []*started
+	var all []*testBox
 	for i := range n {
 		own := addresses[4*i : 4*i+4]
 		settings := emulator.BoxSettings{
@@ -91,17 +91,17 @@
 			MetricsPort: int(netip.MustParseAddrPort(own[3]).Port()),
 		}, s, eventlog.New(sink, zap.InfoLevel), sink)
 		Expect(err).NotTo(HaveOccurred())
-		all = append(all, &started{
-			Box:       b,
-			settings:  settings,
-			caller:    emulator.NewCaller(own[0], emulator.Key),
-			operators: own[3],
+		all = append(all, &testBox{
+			Box:        b,
+			settings:   settings,
+			caller:     emulator.NewCaller(own[0], emulator.Key),
+			statusAddr: own[3],
 		})
 	}
 	return all
 }
 
-func (s *started) call(id string) emulator.Outcome {
+func (s *testBox) call(id string) emulator.Outcome {
 	return s.caller.Do(context.Background(), emulator.Call{
 		ID:       id,
 		Method:   http.MethodPost,
@@ -110,8 +110,8 @@
 	})
 }
 
-func (s *started) get(path string) string {
-	answer, err := http.Get("http://" + s.operators + path)
+func (s *testBox) get(path string) string {
+	answer, err := http.Get("http://" + s.statusAddr + path)
 	Expect(err).NotTo(HaveOccurred())
 	defer answer.Body.Close()
 	data, err := io.ReadAll(answer.Body)
@@ -132,7 +132,7 @@
 
 	It("serves once it is ready, tells its state and its counts, and leaves when stopped", func() {
 		b := startBoxes(d, 1)[0]
-		Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
+		Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
 		o := b.call("a1")
 		Expect(o.Status).To(Equal(http.StatusOK))
 		Expect(o.Fault).To(BeEmpty())
@@ -140,7 +140,7 @@
 		Expect(json.Unmarshal([]byte(b.get("/status")), &status)).To(Succeed())
 		Expect(status.Ready).To(BeTrue())
 		var shown bytes.Buffer
-		Expect(commands.Run([]string{"status", b.operators}, &shown)).To(BeZero())
+		Expect(commands.Run([]string{"status", b.statusAddr}, &shown)).To(BeZero())
 		Expect(shown.String()).To(ContainSubstring("box-0 in zone-a"))
 		Expect(status.ConfigVersion).To(BeEquivalentTo(1))
 		Expect(b.get("/metrics")).To(ContainSubstring(`dillsaddle_requests_total{route="call"`))
@@ -149,7 +149,7 @@
 		answer, err := http.Get("http://" + b.settings.Ready + "/ready")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
-		Eventually(b.Left()).WithTimeout(patience).Should(BeClosed())
+		Eventually(b.Done()).WithTimeout(waitTimeout).Should(BeClosed())
 	})
 
 	It("isn't ready and answers 503 before it knows a configuration", func() {
@@ -159,14 +159,14 @@
 		Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(o.RetryIn).NotTo(BeEmpty())
 		d.Store.SetFault(emulator.StoreWell, 0)
-		Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
+		Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
 		b.Stop()
 	})
 
 	It("that the store turned away learns from another that a key was taken away", func() {
 		boxes := startBoxes(d, 2)
 		for _, b := range boxes {
-			Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
+			Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
 			Expect(b.call("c" + b.settings.Name).Status).To(Equal(http.StatusOK))
 		}
 		document := emulator.NewDocument(4)
@@ -174,7 +174,7 @@
 		d.Publish(document)
 		for i, b := range boxes {
 			Eventually(func() int { return b.call(fmt.Sprintf("d%d-%d", i, time.Now().UnixNano())).Status }).
-				WithTimeout(patience).Should(Equal(http.StatusUnauthorized))
+				WithTimeout(waitTimeout).Should(Equal(http.StatusUnauthorized))
 			b.Stop()
 		}
 	})
--- a/box/cold_test.go
+++ b/box/cold_test.go
@@ -22,7 +22,7 @@
 		joined    = 6 * time.Second // by then boxes have their parts of what is divided
 	)
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() {
 		d = newDeployment()
 		document := emulator.NewDocument(2)
@@ -32,7 +32,7 @@
 		d.Publish(document)
 	})
 	start := func() {
-		boxes = startReady(d, count)
+		boxes = startReadyBoxes(d, count)
 		time.Sleep(joined)
 	}
 	coldServer := func(id string) *emulator.Server {
@@ -48,7 +48,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		warm.WorkTime = 300 * time.Millisecond
 		start()
-		got := load(boxes, 3*time.Second)
+		got := runLoad(boxes, 3*time.Second)
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
 		Expect(emulator.MostWithin(s.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
@@ -59,7 +59,7 @@
 	It("serves what it bears where all are cold, and the rest is refused at once as not run", func() {
 		s := coldServer("i-cold")
 		start()
-		got := load(boxes, 3*time.Second)
+		got := runLoad(boxes, 3*time.Second)
 		Expect(emulator.MostWithin(s.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
 		Expect(got[http.StatusOK]).To(BeNumerically(">=", 12))
 		Expect(got[http.StatusServiceUnavailable]).To(BeNumerically(">", got[http.StatusOK]))
@@ -74,10 +74,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		d.Drain("zone-b")
 		start()
-		load(boxes, 500*time.Millisecond)
+		runLoad(boxes, 500*time.Millisecond)
 		Expect(far.Runs()).To(BeEmpty())
 		d.TakeBack("zone-b")
-		load(boxes, 2*time.Second)
+		runLoad(boxes, 2*time.Second)
 		Expect(far.Runs()).NotTo(BeEmpty())
 		Expect(emulator.MostWithin(far.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
 	})
--- a/box/crash_test.go
+++ b/box/crash_test.go
@@ -32,7 +32,7 @@
 		serving = 4
 	)
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	var unlisted map[string]bool
 	engines := 0
 	addEngine := func() {
@@ -41,7 +41,7 @@
 		s.Deadly = deadly
 		engines++
 	}
-	list := func(b *started) string { return b.get("/status") }
+	list := func(b *testBox) string { return b.get("/status") }
 	// replaceEnded takes the entries of engines that ended away, starts another one for
 	// each, and waits until all boxes know that.
 	replaceEnded := func() {
@@ -53,10 +53,10 @@
 			}
 		}
 		for _, b := range boxes {
-			Eventually(list).WithArguments(b).WithTimeout(patience).Should(ContainSubstring(fmt.Sprintf(`"list_changed":%d,`, d.Store.Revision())))
+			Eventually(list).WithArguments(b).WithTimeout(waitTimeout).Should(ContainSubstring(fmt.Sprintf(`"list_changed":%d,`, d.Store.Revision())))
 		}
 	}
-	send := func(b *started, path, id, body string) emulator.Outcome {
+	send := func(b *testBox, path, id, body string) emulator.Outcome {
 		return b.caller.Do(context.Background(), emulator.Call{
 			ID:       id,
 			Method:   http.MethodPost,
@@ -81,8 +81,8 @@
 		}
 		boxes = startBoxes(d, 3)
 		for _, b := range boxes {
-			Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
-			Eventually(func() string { return b.get("/status") }).WithTimeout(patience).Should(ContainSubstring(`"sharers":3`))
+			Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
+			Eventually(func() string { return b.get("/status") }).WithTimeout(waitTimeout).Should(ContainSubstring(`"sharers":3`))
 			DeferCleanup(b.Stop)
 		}
 	})
@@ -103,7 +103,7 @@
 				Expect(d.Runs()).NotTo(HaveKey(id))
 				Expect(send(b, emulator.StreamPath, fmt.Sprintf("well-%d", i), "another prompt")).To(HaveField("Whole", true))
 				var shown bytes.Buffer
-				Expect(commands.Run([]string{"status", b.operators}, &shown)).To(BeZero())
+				Expect(commands.Run([]string{"status", b.statusAddr}, &shown)).To(BeZero())
 				Expect(shown.String()).To(MatchRegexp(`REQUEST KEPT FROM ENDPOINTS.*\n[0-9a-f]{32} .*e-`))
 			}
 		},
--- a/box/era_test.go
+++ b/box/era_test.go
@@ -23,10 +23,10 @@
 		returned = 2 * time.Second
 	)
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id string) *emulator.Server { return addTo(d, id, emulator.Plain) }
-	start := func() { boxes = startReady(d, 3) }
+	add := func(id string) *emulator.Server { return addServer(d, id, emulator.Plain) }
+	start := func() { boxes = startReadyBoxes(d, 3) }
 	// settle waits until all boxes have the store's last change.
 	settle := func() {
 		want := fmt.Sprintf(`"list_changed":%d,"store_era":%d,`, d.Store.Revision(), d.Store.Era())
@@ -49,7 +49,7 @@
 	}
 	gets := func(s *emulator.Server) int {
 		before := len(s.Runs())
-		Expect(load(boxes, 400*time.Millisecond)).To(HaveLen(1))
+		Expect(runLoad(boxes, 400*time.Millisecond)).To(HaveLen(1))
 		return len(s.Runs()) - before
 	}
 
@@ -128,7 +128,7 @@
 		Expect(gets(far)).To(BeZero())
 		d.TakeBack("zone-b")
 		time.Sleep(known)
-		Eventually(func() int { return gets(far) }).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Eventually(func() int { return gets(far) }).WithTimeout(waitTimeout).Should(BeNumerically(">", 0))
 	})
 
 	It("go back to no older configuration, and take the operator's next word", func() {
@@ -162,9 +162,9 @@
 		fill(10)
 		copied = d.Store.Copy()
 		add("i-2")
-		boxes = append(boxes, startBoxesBeside(d, boxes[0].settings.Peer, 1)...)
+		boxes = append(boxes, startBoxesWithSeed(d, boxes[0].settings.Peer, 1)...)
 		last := boxes[len(boxes)-1]
-		Expect(emulator.WaitReady(last.settings.Ready, patience)).To(Succeed())
+		Expect(emulator.WaitReady(last.settings.Ready, waitTimeout)).To(Succeed())
 		DeferCleanup(last.Stop)
 		away(copied)
 		late := add("i-late")
--- a/box/leaving_test.go
+++ b/box/leaving_test.go
@@ -22,26 +22,26 @@
 	// bound is how long after an answer had told a box requests may still get there.
 	const bound = 2 * time.Second
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id, service string) *emulator.Server { return addTo(d, id, service) }
+	add := func(id, service string) *emulator.Server { return addServer(d, id, service) }
 	start := func() {
-		boxes = startReady(d, 3)
+		boxes = startReadyBoxes(d, 3)
 		for _, b := range boxes {
-			Eventually(func() string { return b.get("/status") }).WithTimeout(patience).Should(ContainSubstring(`"sharers":3`))
+			Eventually(func() string { return b.get("/status") }).WithTimeout(waitTimeout).Should(ContainSubstring(`"sharers":3`))
 		}
 	}
 
 	It("gets no requests any more, though the store lists it as ready", func() {
 		leaving, other := add("i-leaving", emulator.Plain), add("i-other", emulator.Plain)
 		start()
-		load(boxes, 300*time.Millisecond)
+		runLoad(boxes, 300*time.Millisecond)
 		Expect(leaving.Runs()).NotTo(BeEmpty())
 		d.Store.SetFault(emulator.StoreSilent, 0)
 		leaving.Announce(emulator.Notice{Leaving: true})
-		load(boxes, bound)
+		runLoad(boxes, bound)
 		from := time.Now()
-		got := load(boxes, 2*time.Second)
+		got := runLoad(boxes, 2*time.Second)
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
@@ -49,7 +49,7 @@
 		By("the store comes back, with an entry that was written before")
 		d.Store.SetFault(emulator.StoreWell, 0)
 		d.List(leaving, emulator.Plain, "ready")
-		load(boxes, 2*time.Second)
+		runLoad(boxes, 2*time.Second)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
 
@@ -59,9 +59,9 @@
 		start()
 		time.Sleep(time.Second) // boxes that have just met aren't of one group yet
 		leaving.Announce(emulator.Notice{Leaving: true})
-		load(boxes[:1], time.Second)
+		runLoad(boxes[:1], time.Second)
 		from := time.Now()
-		load(boxes[1:], 500*time.Millisecond)
+		runLoad(boxes[1:], 500*time.Millisecond)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
 
@@ -88,7 +88,7 @@
 		for i := range cap(outcomes) {
 			go func() { outcomes <- stream(fmt.Sprintf("before-%d", i)) }()
 		}
-		Eventually(func() int { return len(leaving.Runs()) }).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Eventually(func() int { return len(leaving.Runs()) }).WithTimeout(waitTimeout).Should(BeNumerically(">", 0))
 		leaving.Announce(emulator.Notice{Leaving: true})
 		time.Sleep(bound)
 		from := time.Now()
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -30,11 +30,11 @@
 		span   = 4 * time.Second
 	)
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id, service string) *emulator.Server { return addTo(d, id, service) }
+	add := func(id, service string) *emulator.Server { return addServer(d, id, service) }
 	start := func() {
-		boxes = startReady(d, count)
+		boxes = startReadyBoxes(d, count)
 		time.Sleep(joined)
 	}
 	limit := func(perSecond float64, all ...*emulator.Server) {
@@ -50,9 +50,9 @@
 		strained, other := add("i-strained", emulator.Plain), add("i-other", emulator.Plain)
 		start()
 		limit(perSecond, strained)
-		load(boxes, told)
+		runLoad(boxes, told)
 		from := time.Now()
-		got := load(boxes, 9*time.Second)
+		got := runLoad(boxes, 9*time.Second)
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
 		arrivals := strained.Arrivals(from)
@@ -66,16 +66,16 @@
 		strained := add("i-strained", emulator.Plain)
 		start()
 		limit(perSecond, strained)
-		load(boxes, told)
+		runLoad(boxes, told)
 		from := time.Now()
-		got := load(boxes, 9*time.Second)
+		got := runLoad(boxes, 9*time.Second)
 		arrivals := strained.Arrivals(from)
 		Expect(emulator.MostWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
 		Expect(got[http.StatusOK]).To(BeNumerically(">=", 9*perSecond/2))
 		Expect(got[http.StatusServiceUnavailable]).To(BeNumerically(">", got[http.StatusOK]))
 		Expect(got).To(HaveLen(2))
 		var shown bytes.Buffer
-		Expect(commands.Run([]string{"status", boxes[0].operators}, &shown)).To(BeZero())
+		Expect(commands.Run([]string{"status", boxes[0].statusAddr}, &shown)).To(BeZero())
 		Expect(shown.String()).To(MatchRegexp(`ENDPOINT THAT ASKED FOR LESS.*\ni-strained +2\.5 +-`))
 		Expect(arrivals).To(HaveLen(got[http.StatusOK]))
 	})
@@ -84,9 +84,9 @@
 		strained := add("i-strained", emulator.Plain)
 		start()
 		limit(1, strained)
-		load(boxes, 2*time.Second)
+		runLoad(boxes, 2*time.Second)
 		strained.Announce(emulator.Notice{})
-		Eventually(func() map[int]int { return load(boxes, time.Second) }).WithTimeout(patience).Should(And(
+		Eventually(func() map[int]int { return runLoad(boxes, time.Second) }).WithTimeout(waitTimeout).Should(And(
 			HaveLen(1),
 			HaveKey(http.StatusOK),
 		))
--- a/box/listen.go
+++ b/box/listen.go
@@ -11,23 +11,23 @@
 )
 
 func (b *Box) listen() error {
-	b.front = &http.Server{
+	b.frontServer = &http.Server{
 		Handler:           b.gateway,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       callerRest,
-		MaxHeaderBytes:    headerBytes,
-		ErrorLog:          log.New(serverErrors{b.log}, "", 0),
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       callerIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          log.New(serverErrorLog{b.log}, "", 0),
 	}
 	ready := http.NewServeMux()
-	ready.HandleFunc("/ready", b.answerReady)
+	ready.HandleFunc("/ready", b.serveReady)
 	operators := http.NewServeMux()
-	operators.HandleFunc("/metrics", b.answerMetrics)
-	operators.HandleFunc("/status", b.answerStatus)
+	operators.HandleFunc("/metrics", b.serveMetrics)
+	operators.HandleFunc("/status", b.serveStatus)
 	for _, l := range []struct {
 		address netip.AddrPort
 		server  *http.Server
 	}{
-		{b.settings.Front, b.front},
+		{b.settings.Front, b.frontServer},
 		{b.settings.Ready, &http.Server{Handler: ready}},
 		{netip.AddrPortFrom(b.settings.Front.Addr(), uint16(b.options.MetricsPort)), &http.Server{Handler: operators}},
 	} {
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// serverErrors gives the standard library's server errors a line in the log.
-type serverErrors struct{ log *zap.Logger }
+// serverErrorLog gives the standard library's server errors a line in the log.
+type serverErrorLog struct{ log *zap.Logger }
 
 // Write takes one message of the server.
-func (e serverErrors) Write(line []byte) (int, error) {
+func (e serverErrorLog) Write(line []byte) (int, error) {
 	e.log.Debug("caller's connection", zap.ByteString("what", line))
 	return len(line), nil
 }
--- a/box/load_test.go
+++ b/box/load_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// load lets callers of all boxes call for a time, and counts answers by status.
-func load(boxes []*started, lasts time.Duration) map[int]int {
+// runLoad lets callers of all boxes call for a time, and counts answers by status.
+func runLoad(boxes []*testBox, lasts time.Duration) map[int]int {
 	const (
 		callers = 10 // of each box
 		pause   = 20 * time.Millisecond
--- a/box/main.go
+++ b/box/main.go
@@ -19,14 +19,14 @@
 
 // The exit codes of the process.
 const (
-	exitDone  = 0
-	exitFault = 1
+	exitOK    = 0
+	exitError = 1
 	exitUsage = 2
 )
 
-// memoryPart is the share of a box's memory beyond which the collector works
+// memoryLimitRatio is the share of a box's memory beyond which the collector works
 // harder; the rest is for stacks, sockets' buffers and the log's queue.
-const memoryPart = 0.7
+const memoryLimitRatio = 0.7
 
 // Options are the flags of the process; everything else comes from the
 // platform's settings file.
@@ -55,41 +55,41 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	o, err := parse(arguments)
 	if errors.Is(err, flag.ErrHelp) {
-		return exitDone
+		return exitOK
 	}
 	if err != nil {
-		return fault(err, exitUsage)
+		return fail(err, exitUsage)
 	}
 	s, err := platform.LoadSettings(o.Settings)
 	if err != nil {
-		return fault(err, exitUsage)
+		return fail(err, exitUsage)
 	}
 	if o.Check {
 		fmt.Fprintln(out, "the settings are sound")
-		return exitDone
+		return exitOK
 	}
 	level, err := zap.ParseAtomicLevel(o.LogLevel)
 	if err != nil {
-		return fault(errors.Wrap(err, "read -log-level"), exitUsage)
+		return fail(errors.Wrap(err, "read -log-level"), exitUsage)
 	}
-	debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryBytes)))
 	sink := eventlog.NewSink(out)
 	b, err := Start(o, s, eventlog.New(sink, level.Level()), sink)
 	if err != nil {
-		return fault(err, exitFault)
+		return fail(err, exitError)
 	}
-	b.wait(signals)
-	sink.Close(logFlush)
-	return exitDone
+	b.runUntilStopped(signals)
+	sink.Close(logFlushTimeout)
+	return exitOK
 }
 
-func fault(err error, code int) int {
+func fail(err error, code int) int {
 	fmt.Fprintf(os.Stderr, "dillsaddle-node: %v\n", err)
 	return code
 }
 
-// wait serves until a planned stop is over. A second signal changes nothing.
-func (b *Box) wait(signals <-chan os.Signal) {
+// runUntilStopped serves until a planned stop is over. A second signal changes nothing.
+func (b *Box) runUntilStopped(signals <-chan os.Signal) {
 	for {
 		select {
 		case s := <-signals:
@@ -98,7 +98,7 @@
 				continue
 			}
 			b.Stop()
-		case <-b.Left():
+		case <-b.Done():
 			return
 		}
 	}
--- a/box/homes_test.go
+++ b/box/regions_test.go
@@ -43,7 +43,7 @@
 			d.Publish(document)
 			b := startBoxes(d, 1)[0]
 			DeferCleanup(b.Stop)
-			Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
+			Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
 			status := http.StatusOK
 			if len(served) == 0 {
 				status = http.StatusServiceUnavailable
--- a/box/operators.go
+++ b/box/status.go
@@ -34,10 +34,10 @@
 	Throttled []Throttled `json:"restrained,omitempty"` // endpoints that asked for fewer requests
 }
 
-// heldMost bounds the requests of a status, restrainedMost its endpoints.
+// maxQuarantined bounds the requests of a status, restrainedMost its endpoints.
 const (
-	heldMost       = 32
-	restrainedMost = 64
+	maxQuarantined = 32
+	maxThrottled   = 64
 )
 
 // Throttled is an endpoint that asked for fewer requests, or for none for a while.
@@ -62,33 +62,33 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// ready tells whether the box can serve: it knows a configuration and the
+// isReady tells whether the box can serve: it knows a configuration and the
 // endpoints, and isn't leaving.
-func (b *Box) ready() bool {
-	v := b.belief.View()
+func (b *Box) isReady() bool {
+	v := b.state.View()
 	return v.Table != nil && v.HasEndpointList && !b.stopping.Load()
 }
 
-func (b *Box) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if !b.ready() {
+func (b *Box) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if !b.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (b *Box) answerMetrics(w http.ResponseWriter, _ *http.Request) {
+func (b *Box) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	metrics.WritePrometheus(w, true)
 }
 
-func (b *Box) answerStatus(w http.ResponseWriter, _ *http.Request) {
-	v := b.belief.View()
+func (b *Box) serveStatus(w http.ResponseWriter, _ *http.Request) {
+	v := b.state.View()
 	s := Status{
 		Program:      Program,
-		StoreDown:    b.belief.IsStoreDown(),
+		StoreDown:    b.state.IsStoreDown(),
 		Reader:       b.peers.Reader(),
 		Sharers:      b.peers.Sharers(),
 		Box:          b.settings.Box,
 		Zone:         b.settings.Zone,
-		Ready:        b.ready(),
+		Ready:        b.isReady(),
 		ListNumber:   v.ListRevision.Number(),
 		StoreEra:     v.ListRevision.Era(),
 		ListAge:      time.Since(v.ConfirmedAt).Round(time.Millisecond).String(),
@@ -107,7 +107,7 @@
 		})
 	}
 	for _, h := range b.quarantine.All(time.Now()) {
-		if len(s.Quarantined) == heldMost {
+		if len(s.Quarantined) == maxQuarantined {
 			break
 		}
 		s.Quarantined = append(s.Quarantined, Quarantined{
@@ -116,17 +116,17 @@
 			Remaining: h.TimeLeft.Round(time.Second).String(),
 		})
 	}
-	s.Throttled = b.restrained()
+	s.Throttled = b.throttledEndpoints()
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(s); err != nil {
 		b.log.Warn("status was not taken", zap.Error(err))
 	}
 }
 
-func (b *Box) restrained() []Throttled {
+func (b *Box) throttledEndpoints() []Throttled {
 	var all []Throttled
 	for _, r := range b.gateway.Throttles(time.Now()) {
-		if len(all) == restrainedMost {
+		if len(all) == maxThrottled {
 			break
 		}
 		shown := Throttled{Endpoint: r.Endpoint}
@@ -141,30 +141,30 @@
 	return all
 }
 
-// largeStoreAnswer is the size in bytes from which an answer of the store has a log
+// largeResponseBytes is the size in bytes from which an answer of the store has a log
 // line; changes of endpoints take less.
-const largeStoreAnswer = 64 << 10
+const largeResponseBytes = 64 << 10
 
-// configurationWait is how long boxes that had heard of a configuration were without
+// configDelay is how long boxes that had heard of a configuration were without
 // it.
-var configurationWait = metrics.NewHistogram("dillsaddle_configuration_wait_seconds")
+var configDelay = metrics.NewHistogram("dillsaddle_configuration_wait_seconds")
 
-// storeEras counts how often the store came back from an older copy.
-var storeEras = metrics.NewCounter("dillsaddle_store_replaced_total")
+// storeRestores counts how often the store came back from an older copy.
+var storeRestores = metrics.NewCounter("dillsaddle_store_replaced_total")
 
-// storeAnswered logs a large answer of the store.
-func (b *Box) storeAnswered(call string, bytes int, took time.Duration) {
-	if bytes >= largeStoreAnswer {
+// logStoreResponse logs a large answer of the store.
+func (b *Box) logStoreResponse(call string, bytes int, took time.Duration) {
+	if bytes >= largeResponseBytes {
 		b.log.Info("large answer of the store", zap.String("call", call), zap.Int("bytes", bytes), zap.Duration("took", took))
 	}
 }
 
-// entryUnreadable logs an entry of the store that names nothing to use.
-func (b *Box) entryUnreadable(key string, why error) {
+// logInvalidEntry logs an entry of the store that names nothing to use.
+func (b *Box) logInvalidEntry(key string, why error) {
 	b.log.Warn("an entry of the store is of no use, the others hold", zap.String("key", key), zap.Error(why))
 }
 
-// countStoreCalls counts the calls to the store by their result.
-func countStoreCalls(result string) {
+// countStoreCall counts the calls to the store by their result.
+func countStoreCall(result string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("dillsaddle_store_calls_total{result=%q}", result)).Inc()
 }
--- a/box/stop.go
+++ b/box/stop.go
@@ -7,31 +7,31 @@
 	"go.uber.org/zap"
 )
 
-// Left is closed when the box may end.
-func (b *Box) Left() <-chan struct{} { return b.left }
+// Done is closed when the box may end.
+func (b *Box) Done() <-chan struct{} { return b.done }
 
 // Stop begins the planned stop; a second call changes nothing.
 func (b *Box) Stop() {
-	b.once.Do(func() {
+	b.stopOnce.Do(func() {
 		b.stopping.Store(true)
 		b.log.Info("stop", zap.Int("active", b.gateway.Active()))
-		limit := time.Now().Add(b.settings.Grace - graceMargin)
+		limit := time.Now().Add(b.settings.Grace - killMargin)
 		b.gateway.Stop(limit)
 		b.peers.MarkLeaving()
-		go b.leave(limit)
+		go b.shutDown(limit)
 	})
 }
 
-// leave waits until the balancer sends no more callers and the requests under
+// shutDown waits until the balancer sends no more callers and the requests under
 // way have ended, but not beyond the time of the kill.
-func (b *Box) leave(limit time.Time) {
-	time.Sleep(min(balancerTime, time.Until(limit)))
+func (b *Box) shutDown(limit time.Time) {
+	time.Sleep(min(balancerDelay, time.Until(limit)))
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
-	if err := b.front.Shutdown(ctx); err != nil {
+	if err := b.frontServer.Shutdown(ctx); err != nil {
 		b.log.Warn("requests were still under way at the end", zap.Int("active", b.gateway.Active()), zap.Error(err))
 	}
 	b.cancel()
 	b.log.Info("left", zap.Int64("log_lines_left_out", b.sink.DroppedLines()))
-	close(b.left)
+	close(b.done)
 }
--- a/box/zone_test.go
+++ b/box/zone_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("a zone that the operator drains", func() {
 	const bound = 3 * time.Second // as the boxes' settings say
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	var near, far *emulator.Server
 	sent := 0
 	BeforeEach(func() {
@@ -36,16 +36,16 @@
 	start := func(n int) {
 		boxes = startBoxes(d, n)
 		for _, b := range boxes {
-			Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
+			Expect(emulator.WaitReady(b.settings.Ready, waitTimeout)).To(Succeed())
 			DeferCleanup(b.Stop)
 		}
 	}
-	call := func(b *started) int {
+	call := func(b *testBox) int {
 		sent++
 		return b.call(fmt.Sprintf("z%d", sent)).Status
 	}
 	// reached tells whether requests of a box reach a server.
-	reached := func(b *started, s *emulator.Server) bool {
+	reached := func(b *testBox, s *emulator.Server) bool {
 		before := len(s.Runs())
 		for range 6 {
 			call(b)
@@ -62,7 +62,7 @@
 	}
 	uses := func(s *emulator.Server) {
 		for _, b := range boxes {
-			Eventually(reached).WithArguments(b, s).WithTimeout(patience).Should(BeTrue())
+			Eventually(reached).WithArguments(b, s).WithTimeout(waitTimeout).Should(BeTrue())
 		}
 	}
 
@@ -92,9 +92,9 @@
 		d.Drain("zone-a")
 		avoids(near)
 		d.Store.SetFault(emulator.StoreSilent, 0)
-		boxes = append(boxes, startBoxesBeside(d, boxes[0].settings.Peer, 1)...)
+		boxes = append(boxes, startBoxesWithSeed(d, boxes[0].settings.Peer, 1)...)
 		DeferCleanup(boxes[1].Stop)
-		Expect(emulator.WaitReady(boxes[1].settings.Ready, patience)).To(Succeed())
+		Expect(emulator.WaitReady(boxes[1].settings.Ready, waitTimeout)).To(Succeed())
 		before := len(near.Runs())
 		for range 20 {
 			Expect(call(boxes[1])).To(Equal(http.StatusOK))
@@ -141,11 +141,11 @@
 				Tokens:   emulator.Tokens{Prompt: 10, Most: 80},
 			})
 		}()
-		Eventually(func() int { return len(s.Runs()) }).WithTimeout(patience).Should(Equal(1))
+		Eventually(func() int { return len(s.Runs()) }).WithTimeout(waitTimeout).Should(Equal(1))
 		d.Drain("zone-a")
 		avoids(near)
 		var o emulator.Outcome
-		Eventually(ended).WithTimeout(patience).Should(Receive(&o))
+		Eventually(ended).WithTimeout(waitTimeout).Should(Receive(&o))
 		Expect(o.Whole).To(BeTrue())
 		Expect(o.Events).To(Equal(20))
 		Expect(s.Runs()).To(HaveLen(1))
--- a/engine/completions/stream.go
+++ b/engine/completions/stream.go
@@ -29,8 +29,8 @@
 	nullMark     = []byte("null")
 )
 
-// reader turns an endpoint's events into messages.
-type reader struct {
+// streamReader turns an endpoint's events into messages.
+type streamReader struct {
 	ctx      context.Context
 	endpoint string
 	sink     chan<- engine.Message
@@ -41,23 +41,23 @@
 	done     bool
 }
 
-// errEnough stops reading.
-var errEnough = errors.New("nothing more is wanted")
+// errStop stops reading.
+var errStop = errors.New("nothing more is wanted")
 
-func read(ctx context.Context, endpoint string, resp *protocol.Response, sink chan<- engine.Message) {
-	life, _ := strconv.ParseUint(string(resp.Header.Peek(incarnationHeader)), 10, 64)
-	r := &reader{
+func readStream(ctx context.Context, endpoint string, resp *protocol.Response, sink chan<- engine.Message) {
+	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(incarnationHeader)), 10, 64)
+	r := &streamReader{
 		ctx:      ctx,
 		endpoint: endpoint,
 		sink:     sink,
 	}
-	if !r.send(engine.Opened{Incarnation: core.Incarnation(life)}) {
+	if !r.send(engine.Opened{Incarnation: core.Incarnation(incarnation)}) {
 		return
 	}
-	r.end(events.Each(ctx, resp, r.event))
+	r.finish(events.Each(ctx, resp, r.handleEvent))
 }
 
-func (r *reader) send(m engine.Message) bool {
+func (r *streamReader) send(m engine.Message) bool {
 	select {
 	case r.sink <- m:
 		return true
@@ -66,20 +66,20 @@
 	}
 }
 
-func (r *reader) event(e *sse.Event) error {
+func (r *streamReader) handleEvent(e *sse.Event) error {
 	if bytes.Equal(e.Data, doneMark) {
 		r.done = true
-		return errEnough
+		return errStop
 	}
 	if e.ID == "" || !e.IsSetID() {
-		r.usage(e.Data)
+		r.handleUsage(e.Data)
 		return nil
 	}
-	offset, ok := r.identify(e.ID)
+	offset, ok := r.parseID(e.ID)
 	if !ok {
 		return errors.Errorf("endpoint sent an event id that can't be read: %.40q", e.ID)
 	}
-	data := r.keep(e.Data)
+	data := r.copyData(e.Data)
 	if isFinal(data) {
 		r.final = &engine.Finished{
 			Origin: r.origin,
@@ -93,7 +93,7 @@
 		Offset: offset,
 		Data:   data,
 	}) {
-		return errEnough
+		return errStop
 	}
 	return nil
 }
@@ -105,8 +105,8 @@
 	return found && !bytes.HasPrefix(bytes.TrimLeft(after, " "), nullMark)
 }
 
-// keep copies an event's data, which the library reuses, into a slab.
-func (r *reader) keep(data []byte) []byte {
+// copyData copies an event's data, which the library reuses, into a slab.
+func (r *streamReader) copyData(data []byte) []byte {
 	if len(data) > cap(r.slab)-len(r.slab) {
 		r.slab = make([]byte, 0, max(slabSize, len(data)))
 	}
@@ -115,8 +115,8 @@
 	return r.slab[start:len(r.slab):len(r.slab)]
 }
 
-// identify reads "incarnation/generation/offset".
-func (r *reader) identify(id string) (uint64, bool) {
+// parseID reads "incarnation/generation/offset".
+func (r *streamReader) parseID(id string) (uint64, bool) {
 	at := strings.LastIndexByte(id, '/')
 	if at < 0 {
 		return 0, false
@@ -128,8 +128,8 @@
 	if id[:at] == r.originID {
 		return offset, true
 	}
-	life, generation, found := strings.Cut(id[:at], "/")
-	number, err := strconv.ParseUint(life, 10, 64)
+	incarnation, generation, found := strings.Cut(id[:at], "/")
+	number, err := strconv.ParseUint(incarnation, 10, 64)
 	if !found || err != nil {
 		return 0, false
 	}
@@ -150,7 +150,7 @@
 	Preempted int `json:"preempted"`
 }
 
-func (r *reader) usage(data []byte) {
+func (r *streamReader) handleUsage(data []byte) {
 	var u usageEvent
 	if r.final == nil || json.Unmarshal(data, &u) != nil || u.Usage == nil {
 		return
@@ -162,7 +162,7 @@
 	}
 }
 
-func (r *reader) end(err error) {
+func (r *streamReader) finish(err error) {
 	if r.final != nil && r.done {
 		r.send(*r.final)
 		return
--- a/engine/completions/worker.go
+++ b/engine/completions/worker.go
@@ -22,9 +22,9 @@
 // maxConnections bounds the streams to one endpoint.
 const maxConnections = 65536
 
-// longestStream bounds one read of a stream, so that a worker whose endpoint
+// maxStreamTime bounds one read of a stream, so that a worker whose endpoint
 // stalls for ever is given back.
-const longestStream = time.Hour
+const maxStreamTime = time.Hour
 
 // Worker speaks the completions API.
 type Worker struct {
@@ -41,7 +41,7 @@
 		client.WithDialTimeout(time.Second),
 		client.WithResponseBodyStream(true),
 		client.WithMaxConnsPerHost(maxConnections),
-		client.WithClientReadTimeout(longestStream),
+		client.WithClientReadTimeout(maxStreamTime),
 	)
 	if err != nil {
 		return nil, errors.Wrap(err, "build the stream client")
@@ -61,11 +61,11 @@
 	}, nil
 }
 
-func base(address netip.AddrPort) string { return "http://" + address.String() }
+func baseURL(address netip.AddrPort) string { return "http://" + address.String() }
 
 // Start sends a request and tells what comes back.
 func (w *Worker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
-	body, err := extend(c)
+	body, err := requestBody(c)
 	if err != nil {
 		sink <- engine.Unsent{Cause: err}
 		return
@@ -77,7 +77,7 @@
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
 	req.SetMethod(http.MethodPost)
-	req.SetRequestURI(base(c.Address) + path)
+	req.SetRequestURI(baseURL(c.Address) + path)
 	req.Header.SetContentTypeBytes([]byte("application/json"))
 	req.SetBody(body)
 	if !c.LeaseEnd.IsZero() && time.Now().After(c.LeaseEnd) {
@@ -85,19 +85,19 @@
 		return
 	}
 	if err := w.streams.Do(ctx, req, resp); err != nil {
-		sink <- failure(err)
+		sink <- sendFailure(err)
 		return
 	}
 	if resp.StatusCode() != http.StatusOK {
-		sink <- refusal(resp)
+		sink <- statusMessage(resp)
 		return
 	}
-	read(ctx, c.Endpoint, resp, sink)
+	readStream(ctx, c.Endpoint, resp, sink)
 }
 
-// extend adds what the protocol needs to the caller's JSON, whose other fields
+// requestBody adds what the protocol needs to the caller's JSON, whose other fields
 // pass unchanged.
-func extend(c engine.Call) ([]byte, error) {
+func requestBody(c engine.Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &fields); err != nil {
 		return nil, errors.Wrap(err, "read the caller's body")
@@ -109,8 +109,8 @@
 	return json.Marshal(fields)
 }
 
-// failure tells a dial that failed, with no byte sent, from everything else.
-func failure(err error) engine.Message {
+// sendFailure tells a dial that failed, with no byte sent, from everything else.
+func sendFailure(err error) engine.Message {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return engine.Unsent{Cause: err}
@@ -118,10 +118,10 @@
 	return engine.Lost{Cause: err}
 }
 
-// refusal tells an answer that means "not started" from one that may come
+// statusMessage tells an answer that means "not started" from one that may come
 // later: an engine checks a request before it starts it and answers 4xx or
 // 503; any other status may come from a started one.
-func refusal(resp *protocol.Response) engine.Message {
+func statusMessage(resp *protocol.Response) engine.Message {
 	status := resp.StatusCode()
 	text := string(resp.Body())
 	if status >= 400 && status < 500 && status != http.StatusRequestTimeout || status == http.StatusServiceUnavailable {
@@ -144,7 +144,7 @@
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
 	req.SetMethod(http.MethodGet)
-	req.SetRequestURI(base(c.Address) + "/v1/generations/" + c.Origin.Generation +
+	req.SetRequestURI(baseURL(c.Address) + "/v1/generations/" + c.Origin.Generation +
 		"?from=" + strconv.FormatUint(c.From, 10) + "&chat=" + strconv.FormatBool(c.Chat))
 	if err := w.streams.Do(ctx, req, resp); err != nil {
 		sink <- engine.Lost{Cause: err}
@@ -152,7 +152,7 @@
 	}
 	switch resp.StatusCode() {
 	case http.StatusOK:
-		read(ctx, c.Origin.Endpoint, resp, sink)
+		readStream(ctx, c.Origin.Endpoint, resp, sink)
 	case http.StatusNotFound:
 		sink <- engine.Gone{}
 	default:
@@ -180,7 +180,7 @@
 
 // Cancel ends a generation at its endpoint.
 func (w *Worker) Cancel(ctx context.Context, address netip.AddrPort, generation string, onlyIdle bool) error {
-	url := base(address) + "/v1/generations/" + generation + "?idle=" + strconv.FormatBool(onlyIdle)
+	url := baseURL(address) + "/v1/generations/" + generation + "?idle=" + strconv.FormatBool(onlyIdle)
 	status, _, err := w.call(ctx, http.MethodDelete, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "cancel a generation")
@@ -203,7 +203,7 @@
 
 // Load reads an endpoint's load report.
 func (w *Worker) Load(ctx context.Context, address netip.AddrPort) (engine.Load, error) {
-	status, body, err := w.call(ctx, http.MethodGet, base(address)+"/v1/load", nil)
+	status, body, err := w.call(ctx, http.MethodGet, baseURL(address)+"/v1/load", nil)
 	if err != nil {
 		return engine.Load{}, errors.Wrap(err, "read a load report")
 	}
@@ -230,7 +230,7 @@
 
 // CacheEvents reads the cache events after a number; some may be missing.
 func (w *Worker) CacheEvents(ctx context.Context, address netip.AddrPort, after int) ([]engine.CacheEvent, error) {
-	status, body, err := w.call(ctx, http.MethodGet, base(address)+"/v1/cache-events?after="+strconv.Itoa(after), nil)
+	status, body, err := w.call(ctx, http.MethodGet, baseURL(address)+"/v1/cache-events?after="+strconv.Itoa(after), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "read cache events")
 	}
@@ -257,7 +257,7 @@
 	if err != nil {
 		return errors.Wrap(err, "write an order")
 	}
-	status, text, err := w.call(ctx, http.MethodPost, base(address)+"/v1/orders", body)
+	status, text, err := w.call(ctx, http.MethodPost, baseURL(address)+"/v1/orders", body)
 	if err != nil {
 		return errors.Wrap(err, "send an order")
 	}
--- a/engine/guard.go
+++ b/engine/guard.go
@@ -13,43 +13,43 @@
 
 // WithPanicRecovery keeps a panic in a worker to the attempt in which it happened: the
 // attempt counts as lost, since its bytes may have left.
-func WithPanicRecovery(w Worker, seen PanicHandler) Worker {
-	return &guard{
-		worker: w,
-		seen:   seen,
+func WithPanicRecovery(w Worker, onPanic PanicHandler) Worker {
+	return &recoveringWorker{
+		worker:  w,
+		onPanic: onPanic,
 	}
 }
 
-type guard struct {
-	worker Worker
-	seen   PanicHandler
+type recoveringWorker struct {
+	worker  Worker
+	onPanic PanicHandler
 }
 
-// caught turns a panic into an error; it must be deferred.
-func (g *guard) caught(err *error) {
+// recoverError turns a panic into an error; it must be deferred.
+func (g *recoveringWorker) recoverError(err *error) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
-	g.seen(fault, debug.Stack())
+	g.onPanic(fault, debug.Stack())
 	*err = errors.Errorf("the worker panicked: %v; see the log and report it", fault)
 }
 
 // Start sends a request through the worker.
-func (g *guard) Start(ctx context.Context, c Call, sink chan<- Message) {
-	g.attempt(ctx, sink, func() { g.worker.Start(ctx, c, sink) })
+func (g *recoveringWorker) Start(ctx context.Context, c Call, sink chan<- Message) {
+	g.runAttempt(ctx, sink, func() { g.worker.Start(ctx, c, sink) })
 }
 
 // Resume continues a generation through the worker.
-func (g *guard) Resume(ctx context.Context, c ResumeCall, sink chan<- Message) {
-	g.attempt(ctx, sink, func() { g.worker.Resume(ctx, c, sink) })
+func (g *recoveringWorker) Resume(ctx context.Context, c ResumeCall, sink chan<- Message) {
+	g.runAttempt(ctx, sink, func() { g.worker.Resume(ctx, c, sink) })
 }
 
-func (g *guard) attempt(ctx context.Context, sink chan<- Message, do func()) {
+func (g *recoveringWorker) runAttempt(ctx context.Context, sink chan<- Message, do func()) {
 	defer close(sink)
 	var err error
 	func() {
-		defer g.caught(&err)
+		defer g.recoverError(&err)
 		do()
 	}()
 	if err == nil {
@@ -62,25 +62,25 @@
 }
 
 // Cancel ends a generation through the worker.
-func (g *guard) Cancel(ctx context.Context, address netip.AddrPort, generation string, onlyIdle bool) (err error) {
-	defer g.caught(&err)
+func (g *recoveringWorker) Cancel(ctx context.Context, address netip.AddrPort, generation string, onlyIdle bool) (err error) {
+	defer g.recoverError(&err)
 	return g.worker.Cancel(ctx, address, generation, onlyIdle)
 }
 
 // Load reads a load report through the worker.
-func (g *guard) Load(ctx context.Context, address netip.AddrPort) (l Load, err error) {
-	defer g.caught(&err)
+func (g *recoveringWorker) Load(ctx context.Context, address netip.AddrPort) (l Load, err error) {
+	defer g.recoverError(&err)
 	return g.worker.Load(ctx, address)
 }
 
 // CacheEvents reads cache events through the worker.
-func (g *guard) CacheEvents(ctx context.Context, address netip.AddrPort, after int) (events []CacheEvent, err error) {
-	defer g.caught(&err)
+func (g *recoveringWorker) CacheEvents(ctx context.Context, address netip.AddrPort, after int) (events []CacheEvent, err error) {
+	defer g.recoverError(&err)
 	return g.worker.CacheEvents(ctx, address, after)
 }
 
 // Order sends an order through the worker.
-func (g *guard) Order(ctx context.Context, address netip.AddrPort, o Order) (err error) {
-	defer g.caught(&err)
+func (g *recoveringWorker) Order(ctx context.Context, address netip.AddrPort, o Order) (err error) {
+	defer g.recoverError(&err)
 	return g.worker.Order(ctx, address, o)
 }
--- a/losses/line.go
+++ b/losses/line.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// longestLine bounds one log line; boxes write some hundred bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds one log line; boxes write some hundred bytes.
+const maxLineBytes = 1 << 20
 
 // Line is one log line of a box, with the fields that this package reads.
 type Line struct {
@@ -67,11 +67,11 @@
 
 // UnmarshalJSON reads a duration.
 func (d *duration) UnmarshalJSON(text []byte) error {
-	var word string
-	if err := json.Unmarshal(text, &word); err != nil {
+	var value string
+	if err := json.Unmarshal(text, &value); err != nil {
 		return errors.Wrap(err, "read a duration")
 	}
-	parsed, err := time.ParseDuration(word)
+	parsed, err := time.ParseDuration(value)
 	if err != nil {
 		return errors.Wrap(err, "read a duration; durations look like 1.5s or 20ms")
 	}
@@ -129,9 +129,9 @@
 }
 
 // read gives each line of a log to a function and counts those that can't be read.
-func read(from io.Reader, take func(Line)) (lines int, skipped Skipped, err error) {
+func read(from io.Reader, handle func(Line)) (lines int, skipped Skipped, err error) {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, 64<<10), longestLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		text := bytes.TrimSpace(scanner.Bytes())
 		lines++
@@ -147,7 +147,7 @@
 			skipped.Count++
 			continue
 		}
-		take(line)
+		handle(line)
 	}
 	return lines, skipped, errors.Wrapf(scanner.Err(), "read the log after line %d", lines)
 }
--- a/losses/report.go
+++ b/losses/report.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// longestTime and timeDigits are the range and the precision of the histograms:
+	// maxMillis and timeDigits are the range and the precision of the histograms:
 	// a minute, to the hundredth part.
-	longestTime = int64(time.Minute / time.Millisecond)
-	timeDigits  = 2
-	// exampleMost is how many requests a row names.
-	exampleMost = 5
+	maxMillis         = int64(time.Minute / time.Millisecond)
+	significantDigits = 2
+	// maxExamples is how many requests a row names.
+	maxExamples = 5
 )
 
 // Row counts the losses of one route at one moment for one cause.
@@ -63,21 +63,21 @@
 	lines    int
 	skipped  Skipped
 	requests map[string]*request
-	left     map[string]time.Time // endpoints, with when a box first heard that they leave
-	steps    []step
+	leftAt   map[string]time.Time // endpoints, with when a box first heard that they leave
+	runSteps []runStep
 }
 
 // NewReader builds a reader that has seen nothing.
 func NewReader() *Reader {
 	return &Reader{
 		requests: make(map[string]*request),
-		left:     make(map[string]time.Time),
+		leftAt:   make(map[string]time.Time),
 	}
 }
 
 // Read takes a whole log.
 func (r *Reader) Read(from io.Reader) error {
-	lines, skipped, err := read(from, r.take)
+	lines, skipped, err := read(from, r.addLine)
 	if r.skipped.Count == 0 {
 		r.skipped.First = r.lines + skipped.First
 		r.skipped.FirstError = skipped.FirstError
@@ -87,11 +87,11 @@
 	return err
 }
 
-func (r *Reader) take(l Line) {
+func (r *Reader) addLine(l Line) {
 	if l.Request == "" {
 		if l.Event == "endpoint leaving" || l.Event == "endpoint gone" {
-			if at, known := r.left[l.Endpoint]; !known || l.At.Before(at) {
-				r.left[l.Endpoint] = l.At
+			if at, known := r.leftAt[l.Endpoint]; !known || l.At.Before(at) {
+				r.leftAt[l.Endpoint] = l.At
 			}
 		}
 		return
@@ -104,9 +104,9 @@
 		}
 		r.requests[l.Request] = q
 	}
-	q.take(l)
-	if s, ok := steps(l); ok {
-		r.steps = append(r.steps, s)
+	q.addLine(l)
+	if s, ok := runSteps(l); ok {
+		r.runSteps = append(r.runSteps, s)
 	}
 }
 
@@ -115,9 +115,9 @@
 	c := &counter{
 		totals:    make(map[string]*Total),
 		rows:      make(map[rowKey]*Row),
-		routes:    make(map[string]*felt),
-		customers: make(map[string]*felt),
-		ranks:     make(map[string]*felt),
+		routes:    make(map[string]*streamHistograms),
+		customers: make(map[string]*streamHistograms),
+		ranks:     make(map[string]*streamHistograms),
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		c.count(r.requests[id], r.hasLeft)
@@ -127,16 +127,16 @@
 		Skipped:    r.skipped,
 		Totals:     c.allTotals(),
 		Rows:       c.allRows(),
-		Routes:     feltBy(c.routes),
-		Customers:  feltBy(c.customers),
-		Ranks:      feltBy(c.ranks),
-		Placements: r.placings(),
+		Routes:     streamStats(c.routes),
+		Customers:  streamStats(c.customers),
+		Ranks:      streamStats(c.ranks),
+		Placements: r.placementStats(),
 	}
 }
 
 func (r *Reader) hasLeft(endpoint string) bool {
-	_, left := r.left[endpoint]
-	return left
+	_, leftAt := r.leftAt[endpoint]
+	return leftAt
 }
 
 type rowKey struct {
@@ -149,9 +149,9 @@
 type counter struct {
 	totals    map[string]*Total
 	rows      map[rowKey]*Row
-	routes    map[string]*felt
-	customers map[string]*felt
-	ranks     map[string]*felt
+	routes    map[string]*streamHistograms
+	customers map[string]*streamHistograms
+	ranks     map[string]*streamHistograms
 }
 
 func (c *counter) count(q *request, hasLeft func(string) bool) {
@@ -161,8 +161,8 @@
 		c.totals[q.route] = t
 	}
 	t.RequestCount++
-	if q.end != nil && q.end.Event == "streamed" {
-		c.feel(q)
+	if q.outcome != nil && q.outcome.Event == "streamed" {
+		c.addStream(q)
 	}
 	l, lost := q.loss(hasLeft)
 	if !lost {
@@ -190,7 +190,7 @@
 		c.rows[key] = row
 	}
 	row.Count++
-	if len(row.Requests) < exampleMost {
+	if len(row.Requests) < maxExamples {
 		row.Requests = append(row.Requests, l.Request)
 	}
 }
--- a/losses/request.go
+++ b/losses/request.go
@@ -46,30 +46,30 @@
 	RefusedByGateway   Cause = "the box refused it"
 )
 
-// unknownConfiguration is what a box says that knows no configuration.
-const unknownConfiguration = "no configuration is known yet"
+// noConfiguration is what a box says that knows no configuration.
+const noConfiguration = "no configuration is known yet"
 
 // request is what the lines of one attempt say.
 type request struct {
-	id       string
-	route    string
-	customer string
-	rank     int
-	began    time.Time
-	endpoint string // the last one
-	placed   bool
-	moving   bool // its move had begun or failed
-	moved    bool // it went on elsewhere
-	overdue  bool
-	ended    bool            // the endpoint of its last send ended
-	seams    map[string]bool // the events after which it went on elsewhere
-	end      *Line
+	id              string
+	route           string
+	customer        string
+	rank            int
+	firstSeen       time.Time
+	endpoint        string // the last one
+	placed          bool
+	moveStarted     bool // its move had begun or failed
+	continued       bool // it went on elsewhere
+	answerOverdue   bool
+	endpointCrashed bool            // the endpoint of its last send ended
+	seams           map[string]bool // the events after which it went on elsewhere
+	outcome         *Line
 }
 
-// take adds a line to what is known of the request.
-func (r *request) take(l Line) {
-	if r.began.IsZero() {
-		r.began = l.At
+// addLine adds a line to what is known of the request.
+func (r *request) addLine(l Line) {
+	if r.firstSeen.IsZero() {
+		r.firstSeen = l.At
 	}
 	if l.Route != "" {
 		r.route = l.Route
@@ -83,18 +83,18 @@
 		r.placed = true
 		r.endpoint = l.Endpoint
 	case "moved", "copy failed", "no target to move to", "move failed: engine unreachable":
-		r.moving = true
+		r.moveStarted = true
 	case "continued from a copy", "resumed in another run":
-		r.moved = true
-		r.moving = false
+		r.continued = true
+		r.moveStarted = false
 		r.endpoint = l.Endpoint
 		r.seams[l.LastEvent] = true
 	case "answer overdue":
-		r.overdue = true
+		r.answerOverdue = true
 	case "endpoint crashed during a request":
-		r.ended = l.Endpoint == r.endpoint
+		r.endpointCrashed = l.Endpoint == r.endpoint
 	case "answered", "streamed", "cut", "given up", "refused", "caller left":
-		r.end = &l
+		r.outcome = &l
 	}
 }
 
@@ -115,44 +115,44 @@
 		Route:   r.route,
 	}
 	switch {
-	case r.end == nil && !r.placed:
+	case r.outcome == nil && !r.placed:
 		return l, false
-	case r.end == nil:
+	case r.outcome == nil:
 		l.Moment, l.Cause = InProgress, BoxCrashed
-	case r.end.Event == "streamed" || r.end.Event == "answered":
-		return r.late(l)
-	case r.end.Event == "refused":
-		l.Moment, l.Cause = BeforeSend, r.refusal()
+	case r.outcome.Event == "streamed" || r.outcome.Event == "answered":
+		return r.lossOfAnswered(l)
+	case r.outcome.Event == "refused":
+		l.Moment, l.Cause = BeforeSend, r.refusalCause()
 		// A key or a route that isn't there is the caller's affair.
-		return l, r.end.Status >= http.StatusInternalServerError
-	case r.end.Event == "caller left":
-		l.Moment, l.Cause = r.moment(), CallerLeft
-		if r.overdue {
+		return l, r.outcome.Status >= http.StatusInternalServerError
+	case r.outcome.Event == "caller left":
+		l.Moment, l.Cause = r.lossMoment(), CallerLeft
+		if r.answerOverdue {
 			l.Cause = AnswerOverdue
 		}
 	default:
-		l.Moment, l.Cause = r.moment(), r.why(engineLeft)
+		l.Moment, l.Cause = r.lossMoment(), r.failureCause(engineLeft)
 	}
 	return l, true
 }
 
-func (r *request) moment() Moment {
+func (r *request) lossMoment() Moment {
 	switch {
 	case !r.placed:
 		return BeforeSend
-	case r.moving:
+	case r.moveStarted:
 		return WhileMoving
-	case r.moved:
+	case r.continued:
 		return AfterMoving
-	case r.end != nil && r.end.LastEvent != "":
+	case r.outcome != nil && r.outcome.LastEvent != "":
 		return BetweenEvents
 	}
 	return AwaitingFirst
 }
 
-func (r *request) refusal() Cause {
-	switch r.end.EndReason {
-	case unknownConfiguration:
+func (r *request) refusalCause() Cause {
+	switch r.outcome.EndReason {
+	case noConfiguration:
 		return NoConfiguration
 	case string(core.ReasonQuarantined):
 		return RequestQuarantined
@@ -160,9 +160,9 @@
 	return RefusedByGateway
 }
 
-// why translates the reason of a request that was cut or given up.
-func (r *request) why(engineLeft func(endpoint string) bool) Cause {
-	switch core.Reason(r.end.EndReason) {
+// failureCause translates the reason of a request that was cut or given up.
+func (r *request) failureCause(engineLeft func(endpoint string) bool) Cause {
+	switch core.Reason(r.outcome.EndReason) {
 	case core.ReasonNoEndpoint:
 		return NoEndpoint
 	case core.ReasonRefused:
@@ -172,44 +172,44 @@
 	case core.ReasonQuarantined:
 		return RequestQuarantined
 	case core.ReasonExpired:
-		if r.overdue {
+		if r.answerOverdue {
 			return AnswerOverdue
 		}
 		return TimeOver
 	case core.ReasonUnreachable:
-		if r.moved {
+		if r.continued {
 			return CopyLost
 		}
 	}
 	switch {
 	case engineLeft(r.endpoint):
 		return EngineLeft
-	case r.ended:
+	case r.endpointCrashed:
 		return EndpointCrashed
 	}
 	return ConnectionBroke
 }
 
-// late tells whether an answer that came was late or a failure, and for what.
-func (r *request) late(l Loss) (Loss, bool) {
-	if r.end.Status >= http.StatusInternalServerError {
+// lossOfAnswered tells whether an answer that came was late or a failure, and for what.
+func (r *request) lossOfAnswered(l Loss) (Loss, bool) {
+	if r.outcome.Status >= http.StatusInternalServerError {
 		l.Moment, l.Cause = AwaitingFirst, EndpointFailed
 		return l, true
 	}
-	if !r.end.Late {
+	if !r.outcome.Late {
 		return l, false
 	}
 	l.Late = true
 	l.Moment, l.Cause = AtAnswer, SlowFirst
-	if r.end.Event == "streamed" && r.end.PauseAfter != "" && r.end.LongestPause > stutter {
+	if r.outcome.Event == "streamed" && r.outcome.PauseAfter != "" && r.outcome.LongestPause > minStutter {
 		l.Moment, l.Cause = BetweenEvents, PauseAtEngine
-		if r.seams[r.end.PauseAfter] {
+		if r.seams[r.outcome.PauseAfter] {
 			l.Cause = PauseAtSeam
 		}
 	}
 	return l, true
 }
 
-// stutter is a pause between events that a reader notices, above what a busy
+// minStutter is a pause between events that a reader notices, above what a busy
 // engine needs between two events.
-const stutter = 150 * time.Millisecond
+const minStutter = 150 * time.Millisecond
--- /dev/null
+++ b/losses/stream_stats.go
@@ -0,0 +1,77 @@
+package losses
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// streamHistograms gathers what the callers of one kind felt.
+type streamHistograms struct {
+	firstEvent *hdrhistogram.Histogram
+	pause      *hdrhistogram.Histogram
+	stutters   int
+}
+
+func newStreamHistograms() *streamHistograms {
+	return &streamHistograms{
+		firstEvent: hdrhistogram.New(1, maxMillis, significantDigits),
+		pause:      hdrhistogram.New(1, maxMillis, significantDigits),
+	}
+}
+
+// addStream counts a stream for its route, its customer and its rank.
+func (c *counter) addStream(q *request) {
+	for _, one := range []struct {
+		all  map[string]*streamHistograms
+		name string
+	}{
+		{c.routes, q.route},
+		{c.customers, q.customer},
+		{c.ranks, strconv.Itoa(q.rank)},
+	} {
+		f := one.all[one.name]
+		if f == nil {
+			f = newStreamHistograms()
+			one.all[one.name] = f
+		}
+		f.add(q)
+	}
+}
+
+func (f *streamHistograms) add(q *request) {
+	record(f.firstEvent, q.outcome.FirstEvent)
+	record(f.pause, q.outcome.LongestPause)
+	if q.outcome.LongestPause > minStutter && !q.seams[q.outcome.PauseAfter] {
+		f.stutters++
+	}
+}
+
+// record takes a time; one beyond the range counts as its end.
+func record(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxMillis))
+}
+
+func streamStats(all map[string]*streamHistograms) []StreamStats {
+	var out []StreamStats
+	for name, f := range all {
+		out = append(out, StreamStats{
+			Name:        name,
+			Streams:     f.firstEvent.TotalCount(),
+			FirstMedian: quantile(f.firstEvent, 50),
+			FirstTail:   quantile(f.firstEvent, 99),
+			PauseMedian: quantile(f.pause, 50),
+			PauseTail:   quantile(f.pause, 99),
+			Stutters:    f.stutters,
+		})
+	}
+	slices.SortFunc(out, func(a, b StreamStats) int { return cmp.Compare(a.Name, b.Name) })
+	return out
+}
+
+func quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(percent)) * time.Millisecond
+}
--- a/losses/text.go
+++ b/losses/text.go
@@ -13,7 +13,7 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "route\tasked\tlost\tlate\n")
 	for _, total := range r.Totals {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", named(total.Route), total.RequestCount, total.Lost, total.Late)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", nameOrDash(total.Route), total.RequestCount, total.Lost, total.Late)
 	}
 	fmt.Fprintf(t, "\nlosses\troute\tmoment\tcause\trequests\n")
 	for _, row := range r.Rows {
@@ -21,7 +21,7 @@
 		if row.Late {
 			kind = "late"
 		}
-		fmt.Fprintf(t, "%d %s\t%s\t%s\t%s\t%s\n", row.Count, kind, named(row.Route), row.Moment, row.Cause, strings.Join(row.Requests, " "))
+		fmt.Fprintf(t, "%d %s\t%s\t%s\t%s\t%s\n", row.Count, kind, nameOrDash(row.Route), row.Moment, row.Cause, strings.Join(row.Requests, " "))
 	}
 	for _, part := range []struct {
 		head string
@@ -33,8 +33,8 @@
 	} {
 		fmt.Fprintf(t, "\n%s\tstreams\tfirst event p50\tp99\tlongest pause p50\tp99\tstutters\n", part.head)
 		for _, f := range part.all {
-			fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", named(f.Name), f.Streams,
-				short(f.FirstMedian), short(f.FirstTail), short(f.PauseMedian), short(f.PauseTail), f.Stutters)
+			fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", nameOrDash(f.Name), f.Streams,
+				formatDuration(f.FirstMedian), formatDuration(f.FirstTail), formatDuration(f.PauseMedian), formatDuration(f.PauseTail), f.Stutters)
 		}
 	}
 	fmt.Fprintf(t, "\nprompts placed by\tfrom\tprompts\tlate or lost\truns there\tfewest anywhere\n")
@@ -49,11 +49,11 @@
 	return t.Flush()
 }
 
-func named(name string) string {
+func nameOrDash(name string) string {
 	if name == "" {
 		return "-"
 	}
 	return name
 }
 
-func short(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
