--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -52,10 +52,10 @@
 		Entry("an engine that ended", losses.BetweenEvents, losses.EndpointCrashed, false, placed, ended, cut),
 		Entry("a request that no engine gets any more", losses.BeforeSend, losses.RequestQuarantined, false, kept),
 		Entry("a silent endpoint", losses.AwaitingFirst, losses.AnswerOverdue, false, placed, overdue, expired),
-		Entry("a time that was too short", losses.AwaitingFirst, losses.TimeOver, false, placed, expired),
+		Entry("a time that was too short", losses.AwaitingFirst, losses.DeadlineExceeded, false, placed, expired),
 		Entry("the endpoint's failure", losses.AwaitingFirst, losses.EndpointFailed, false, placed, failed),
 		Entry("a box that ended", losses.InProgress, losses.BoxCrashed, false, placed),
-		Entry("a box that knew nothing yet", losses.BeforeSend, losses.NoConfiguration, false, unknown),
+		Entry("a box that knew nothing yet", losses.BeforeSend, losses.NoConfigLoaded, false, unknown),
 		Entry("a pause where it went on", losses.BetweenEvents, losses.PauseAtSeam, true, placed, continued, stutters),
 		Entry("a pause at its engine", losses.BetweenEvents, losses.PauseAtEngine, true, placed, stutters),
 	)
--- a/losses/request.go
+++ b/losses/request.go
@@ -26,7 +26,7 @@
 
 // The causes.
 const (
-	NoConfiguration    Cause = "no configuration was known"
+	NoConfigLoaded     Cause = "no configuration was known"
 	NoEndpoint         Cause = "no endpoint was there"
 	EndpointsRefused   Cause = "endpoints refused it"
 	EndpointFailed     Cause = "the endpoint's own failure"
@@ -37,8 +37,8 @@
 	ConnectionBroke    Cause = "its connection broke"
 	CopyLost           Cause = "the engine with its copy was gone"
 	BudgetSpent        Cause = "the retry budget was spent"
-	CallerLeft         Cause = "its caller left"
-	TimeOver           Cause = "its time was over"
+	CallerDisconnected Cause = "its caller left"
+	DeadlineExceeded   Cause = "its time was over"
 	BoxCrashed         Cause = "its box ended under way"
 	SlowFirst          Cause = "its first event or answer was late"
 	PauseAtSeam        Cause = "a pause where it went on at another engine"
@@ -126,7 +126,7 @@
 		// A key or a route that isn't there is the caller's affair.
 		return l, r.outcome.Status >= http.StatusInternalServerError
 	case r.outcome.Event == "caller left":
-		l.Moment, l.Cause = r.lossMoment(), CallerLeft
+		l.Moment, l.Cause = r.lossMoment(), CallerDisconnected
 		if r.answerOverdue {
 			l.Cause = AnswerOverdue
 		}
@@ -153,7 +153,7 @@
 func (r *request) refusalCause() Cause {
 	switch r.outcome.EndReason {
 	case noConfiguration:
-		return NoConfiguration
+		return NoConfigLoaded
 	case string(core.ReasonQuarantined):
 		return RequestQuarantined
 	}
@@ -175,7 +175,7 @@
 		if r.answerOverdue {
 			return AnswerOverdue
 		}
-		return TimeOver
+		return DeadlineExceeded
 	case core.ReasonUnreachable:
 		if r.continued {
 			return CopyLost
