--- a/losses/doc.go
+++ b/losses/doc.go
@@ -1,5 +1,4 @@
-// Package losses reads the log lines of boxes and tells which requests ended
-// without their answer or late, by route, by the moment in their lives and by
-// cause, and what callers felt: the wait for the first event and the pauses
-// between events.
+// Package losses analyzes the logs of boxes. It reports which requests ended without
+// an answer or late, by route, moment and cause, and the latency that callers saw: the
+// time to the first event and the pauses between events.
 package losses
--- a/losses/line.go
+++ b/losses/line.go
@@ -10,20 +10,20 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds one log line; boxes write some hundred bytes.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Line is one log line of a box, with the fields that this package reads.
+// Line is a log line of a box, with the fields that this package uses.
 type Line struct {
 	At           time.Time
-	Box          string // empty where the line doesn't say
+	Box          string // empty if the line doesn't name it
 	Event        string
 	Request      string
 	Route        string
 	Customer     string
 	Rank         int
 	Endpoint     string
-	Target       string // of a move
+	Target       string // engine that a run is moved to
 	Status       int
 	EndReason    string
 	Sends        int
@@ -33,9 +33,9 @@
 	PauseAfter   string
 	LastEvent    string
 	Took         time.Duration
-	Failed       bool          // the line carries an error
-	MemoryUse    *float64      // how full an engine's memory was believed to get; nil elsewhere
-	ReportAge    time.Duration // of the engine's word that this came from
+	Failed       bool          // the line has an error
+	MemoryUse    *float64      // estimated memory use of the chosen engine; nil for plain services
+	ReportAge    time.Duration // age of the load report behind the estimate
 }
 
 type lineBody struct {
@@ -62,36 +62,36 @@
 	ReportAge    duration  `json:"report_age"`
 }
 
-// duration reads what the log writes as text, such as 1.5s.
+// duration is a time.Duration that is encoded as text, such as "1.5s".
 type duration time.Duration
 
-// UnmarshalJSON reads a duration.
+// UnmarshalJSON implements json.Unmarshaler.
 func (d *duration) UnmarshalJSON(text []byte) error {
 	var value string
 	if err := json.Unmarshal(text, &value); err != nil {
-		return errors.Wrap(err, "read a duration")
+		return errors.Wrap(err, "decode a duration")
 	}
 	parsed, err := time.ParseDuration(value)
 	if err != nil {
-		return errors.Wrap(err, "read a duration; durations look like 1.5s or 20ms")
+		return errors.Wrap(err, "parse a duration; durations look like 1.5s or 20ms")
 	}
 	*d = duration(parsed)
 	return nil
 }
 
-// errNoEvent reports a JSON line that names no event.
-var errNoEvent = errors.New("the line names no event; give the log of a box")
+// errNoEvent is returned for a JSON object without an event.
+var errNoEvent = errors.New("the line has no event; pass the log of a box")
 
-// ParseLine reads one line. Text before its first brace is skipped: collectors
-// of logs put a time or a name there.
+// ParseLine parses a log line. Text before the first brace is skipped, since log collectors
+// add prefixes such as a time or a name.
 func ParseLine(text []byte) (Line, error) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
-		return Line{}, errors.New("the line holds no JSON object; give the log of a box")
+		return Line{}, errors.New("the line has no JSON object; pass the log of a box")
 	}
 	var b lineBody
 	if err := json.Unmarshal(text[start:], &b); err != nil {
-		return Line{}, errors.Wrap(err, "the line is no log line of a box")
+		return Line{}, errors.Wrap(err, "the line is not a log line of a box")
 	}
 	if b.Event == "" {
 		return Line{}, errNoEvent
@@ -121,14 +121,14 @@
 	}, nil
 }
 
-// Skipped tells of lines that could not be read.
+// Skipped counts the lines that could not be parsed.
 type Skipped struct {
 	Count      int    `json:"count"`
-	First      int    `json:"first_line"` // its number, from 1
-	FirstError string `json:"why"`        // of the first one
+	First      int    `json:"first_line"` // line number of the first one, from 1
+	FirstError string `json:"why"`        // error of the first one
 }
 
-// read gives each line of a log to a function and counts those that can't be read.
+// read parses each line of a log, calls handle for it, and counts those that can't be parsed.
 func read(from io.Reader, handle func(Line)) (lines int, skipped Skipped, err error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -12,22 +12,22 @@
 	"dillsaddle.example/dillsaddle/losses"
 )
 
-// The lines are shortened ones of real boxes.
+// Log lines of boxes, shortened.
 const (
-	placed    = `{"at":"2026-07-19T05:50:10Z","event":"placed","request":"R","route":"long","endpoint":"e-1","backup":""}`
-	leaving   = `{"at":"2026-07-19T05:50:11Z","event":"endpoint leaving","endpoint":"e-1","from":"store"}`
-	moveFails = `{"at":"2026-07-19T05:50:12Z","event":"copy failed","request":"R","endpoint":"e-1","target":"e-2","error":"EOF"}`
-	continued = `{"at":"2026-07-19T05:50:12Z","event":"continued from a copy","request":"R","endpoint":"e-2","last_event":"40"}`
-	cut       = `{"at":"2026-07-19T05:50:13Z","event":"cut","request":"R","route":"long","why":"connection broke","status":200,"endpoint":"e-1","sends":1,"last_event":"40","took":"3s"}`
-	overdue   = `{"at":"2026-07-19T05:50:12Z","event":"answer overdue","request":"R","endpoint":"e-1","after":"1.2s"}`
-	expired   = `{"at":"2026-07-19T05:50:15Z","event":"given up","request":"R","route":"short","why":"time is over","status":504}`
-	failed    = `{"at":"2026-07-19T05:50:13Z","event":"answered","request":"R","route":"short","status":500,"took":"30ms"}`
-	stutters  = `{"at":"2026-07-19T05:50:19Z","event":"streamed","request":"R","route":"long","customer":"one","rank":1,"status":200,"first_event":"400ms","longest_pause":"300ms","pause_after":"40","late":true}`
-	whole     = `{"at":"2026-07-19T05:50:19Z","event":"streamed","request":"R","route":"long","customer":"one","rank":1,"status":200,"first_event":"400ms","longest_pause":"30ms","pause_after":"40","late":false}`
-	badKey    = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","route":"long","why":"the key is not known","status":401}`
-	ended     = `{"at":"2026-07-19T05:50:13Z","event":"endpoint crashed during a request","request":"R","endpoint":"e-1","after":"240ms","events":0}`
-	kept      = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","route":"long","why":"endpoints end under the request","status":503}`
-	unknown   = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","why":"no configuration is known yet","status":503}`
+	placed       = `{"at":"2026-07-19T05:50:10Z","event":"placed","request":"R","route":"long","endpoint":"e-1","backup":""}`
+	leaving      = `{"at":"2026-07-19T05:50:11Z","event":"endpoint leaving","endpoint":"e-1","from":"store"}`
+	moveFails    = `{"at":"2026-07-19T05:50:12Z","event":"copy failed","request":"R","endpoint":"e-1","target":"e-2","error":"EOF"}`
+	continued    = `{"at":"2026-07-19T05:50:12Z","event":"continued from a copy","request":"R","endpoint":"e-2","last_event":"40"}`
+	cut          = `{"at":"2026-07-19T05:50:13Z","event":"cut","request":"R","route":"long","why":"connection broke","status":200,"endpoint":"e-1","sends":1,"last_event":"40","took":"3s"}`
+	overdue      = `{"at":"2026-07-19T05:50:12Z","event":"answer overdue","request":"R","endpoint":"e-1","after":"1.2s"}`
+	expired      = `{"at":"2026-07-19T05:50:15Z","event":"given up","request":"R","route":"short","why":"time is over","status":504}`
+	failed       = `{"at":"2026-07-19T05:50:13Z","event":"answered","request":"R","route":"short","status":500,"took":"30ms"}`
+	stuttering   = `{"at":"2026-07-19T05:50:19Z","event":"streamed","request":"R","route":"long","customer":"one","rank":1,"status":200,"first_event":"400ms","longest_pause":"300ms","pause_after":"40","late":true}`
+	complete     = `{"at":"2026-07-19T05:50:19Z","event":"streamed","request":"R","route":"long","customer":"one","rank":1,"status":200,"first_event":"400ms","longest_pause":"30ms","pause_after":"40","late":false}`
+	badKey       = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","route":"long","why":"the key is not known","status":401}`
+	crashed      = `{"at":"2026-07-19T05:50:13Z","event":"endpoint crashed during a request","request":"R","endpoint":"e-1","after":"240ms","events":0}`
+	quarantined  = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","route":"long","why":"endpoints end under the request","status":503}`
+	unconfigured = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","why":"no configuration is known yet","status":503}`
 )
 
 func report(lines ...string) losses.Report {
@@ -36,8 +36,8 @@
 	return r.Report()
 }
 
-var _ = Describe("what a log tells of lost requests", func() {
-	DescribeTable("names moment and cause",
+var _ = Describe("a report on logs", func() {
+	DescribeTable("names the moment and the cause of a loss",
 		func(moment losses.Moment, cause losses.Cause, late bool, lines ...string) {
 			rows := report(lines...).Rows
 			Expect(rows).To(HaveLen(1))
@@ -47,35 +47,35 @@
 			Expect(rows[0].Requests).To(Equal([]string{"R"}))
 		},
 		Entry("an engine that left", losses.BetweenEvents, losses.EngineLeft, false, leaving, placed, cut),
-		Entry("while its run was moved", losses.WhileMoving, losses.EngineLeft, false, placed, leaving, moveFails, cut),
-		Entry("an engine that broke off", losses.BetweenEvents, losses.ConnectionBroke, false, placed, cut),
-		Entry("an engine that ended", losses.BetweenEvents, losses.EndpointCrashed, false, placed, ended, cut),
-		Entry("a request that no engine gets any more", losses.BeforeSend, losses.RequestQuarantined, false, kept),
+		Entry("an engine that left while the run was moved", losses.WhileMoving, losses.EngineLeft, false, placed, leaving, moveFails, cut),
+		Entry("a connection that broke", losses.BetweenEvents, losses.ConnectionBroke, false, placed, cut),
+		Entry("an endpoint that crashed", losses.BetweenEvents, losses.EndpointCrashed, false, placed, crashed, cut),
+		Entry("a quarantined request", losses.BeforeSend, losses.RequestQuarantined, false, quarantined),
 		Entry("a silent endpoint", losses.AwaitingFirst, losses.AnswerOverdue, false, placed, overdue, expired),
-		Entry("a time that was too short", losses.AwaitingFirst, losses.DeadlineExceeded, false, placed, expired),
-		Entry("the endpoint's failure", losses.AwaitingFirst, losses.EndpointFailed, false, placed, failed),
+		Entry("a deadline that was too short", losses.AwaitingFirst, losses.DeadlineExceeded, false, placed, expired),
+		Entry("a failure of the endpoint", losses.AwaitingFirst, losses.EndpointFailed, false, placed, failed),
 		Entry("a box that ended", losses.InProgress, losses.BoxCrashed, false, placed),
-		Entry("a box that knew nothing yet", losses.BeforeSend, losses.NoConfigLoaded, false, unknown),
-		Entry("a pause where it went on", losses.BetweenEvents, losses.PauseAtSeam, true, placed, continued, stutters),
-		Entry("a pause at its engine", losses.BetweenEvents, losses.PauseAtEngine, true, placed, stutters),
+		Entry("a box without a configuration", losses.BeforeSend, losses.NoConfigLoaded, false, unconfigured),
+		Entry("a pause during a move", losses.BetweenEvents, losses.PauseAtSeam, true, placed, continued, stuttering),
+		Entry("a pause at the engine", losses.BetweenEvents, losses.PauseAtEngine, true, placed, stuttering),
 	)
 
-	It("counts whole answers and refusals that are the caller's affair as none", func() {
-		Expect(report(placed, whole).Rows).To(BeEmpty())
+	It("omits complete answers and refusals due to the caller", func() {
+		Expect(report(placed, complete).Rows).To(BeEmpty())
 		Expect(report(badKey).Rows).To(BeEmpty())
 	})
 
-	It("tells what callers felt, by route, customer and rank", func() {
-		r := report(placed, whole)
+	It("summarizes stream latency by route, customer and rank", func() {
+		r := report(placed, complete)
 		Expect(r.Routes).To(HaveLen(1))
 		Expect(r.Routes[0].Streams).To(BeEquivalentTo(1))
 		Expect(r.Routes[0].FirstMedian).To(BeNumerically("~", 400*time.Millisecond, 10*time.Millisecond))
 		Expect(r.Customers[0].Name).To(Equal("one"))
 		Expect(r.Ranks[0].Name).To(Equal("1"))
-		Expect(report(placed, stutters).Routes[0].Stutters).To(Equal(1))
+		Expect(report(placed, stuttering).Routes[0].Stutters).To(Equal(1))
 	})
 
-	It("tells by what boxes believed how prompts fared, and what was true", func() {
+	It("groups placements by estimated memory use and report age", func() {
 		prompt := func(second int, request, engine, full, age string) string {
 			return fmt.Sprintf(`{"at":"2026-07-19T05:50:%02dZ","event":"placed","request":%q,"route":"long","endpoint":%q,"full":%s,"report_age":%q}`, second, request, engine, full, age)
 		}
@@ -84,9 +84,9 @@
 			prompt(2, "B", "e-1", "0.2", "600ms"),
 			prompt(2, "C", "e-2", "0.1", "100ms"),
 			`{"at":"2026-07-19T05:50:03Z","event":"streamed","request":"C","route":"long","status":200}`,
-			// Two runs are at e-1, none at e-2 any more.
+			// Two runs are at e-1 by now, none at e-2.
 			prompt(4, "R", "e-1", "0.35", "700ms"),
-			stutters,
+			stuttering,
 			`{"at":"2026-07-19T05:50:04Z","event":"placed","request":"call","route":"plain","endpoint":"i-1"}`,
 		)
 		var full, age []losses.PlacementStats
@@ -110,8 +110,8 @@
 		Expect(out.String()).To(ContainSubstring("prompts placed by"))
 	})
 
-	It("skips what a collector puts before a line, and says which lines it couldn't read", func() {
-		r := report("  12.5 box-1 "+placed, "no line of a box", `{"broken":`, "box-1 "+whole)
+	It("skips prefixes of log collectors, and counts lines that can't be parsed", func() {
+		r := report("  12.5 box-1 "+placed, "no line of a box", `{"broken":`, "box-1 "+complete)
 		Expect(r.Lines).To(Equal(4))
 		Expect(r.Skipped.Count).To(Equal(2))
 		Expect(r.Skipped.First).To(Equal(2))
--- a/losses/placement.go
+++ b/losses/placement.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// memoryStep is how wide the rows of believed fullness are, as a part of an engine's
-	// memory; ageStep is the same for the age of the engine's report.
+	// memoryStep and ageStep are the widths of the ranges that placements are grouped by:
+	// memory use as a fraction of the engine's memory, and age of the load report.
 	memoryStep = 0.2
 	ageStep    = 250 * time.Millisecond
-	// engineIdleTime is how long an engine without a run still counts as one that could have
-	// been chosen: engines join and end without a line that names them here.
+	// engineIdleTime is how long an engine without runs counts as available after its last
+	// run, since the log lines read here don't say when engines join and crash.
 	engineIdleTime = 3 * time.Second
 )
 
-// PlacementStats tells how the prompts fared that boxes placed while they believed the same of the
-// chosen engines, and what was true by the logs of all boxes.
+// PlacementStats summarizes the placements of prompts for one range of the chosen engines'
+// estimated memory use or report age. Run counts are derived from the logs of all boxes.
 type PlacementStats struct {
 	By         string  `json:"by"`   // full or report_age
-	RangeStart float64 `json:"from"` // of the row's beliefs; seconds for an age
+	RangeStart float64 `json:"from"` // a fraction of the memory, or seconds
 	Count      int     `json:"count"`
-	Late       float64 `json:"late"`   // the part whose answers were late or lost
-	Runs       float64 `json:"runs"`   // the mean of runs that were at the chosen engine
-	MinRuns    float64 `json:"fewest"` // the mean of those at the engine with the fewest
+	Late       float64 `json:"late"`   // fraction of prompts with a late or lost answer
+	Runs       float64 `json:"runs"`   // mean number of runs at the chosen engine
+	MinRuns    float64 `json:"fewest"` // mean number of runs at the engine with the fewest
 }
 
-// runStep is a run that begins at an engine, goes on at another, or ends.
+// runStep is the start of a run at an engine, its continuation at another, or its end.
 type runStep struct {
 	at        time.Time
 	request   string
-	endpoint  string // empty for an end
+	endpoint  string // empty for the end of a run
 	placed    bool
 	memoryUse float64
 	reportAge time.Duration
 }
 
-// runSteps gives what a line says of a run.
+// runSteps returns the step of a run that a line records, if any.
 func runSteps(l Line) (runStep, bool) {
 	s := runStep{
 		at:      l.At,
@@ -62,12 +62,12 @@
 	return s, true
 }
 
-// runTracker replays where runs were.
+// runTracker replays run steps and tracks which engine each run is at.
 type runTracker struct {
 	leftAt       map[string]time.Time
-	at           map[string]string          // engines by request
-	runsByEngine map[string]map[string]bool // requests by engine
-	lastUsed     map[string]time.Time
+	at           map[string]string          // engine by request
+	runsByEngine map[string]map[string]bool // set of requests by engine
+	lastUsed     map[string]time.Time       // start of the last run by engine
 }
 
 func (r *runTracker) apply(s runStep) {
@@ -86,7 +86,7 @@
 	r.lastUsed[s.endpoint] = s.at
 }
 
-// minRuns gives the least runs at any engine that was in use and had not left.
+// minRuns returns the lowest number of runs at any engine that is in use and hasn't left.
 func (r *runTracker) minRuns(now time.Time) int {
 	least := math.MaxInt
 	for id, runs := range r.runsByEngine {
@@ -99,7 +99,7 @@
 	return least
 }
 
-// placementStats replays the runs of all boxes and counts each placement by what was believed.
+// placementStats replays the runs of all boxes and groups the placements.
 func (r *Reader) placementStats() []PlacementStats {
 	slices.SortStableFunc(r.runSteps, func(a, b runStep) int { return a.at.Compare(b.at) })
 	now := &runTracker{
@@ -134,11 +134,13 @@
 	return all
 }
 
+// statsKey is a range of the memory use or the report age.
 type statsKey struct {
 	by   string
 	from float64
 }
 
+// statsKeys returns the ranges that a placement is counted in.
 func (s runStep) statsKeys() []statsKey {
 	ages := math.Floor(float64(s.reportAge) / float64(ageStep))
 	return []statsKey{
@@ -147,9 +149,11 @@
 	}
 }
 
-// epsilon keeps a fullness that is told as a whole step in the row that begins with it.
+// epsilon keeps a memory use that is a multiple of memoryStep in the range that it begins,
+// despite rounding errors.
 const epsilon = 1e-9
 
+// addPlacement adds a placement to the sums of its range.
 func addPlacement(rows map[statsKey]*PlacementStats, key statsKey, runs, minRuns int, late bool) {
 	p := rows[key]
 	if p == nil {
@@ -167,7 +171,7 @@
 	}
 }
 
-// wasLateOrLost tells whether the request's answer was late or never came.
+// wasLateOrLost reports whether the request's answer was late or lost.
 func (r *request) wasLateOrLost(engineLeft func(endpoint string) bool) bool {
 	_, lost := r.loss(engineLeft)
 	return lost
--- a/losses/report.go
+++ b/losses/report.go
@@ -9,33 +9,32 @@
 )
 
 const (
-	// maxMillis and timeDigits are the range and the precision of the histograms:
-	// a minute, to the hundredth part.
+	// maxMillis and significantDigits are the range and the precision of the histograms.
 	maxMillis         = int64(time.Minute / time.Millisecond)
 	significantDigits = 2
-	// maxExamples is how many requests a row names.
+	// maxExamples bounds the requests listed in a row.
 	maxExamples = 5
 )
 
-// Row counts the losses of one route at one moment for one cause.
+// Row counts the losses of a route at one moment and for one cause.
 type Row struct {
 	Route    string   `json:"route"`
 	Moment   Moment   `json:"moment"`
 	Cause    Cause    `json:"cause"`
-	Late     bool     `json:"late"` // the answers came all the same
+	Late     bool     `json:"late"` // the answers were complete, but late
 	Count    int      `json:"count"`
-	Requests []string `json:"requests"` // the first of them
+	Requests []string `json:"requests"` // examples
 }
 
-// StreamStats is what the callers of a route, a customer or a rank felt of their streams.
+// StreamStats summarizes the latency of a route's, a customer's or a rank's streams.
 type StreamStats struct {
 	Name        string        `json:"name"`
 	Streams     int64         `json:"streams"`
-	FirstMedian time.Duration `json:"first_median_ns"` // stall: the silence before the first event
+	FirstMedian time.Duration `json:"first_median_ns"` // time to the first event
 	FirstTail   time.Duration `json:"first_p99_ns"`
 	PauseMedian time.Duration `json:"pause_median_ns"` // of each stream's longest pause between events
 	PauseTail   time.Duration `json:"pause_p99_ns"`
-	Stutters    int           `json:"stutters"` // streams with a noticeable pause at their engine: preempted, or beside long prompts
+	Stutters    int           `json:"stutters"` // streams with a noticeable pause that wasn't due to a move
 }
 
 // Total counts a route's requests.
@@ -46,7 +45,7 @@
 	Late         int    `json:"late"`
 }
 
-// Report is what a log tells of lost requests.
+// Report is the result of analyzing logs.
 type Report struct {
 	Lines      int              `json:"lines"`
 	Skipped    Skipped          `json:"skipped"`
@@ -58,16 +57,16 @@
 	Placements []PlacementStats `json:"placings"`
 }
 
-// Reader gathers log lines, of any boxes in any order.
+// Reader reads the logs of any number of boxes, in any order.
 type Reader struct {
 	lines    int
 	skipped  Skipped
 	requests map[string]*request
-	leftAt   map[string]time.Time // endpoints, with when a box first heard that they leave
+	leftAt   map[string]time.Time // when a box first logged that the endpoint was leaving or gone
 	runSteps []runStep
 }
 
-// NewReader builds a reader that has seen nothing.
+// NewReader returns an empty Reader.
 func NewReader() *Reader {
 	return &Reader{
 		requests: make(map[string]*request),
@@ -75,7 +74,7 @@
 	}
 }
 
-// Read takes a whole log.
+// Read reads a whole log.
 func (r *Reader) Read(from io.Reader) error {
 	lines, skipped, err := read(from, r.addLine)
 	if r.skipped.Count == 0 {
@@ -110,7 +109,7 @@
 	}
 }
 
-// Report counts what was read.
+// Report returns the report on all lines read so far.
 func (r *Reader) Report() Report {
 	c := &counter{
 		totals:    make(map[string]*Total),
@@ -146,6 +145,7 @@
 	late   bool
 }
 
+// counter collects the parts of a report.
 type counter struct {
 	totals    map[string]*Total
 	rows      map[rowKey]*Row
@@ -204,7 +204,7 @@
 	return all
 }
 
-// allRows gives the rows with the most losses first; late answers come last.
+// allRows returns the rows in descending order of count, those of late answers last.
 func (c *counter) allRows() []Row {
 	var all []Row
 	for _, row := range c.rows {
--- a/losses/request.go
+++ b/losses/request.go
@@ -7,10 +7,10 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Moment is where in its life a request was lost.
+// Moment is the phase of a request in which it was lost.
 type Moment string
 
-// The moments, in the order of a request's life.
+// Moments, in the order of a request's life.
 const (
 	BeforeSend    Moment = "before it was sent"
 	AwaitingFirst Moment = "before its first event or answer"
@@ -18,55 +18,55 @@
 	WhileMoving   Moment = "while it was moved"
 	AfterMoving   Moment = "after it was moved or continued"
 	AtAnswer      Moment = "at its answer"
-	InProgress    Moment = "under way" // nobody lived to say more
+	InProgress    Moment = "under way" // the box ended without logging more
 )
 
-// Cause is why a request was lost, as far as its box could know.
+// Cause is why a request was lost, as far as its box's log says.
 type Cause string
 
-// The causes.
+// Causes of a loss.
 const (
-	NoConfigLoaded     Cause = "no configuration was known"
-	NoEndpoint         Cause = "no endpoint was there"
-	EndpointsRefused   Cause = "endpoints refused it"
-	EndpointFailed     Cause = "the endpoint's own failure"
-	AnswerOverdue      Cause = "the endpoint owed its answer"
-	EngineLeft         Cause = "its engine left"
-	EndpointCrashed    Cause = "its endpoint ended under it"
-	RequestQuarantined Cause = "endpoints end under it" // it was kept from them
-	ConnectionBroke    Cause = "its connection broke"
-	CopyLost           Cause = "the engine with its copy was gone"
-	BudgetSpent        Cause = "the retry budget was spent"
-	CallerDisconnected Cause = "its caller left"
-	DeadlineExceeded   Cause = "its time was over"
+	NoConfigLoaded     Cause = "no configuration loaded"
+	NoEndpoint         Cause = "no endpoint available"
+	EndpointsRefused   Cause = "refused by endpoints"
+	EndpointFailed     Cause = "endpoint answered with a failure"
+	AnswerOverdue      Cause = "endpoint's answer overdue"
+	EngineLeft         Cause = "engine left"
+	EndpointCrashed    Cause = "endpoint crashed during the request"
+	RequestQuarantined Cause = "request quarantined"
+	ConnectionBroke    Cause = "connection to the endpoint broke"
+	CopyLost           Cause = "engine with the copy unreachable"
+	BudgetSpent        Cause = "retry budget spent"
+	CallerDisconnected Cause = "caller disconnected"
+	DeadlineExceeded   Cause = "deadline exceeded"
 	BoxCrashed         Cause = "box ended during the request"
-	SlowFirst          Cause = "its first event or answer was late"
-	PauseAtSeam        Cause = "a pause where it went on at another engine"
-	PauseAtEngine      Cause = "a pause at its engine" // preempted, or beside long prompts
-	RefusedByGateway   Cause = "the box refused it"
+	SlowFirst          Cause = "first event or answer late"
+	PauseAtSeam        Cause = "pause while moving to another engine"
+	PauseAtEngine      Cause = "pause at the engine" // it preempted the run or processed long prompts
+	RefusedByGateway   Cause = "refused by the box"
 )
 
-// noConfiguration is what a box says that knows no configuration.
+// noConfiguration is the reason in a box's log line for a request before its configuration.
 const noConfiguration = "no configuration is known yet"
 
-// request is what the lines of one attempt say.
+// request collects the log lines of one request ID.
 type request struct {
 	id              string
 	route           string
 	customer        string
 	rank            int
 	firstSeen       time.Time
-	endpoint        string // the last one
+	endpoint        string // the current one
 	placed          bool
-	moveStarted     bool // its move had begun or failed
-	continued       bool // it went on elsewhere
+	moveStarted     bool // a move was started or has failed
+	continued       bool // the run went on at another engine
 	answerOverdue   bool
-	endpointCrashed bool            // the endpoint of its last send ended
-	seams           map[string]bool // the events after which it went on elsewhere
-	outcome         *Line
+	endpointCrashed bool            // the endpoint of the last send crashed
+	seams           map[string]bool // IDs of the events after which the run went on elsewhere
+	outcome         *Line           // the line that ended the request; nil if there is none
 }
 
-// addLine adds a line to what is known of the request.
+// addLine updates the request with a line.
 func (r *request) addLine(l Line) {
 	if r.firstSeen.IsZero() {
 		r.firstSeen = l.At
@@ -98,17 +98,17 @@
 	}
 }
 
-// Loss is one request that ended without its answer, or late.
+// Loss is a request that ended without its answer, or with a late one.
 type Loss struct {
 	Request string
 	Route   string
 	Moment  Moment
 	Cause   Cause
-	Late    bool // its answer came all the same
+	Late    bool // the answer was complete, but late
 }
 
-// loss tells whether the request was lost; an end that was never logged is the
-// box's own.
+// loss returns the request's loss, if any. A placed request without a final line was lost
+// with its box.
 func (r *request) loss(engineLeft func(endpoint string) bool) (Loss, bool) {
 	l := Loss{
 		Request: r.id,
@@ -123,7 +123,7 @@
 		return r.lossOfAnswered(l)
 	case r.outcome.Event == "refused":
 		l.Moment, l.Cause = BeforeSend, r.refusalCause()
-		// A key or a route that isn't there is the caller's affair.
+		// An unknown key or route is the caller's error.
 		return l, r.outcome.Status >= http.StatusInternalServerError
 	case r.outcome.Event == "caller left":
 		l.Moment, l.Cause = r.lossMoment(), CallerDisconnected
@@ -136,6 +136,7 @@
 	return l, true
 }
 
+// lossMoment returns the phase that the request was in when it ended.
 func (r *request) lossMoment() Moment {
 	switch {
 	case !r.placed:
@@ -150,6 +151,7 @@
 	return AwaitingFirst
 }
 
+// refusalCause converts the reason of a request that a box refused.
 func (r *request) refusalCause() Cause {
 	switch r.outcome.EndReason {
 	case noConfiguration:
@@ -160,7 +162,7 @@
 	return RefusedByGateway
 }
 
-// failureCause translates the reason of a request that was cut or given up.
+// failureCause converts the reason of a request that was cut or given up.
 func (r *request) failureCause(engineLeft func(endpoint string) bool) Cause {
 	switch core.Reason(r.outcome.EndReason) {
 	case core.ReasonNoEndpoint:
@@ -190,7 +192,7 @@
 	return ConnectionBroke
 }
 
-// lossOfAnswered tells whether an answer that came was late or a failure, and for what.
+// lossOfAnswered returns the loss of an answered request, if it failed or was late.
 func (r *request) lossOfAnswered(l Loss) (Loss, bool) {
 	if r.outcome.Status >= http.StatusInternalServerError {
 		l.Moment, l.Cause = AwaitingFirst, EndpointFailed
@@ -210,6 +212,6 @@
 	return l, true
 }
 
-// minStutter is a pause between events that a reader notices, above what a busy
-// engine needs between two events.
+// minStutter is the shortest pause between events that readers notice, well above an
+// engine's usual time between events.
 const minStutter = 150 * time.Millisecond
--- a/losses/stream_stats.go
+++ b/losses/stream_stats.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// streamHistograms gathers what the callers of one kind felt.
+// streamHistograms collects the latencies of the streams of a route, customer or rank.
 type streamHistograms struct {
 	firstEvent *hdrhistogram.Histogram
 	pause      *hdrhistogram.Histogram
@@ -23,7 +23,7 @@
 	}
 }
 
-// addStream counts a stream for its route, its customer and its rank.
+// addStream adds a stream to the statistics of its route, its customer and its rank.
 func (c *counter) addStream(q *request) {
 	for _, one := range []struct {
 		all  map[string]*streamHistograms
@@ -42,6 +42,7 @@
 	}
 }
 
+// add adds one stream. A long pause counts as a stutter unless the run was moved then.
 func (f *streamHistograms) add(q *request) {
 	record(f.firstEvent, q.outcome.FirstEvent)
 	record(f.pause, q.outcome.LongestPause)
@@ -50,11 +51,12 @@
 	}
 }
 
-// record takes a time; one beyond the range counts as its end.
+// record adds a duration, limited to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxMillis))
 }
 
+// streamStats returns the statistics of all streams, sorted by name.
 func streamStats(all map[string]*streamHistograms) []StreamStats {
 	var out []StreamStats
 	for name, f := range all {
