--- a/engine/completions/doc.go
+++ b/engine/completions/doc.go
@@ -1,4 +1,4 @@
-// Package completions is the worker for engines that speak the completions API
-// with server-sent events, extended by priority, generation id, resume, cancel,
-// load reports, cache events and fenced orders.
+// Package completions is a worker for engines with a completions API that streams
+// server-sent events. The API is extended by priorities, generation IDs, resuming and
+// cancelling, load reports, cache events and fenced orders.
 package completions
--- a/engine/completions/stream.go
+++ b/engine/completions/stream.go
@@ -17,10 +17,10 @@
 	"dillsaddle.example/dillsaddle/events"
 )
 
-// incarnationHeader names the life of the endpoint that answers.
+// incarnationHeader holds the incarnation of the endpoint that answers.
 const incarnationHeader = "Engine-Incarnation"
 
-// slabSize is how much token data is kept in one allocation.
+// slabSize is the allocation size for token data.
 const slabSize = 16 << 10
 
 var (
@@ -41,9 +41,10 @@
 	done     bool
 }
 
-// errStop stops reading.
-var errStop = errors.New("nothing more is wanted")
+// errStop ends the reading of a stream.
+var errStop = errors.New("stream reading stopped")
 
+// readStream sends the messages of a response to the sink.
 func readStream(ctx context.Context, endpoint string, resp *protocol.Response, sink chan<- engine.Message) {
 	incarnation, _ := strconv.ParseUint(string(resp.Header.Peek(incarnationHeader)), 10, 64)
 	r := &streamReader{
@@ -57,6 +58,7 @@
 	r.finish(events.Each(ctx, resp, r.handleEvent))
 }
 
+// send sends a message, and returns false if the context is done.
 func (r *streamReader) send(m engine.Message) bool {
 	select {
 	case r.sink <- m:
@@ -66,6 +68,7 @@
 	}
 }
 
+// handleEvent handles one server-sent event.
 func (r *streamReader) handleEvent(e *sse.Event) error {
 	if bytes.Equal(e.Data, doneMark) {
 		r.done = true
@@ -77,7 +80,7 @@
 	}
 	offset, ok := r.parseID(e.ID)
 	if !ok {
-		return errors.Errorf("endpoint sent an event id that can't be read: %.40q", e.ID)
+		return errors.Errorf("endpoint sent an invalid event ID: %.40q", e.ID)
 	}
 	data := r.copyData(e.Data)
 	if isFinal(data) {
@@ -98,14 +101,14 @@
 	return nil
 }
 
-// isFinal reports whether an event gives a reason for the end. The mark can't
-// stand inside a text, where its quotes would be escaped.
+// isFinal reports whether an event has a finish reason. The mark can't occur within a JSON
+// string, in which its quotes would be escaped.
 func isFinal(data []byte) bool {
 	_, after, found := bytes.Cut(data, finishedMark)
 	return found && !bytes.HasPrefix(bytes.TrimLeft(after, " "), nullMark)
 }
 
-// copyData copies an event's data, which the library reuses, into a slab.
+// copyData copies an event's data, which the SSE library reuses, into a slab.
 func (r *streamReader) copyData(data []byte) []byte {
 	if len(data) > cap(r.slab)-len(r.slab) {
 		r.slab = make([]byte, 0, max(slabSize, len(data)))
@@ -115,7 +118,7 @@
 	return r.slab[start:len(r.slab):len(r.slab)]
 }
 
-// parseID reads "incarnation/generation/offset".
+// parseID parses an event ID, "incarnation/generation/offset", and returns the offset.
 func (r *streamReader) parseID(id string) (uint64, bool) {
 	at := strings.LastIndexByte(id, '/')
 	if at < 0 {
@@ -150,6 +153,7 @@
 	Preempted int `json:"preempted"`
 }
 
+// handleUsage adds the token counts to the final message.
 func (r *streamReader) handleUsage(data []byte) {
 	var u usageEvent
 	if r.final == nil || json.Unmarshal(data, &u) != nil || u.Usage == nil {
@@ -162,6 +166,7 @@
 	}
 }
 
+// finish sends the final message, or Lost if the stream ended early.
 func (r *streamReader) finish(err error) {
 	if r.final != nil && r.done {
 		r.send(*r.final)
--- a/engine/completions/worker.go
+++ b/engine/completions/worker.go
@@ -19,14 +19,14 @@
 	"dillsaddle.example/dillsaddle/engine"
 )
 
-// maxConnections bounds the streams to one endpoint.
+// maxConnections bounds the concurrent streams to one endpoint.
 const maxConnections = 65536
 
-// maxStreamTime bounds one read of a stream, so that a worker whose endpoint
-// stalls for ever is given back.
+// maxStreamTime bounds one read of a stream, so that a stalled endpoint doesn't block a
+// worker for good.
 const maxStreamTime = time.Hour
 
-// Worker speaks the completions API.
+// Worker is a client of the completions API.
 type Worker struct {
 	streams *client.Client
 	calls   *client.Client
@@ -34,7 +34,7 @@
 
 var _ engine.Worker = (*Worker)(nil)
 
-// New builds a worker.
+// New returns a Worker.
 func New() (*Worker, error) {
 	streams, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
@@ -63,7 +63,7 @@
 
 func baseURL(address netip.AddrPort) string { return "http://" + address.String() }
 
-// Start sends a request and tells what comes back.
+// Start sends a request and reports the response to the sink.
 func (w *Worker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
 	body, err := requestBody(c)
 	if err != nil {
@@ -81,7 +81,7 @@
 	req.Header.SetContentTypeBytes([]byte("application/json"))
 	req.SetBody(body)
 	if !c.LeaseEnd.IsZero() && time.Now().After(c.LeaseEnd) {
-		sink <- engine.Unsent{Cause: errors.New("the lease ended before the send")}
+		sink <- engine.Unsent{Cause: errors.New("lease expired before the request was sent")}
 		return
 	}
 	if err := w.streams.Do(ctx, req, resp); err != nil {
@@ -95,12 +95,12 @@
 	readStream(ctx, c.Endpoint, resp, sink)
 }
 
-// requestBody adds what the protocol needs to the caller's JSON, whose other fields
-// pass unchanged.
+// requestBody adds the protocol's fields to the caller's JSON and leaves its other fields
+// unchanged.
 func requestBody(c engine.Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &fields); err != nil {
-		return nil, errors.Wrap(err, "read the caller's body")
+		return nil, errors.Wrap(err, "decode the caller's body")
 	}
 	fields["generation_id"] = json.RawMessage(strconv.Quote(c.Generation))
 	fields["priority"] = json.RawMessage(strconv.Itoa(c.Priority))
@@ -109,7 +109,7 @@
 	return json.Marshal(fields)
 }
 
-// sendFailure tells a dial that failed, with no byte sent, from everything else.
+// sendFailure returns Unsent for a failed dial, after which no byte was sent, and else Lost.
 func sendFailure(err error) engine.Message {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -118,9 +118,9 @@
 	return engine.Lost{Cause: err}
 }
 
-// statusMessage tells an answer that means "not started" from one that may come
-// later: an engine checks a request before it starts it and answers 4xx or
-// 503; any other status may come from a started one.
+// statusMessage converts a response without status 200. An engine validates a request before
+// it starts it, and refuses it with 4xx or 503. With any other status, the request may have
+// been started, so the attempt counts as lost.
 func statusMessage(resp *protocol.Response) engine.Message {
 	status := resp.StatusCode()
 	text := string(resp.Body())
@@ -133,13 +133,14 @@
 	return engine.Lost{Cause: errors.Errorf("endpoint answered %d", status)}
 }
 
+// release closes the response and returns both objects to their pools.
 func release(req *protocol.Request, resp *protocol.Response) {
 	_ = resp.CloseBodyStream()
 	protocol.ReleaseRequest(req)
 	protocol.ReleaseResponse(resp)
 }
 
-// Resume reads a generation again from an offset.
+// Resume continues reading a generation at an offset.
 func (w *Worker) Resume(ctx context.Context, c engine.ResumeCall, sink chan<- engine.Message) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
@@ -160,6 +161,7 @@
 	}
 }
 
+// call sends a request and returns the status and the body of the response.
 func (w *Worker) call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
@@ -178,7 +180,7 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
 
-// Cancel ends a generation at its endpoint.
+// Cancel cancels a generation at its endpoint.
 func (w *Worker) Cancel(ctx context.Context, address netip.AddrPort, generation string, onlyIdle bool) error {
 	url := baseURL(address) + "/v1/generations/" + generation + "?idle=" + strconv.FormatBool(onlyIdle)
 	status, _, err := w.call(ctx, http.MethodDelete, url, nil)
@@ -209,7 +211,7 @@
 	}
 	var r loadReport
 	if err := json.Unmarshal(body, &r); err != nil || status != http.StatusOK {
-		return engine.Load{}, errors.Errorf("endpoint answered %d and no load report", status)
+		return engine.Load{}, errors.Errorf("endpoint answered %d without a valid load report", status)
 	}
 	return engine.Load{
 		Incarnation:  core.Incarnation(r.Incarnation),
@@ -228,7 +230,7 @@
 	Dropped  bool   `json:"dropped"`
 }
 
-// CacheEvents reads the cache events after a number; some may be missing.
+// CacheEvents reads the cache events after a sequence number. Events may be missing.
 func (w *Worker) CacheEvents(ctx context.Context, address netip.AddrPort, after int) ([]engine.CacheEvent, error) {
 	status, body, err := w.call(ctx, http.MethodGet, baseURL(address)+"/v1/cache-events?after="+strconv.Itoa(after), nil)
 	if err != nil {
@@ -236,7 +238,7 @@
 	}
 	var all []cacheEvent
 	if err := json.Unmarshal(body, &all); err != nil || status != http.StatusOK {
-		return nil, errors.Errorf("endpoint answered %d and no cache events", status)
+		return nil, errors.Errorf("endpoint answered %d without valid cache events", status)
 	}
 	events := make([]engine.CacheEvent, 0, len(all))
 	for _, e := range all {
@@ -255,7 +257,7 @@
 func (w *Worker) Order(ctx context.Context, address netip.AddrPort, o engine.Order) error {
 	body, err := json.Marshal(orderBody(o))
 	if err != nil {
-		return errors.Wrap(err, "write an order")
+		return errors.Wrap(err, "encode an order")
 	}
 	status, text, err := w.call(ctx, http.MethodPost, baseURL(address)+"/v1/orders", body)
 	if err != nil {
--- a/engine/completions/worker_test.go
+++ b/engine/completions/worker_test.go
@@ -16,6 +16,7 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
+// startEngine starts a stand-in engine and returns its address.
 func startEngine(cache standin.CacheEventRules) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -44,7 +45,7 @@
 	return address
 }
 
-// generate sends a request and gives what the worker told of it.
+// generate sends a request and returns the worker's messages.
 func generate(w engine.Worker, address netip.AddrPort, n int) []engine.Message {
 	sink := make(chan engine.Message, 64)
 	engine.WithPanicRecovery(w, func(any, []byte) {}).Start(context.Background(), engine.Call{
@@ -63,7 +64,7 @@
 }
 
 var _ = Describe("a worker of the completions API", func() {
-	It("tells a generation from its opening to its end, each token once", func() {
+	It("reports a generation from start to end, each token once", func() {
 		w, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		all := generate(w, startEngine(standin.CacheEventRules{}), 1)
@@ -76,9 +77,9 @@
 		Expect(all[len(all)-1].(engine.Finished).Offset).To(Equal(next))
 	})
 
-	// The stand-in forgot a generation that had ended while its stream still was
-	// being written: on a busy machine, CI lost a stream's end so, once.
-	It("gets a stream whole that the endpoint writes late", func() {
+	// Guards against a stand-in that forgets a finished generation while its stream is
+	// still being written.
+	It("reads a delayed stream completely", func() {
 		w, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		address := startEngine(standin.CacheEventRules{})
@@ -89,7 +90,7 @@
 		Expect(all[len(all)-1]).To(BeAssignableToTypeOf(engine.Finished{}))
 	})
 
-	It("reads cache events that come late and with gaps", func() {
+	It("reads cache events that are late or missing", func() {
 		w, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
 		address := startEngine(standin.CacheEventRules{HeldBack: 1, DropEvery: 3})
@@ -102,6 +103,6 @@
 		for _, e := range events {
 			numbers = append(numbers, e.Sequence)
 		}
-		Expect(numbers).To(Equal([]int{2, 4, 5}), "3 is never told, 6 not yet, 1 was asked behind")
+		Expect(numbers).To(Equal([]int{2, 4, 5}), "3 is dropped, 6 is delayed, 1 is before the requested range")
 	})
 })
--- a/engine/crash_prober.go
+++ b/engine/crash_prober.go
@@ -11,30 +11,28 @@
 )
 
 const (
-	// probeTimeout bounds the question whether an endpoint is there: a process that ended
-	// leaves a closed port, which answers within a round trip.
+	// probeTimeout bounds a connection attempt. A crashed process leaves a closed port, which
+	// refuses within a round trip.
 	probeTimeout = 300 * time.Millisecond
-	// minOpenTime is how long an endpoint that is there leaves a new connection open at least;
-	// what forwards to one that ended takes a connection and closes it at once.
+	// minOpenTime is how long a running endpoint keeps a new connection open at least. A
+	// forwarder of a crashed one accepts a connection and closes it at once.
 	minOpenTime = 30 * time.Millisecond
-	// probeReuse is how long one question stands for all requests that broke off at an
-	// endpoint; they notice it within some milliseconds of each other.
+	// probeReuse is how long a probe's result is shared by the requests that failed at an
+	// endpoint, which notice the failure almost simultaneously.
 	probeReuse = 20 * time.Millisecond
-	// recheckDelay is after how long an endpoint whose port isn't closed is asked again: one
-	// that is crowded gives other answers meanwhile. Without it, up to 19 requests a day
-	// counted ends that were none with twelve times the callers (8 days; none of 12 with it).
+	// recheckDelay is the time until an endpoint is probed again after an unclear result: an
+	// overloaded endpoint sends other responses meanwhile.
 	recheckDelay = 400 * time.Millisecond
-	// CrashProbeWait bounds how long a request that broke off waits for the word that its
-	// endpoint ended, before it is answered or sent again; a closed port gives it at once.
+	// CrashProbeWait bounds how long a failed request waits for the probe of its endpoint
+	// before it is answered or retried. Most probes of a closed port are faster.
 	CrashProbeWait = 60 * time.Millisecond
 )
 
-// PortState is what an endpoint's port says of whether it is there.
+// PortState is the result of a connection attempt to an endpoint's port.
 type PortState string
 
-// The presences. A closed port is that of a process that ended. Connections that are closed
-// or not answered may also be those of an endpoint that is crowded or cut off, or of what
-// forwards to one.
+// Port states. A refused connection means that the process has ended. A dropped connection
+// or a timeout may also come from an overloaded or unreachable endpoint or from a forwarder.
 const (
 	PortOpen             PortState = "present"
 	PortRefused          PortState = "refuses connections"
@@ -42,25 +40,27 @@
 	PortSilent           PortState = "silent"
 )
 
-// CrashProber finds out whether endpoints are there, by asking each once for all requests
-// that broke off there together.
+// CrashProber finds out whether endpoints have crashed. Requests that fail at an endpoint
+// at the same time share one probe.
 type CrashProber struct {
 	mu     sync.Mutex
 	probes map[string]*probe
 }
 
+// probe is a connection attempt to an endpoint.
 type probe struct {
 	startedAt time.Time
 	done      chan struct{}
 	state     PortState // set before done is closed
 }
 
-// NewCrashProber builds one that has asked nobody.
+// NewCrashProber returns a CrashProber.
 func NewCrashProber() *CrashProber { return &CrashProber{probes: make(map[string]*probe)} }
 
-// Crashed tells whether an endpoint, by its incarnation and address, has ended, and by what
-// sign. A connection that broke off says little: resets, faulty answers and links do it
-// too. HeardSince tells whether anything came from the endpoint after a time.
+// Crashed reports whether an endpoint, given by its incarnation and address, has crashed, and
+// the port state that shows it. A broken connection alone is no proof: resets, invalid
+// responses and network faults break connections too. HeardSince reports whether anything
+// was received from the endpoint since a time.
 func (p *CrashProber) Crashed(endpoint string, address netip.AddrPort, heardSince func(time.Time) bool) (PortState, bool) {
 	start := time.Now()
 	state := p.probePort(start, endpoint, address)
@@ -74,13 +74,14 @@
 	return state, state != PortOpen
 }
 
-// probePort asks for a connection.
+// probePort returns the state of an endpoint's port.
 func (p *CrashProber) probePort(now time.Time, endpoint string, address netip.AddrPort) PortState {
 	q := p.probe(now, endpoint, address)
 	<-q.done
 	return q.state
 }
 
+// probe returns the endpoint's recent probe, or starts one.
 func (p *CrashProber) probe(now time.Time, endpoint string, address netip.AddrPort) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,6 +102,7 @@
 	return q
 }
 
+// run connects to the endpoint and records the state of its port.
 func (q *probe) run(address netip.AddrPort) {
 	defer close(q.done)
 	c, err := net.DialTimeout("tcp", address.String(), probeTimeout)
@@ -120,7 +122,7 @@
 	}
 }
 
-// TimedOut tells whether something failed because its time was over.
+// TimedOut reports whether an error is a timeout.
 func TimedOut(err error) bool {
 	var n net.Error
 	return errors.Is(err, os.ErrDeadlineExceeded) || (errors.As(err, &n) && n.Timeout())
--- a/engine/guard.go
+++ b/engine/guard.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// PanicHandler is called with what a worker's panic said and where it was.
+// PanicHandler is called with the value and the stack of a worker's panic.
 type PanicHandler func(fault any, stack []byte)
 
-// WithPanicRecovery keeps a panic in a worker to the attempt in which it happened: the
-// attempt counts as lost, since its bytes may have left.
+// WithPanicRecovery wraps a worker so that a panic fails only the attempt in which it
+// happens. The attempt counts as lost, since the request may have been sent.
 func WithPanicRecovery(w Worker, onPanic PanicHandler) Worker {
 	return &recoveringWorker{
 		worker:  w,
@@ -25,14 +25,14 @@
 	onPanic PanicHandler
 }
 
-// recoverError turns a panic into an error; it must be deferred.
+// recoverError turns a panic into an error. It must be deferred.
 func (g *recoveringWorker) recoverError(err *error) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
 	g.onPanic(fault, debug.Stack())
-	*err = errors.Errorf("the worker panicked: %v; see the log and report it", fault)
+	*err = errors.Errorf("worker panicked: %v; please report it with the stack in the log", fault)
 }
 
 // Start sends a request through the worker.
@@ -45,6 +45,7 @@
 	g.runAttempt(ctx, sink, func() { g.worker.Resume(ctx, c, sink) })
 }
 
+// runAttempt calls do, reports its panic as a Lost message and closes the sink.
 func (g *recoveringWorker) runAttempt(ctx context.Context, sink chan<- Message, do func()) {
 	defer close(sink)
 	var err error
--- a/engine/message.go
+++ b/engine/message.go
@@ -8,14 +8,14 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Message is one thing that a worker tells of an attempt.
+// Message is an event of an attempt, as a worker reports it.
 type Message interface{ isMessage() }
 
 type message struct{}
 
 func (message) isMessage() {}
 
-// Opened tells that the endpoint took the request and names its life.
+// Opened reports that the endpoint accepted the request, and the endpoint's incarnation.
 type Opened struct {
 	message
 	Incarnation core.Incarnation
@@ -29,7 +29,7 @@
 	Data   []byte
 }
 
-// Finished is the end of a whole generation.
+// Finished is the end of a complete generation.
 type Finished struct {
 	message
 	Origin core.Origin
@@ -38,36 +38,36 @@
 	Usage  Usage
 }
 
-// Usage is the endpoint's count of a whole generation.
+// Usage is the endpoint's token count of a complete generation.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
 	Preempted        int
 }
 
-// Refused tells that the endpoint refused before it started anything.
+// Refused reports that the endpoint refused the request before starting it.
 type Refused struct {
 	message
 	Status int
 	Text   string
 }
 
-// Unsent tells that no byte of the request left.
+// Unsent reports that no byte of the request was sent.
 type Unsent struct {
 	message
 	Cause error
 }
 
-// Lost tells that the link ended before the generation did.
+// Lost reports that the connection ended before the generation did.
 type Lost struct {
 	message
 	Cause error
 }
 
-// Gone tells that the endpoint doesn't know the generation any more.
+// Gone reports that the endpoint no longer has the generation.
 type Gone struct{ message }
 
-// Call is one request as it is sent to an endpoint.
+// Call is a request to an endpoint.
 type Call struct {
 	Address    netip.AddrPort
 	Endpoint   string
@@ -89,7 +89,7 @@
 	Response time.Duration
 }
 
-// Load is an endpoint's own report of its load; it lags.
+// Load is an endpoint's load report. It lags behind the actual load.
 type Load struct {
 	Incarnation  core.Incarnation
 	Running      int
@@ -100,23 +100,23 @@
 	Preempted    int
 }
 
-// CacheEvent tells that an endpoint kept or dropped a prompt prefix.
+// CacheEvent reports that an endpoint cached or dropped a prompt prefix.
 type CacheEvent struct {
 	Sequence int
 	Prefix   uint64
 	Dropped  bool
 }
 
-// Order is a fenced order to an endpoint.
+// Order is an order to an endpoint, with a fence that rejects orders of former owners.
 type Order struct {
 	Fence   core.Fence
 	Action  string
 	Subject string
 }
 
-// Worker speaks one engine protocol. Start and Resume tell what happens and
-// return when the attempt ends or the context does; Guard closes the sink then.
-// Cancel with onlyIdle leaves a generation that somebody reads.
+// Worker speaks an engine protocol. Start and Resume send messages to the sink and return
+// when the attempt ends or the context is done; WithPanicRecovery then closes the sink.
+// Cancel with onlyIdle leaves a generation running if it has a reader.
 type Worker interface {
 	Start(ctx context.Context, c Call, sink chan<- Message)
 	Resume(ctx context.Context, c ResumeCall, sink chan<- Message)
