--- a/box/status.go
+++ b/box/status.go
@@ -58,7 +58,7 @@
 type Peer struct {
 	Box     string `json:"box"`
 	Zone    string `json:"zone"`
-	Silence string `json:"silence"` // time since the last sign of life
+	Silence string `json:"silence"` // time since it was last heard from
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
--- a/engine/crash_prober.go
+++ b/engine/crash_prober.go
@@ -24,7 +24,7 @@
 	// overloaded endpoint sends other responses meanwhile.
 	recheckDelay = 400 * time.Millisecond
 	// CrashProbeWait bounds how long a failed request waits for the probe of its endpoint
-	// before it is answered or retried. Most probes of a closed port are faster.
+	// before it is answered or retried. A closed port is detected within a round trip.
 	CrashProbeWait = 60 * time.Millisecond
 )
 
--- a/engine/message.go
+++ b/engine/message.go
@@ -77,7 +77,7 @@
 	Priority   int
 	MaxTokens  int
 	Body       []byte // the caller's JSON
-	LeaseEnd   time.Time
+	LeaseEnd   time.Time // the request must not be sent later; zero for no limit
 }
 
 // ResumeCall continues a generation from an offset.
--- a/losses/report.go
+++ b/losses/report.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Read reads a whole log.
+// Read reads a log to its end.
 func (r *Reader) Read(from io.Reader) error {
 	lines, skipped, err := read(from, r.addLine)
 	if r.skipped.Count == 0 {
