--- a/engine/message.go
+++ b/engine/message.go
@@ -76,7 +76,7 @@
 	Model      string
 	Priority   int
 	MaxTokens  int
-	Body       []byte // the caller's JSON
+	Body       []byte    // the caller's JSON
 	LeaseEnd   time.Time // the request must not be sent later; zero for no limit
 }
 
