--- a/losses/placement.go
+++ b/losses/placement.go
@@ -70,6 +70,7 @@
 	lastUsed     map[string]time.Time       // start of the last run by engine
 }
 
+// apply starts, continues or ends a run.
 func (r *runTracker) apply(s runStep) {
 	if was, known := r.at[s.request]; known {
 		delete(r.runsByEngine[was], s.request)
--- a/losses/report.go
+++ b/losses/report.go
@@ -86,6 +86,7 @@
 	return err
 }
 
+// addLine adds a line to its request, or records that an endpoint left.
 func (r *Reader) addLine(l Line) {
 	if l.Request == "" {
 		if l.Event == "endpoint leaving" || l.Event == "endpoint gone" {
@@ -154,6 +155,8 @@
 	ranks     map[string]*streamHistograms
 }
 
+// count adds a request to the totals and the stream statistics and, if it was lost or late,
+// to the rows.
 func (c *counter) count(q *request, hasLeft func(string) bool) {
 	t := c.totals[q.route]
 	if t == nil {
