--- a/box/crash_test.go
+++ b/box/crash_test.go
@@ -31,16 +31,16 @@
 	var unlisted map[string]bool
 	engines := 0
 	addEngine := func() {
-		s, err := d.Add(fmt.Sprintf("e-%d", engines), emulator.Model)
+		s, err := d.Add(fmt.Sprintf("e-%d", engines), emulator.ModelService)
 		Expect(err).NotTo(HaveOccurred())
-		s.Deadly = crashingPrompt
+		s.CrashBody = crashingPrompt
 		engines++
 	}
 	status := func(b *testBox) string { return b.get("/status") }
 	// replaceCrashed removes the entries of crashed engines, starts a new engine for each,
 	// and waits until all boxes have the new list.
 	replaceCrashed := func() {
-		for _, id := range d.Ended() {
+		for _, id := range d.Stopped() {
 			if !unlisted[id] {
 				unlisted[id] = true
 				d.Unlist(id)
@@ -59,8 +59,8 @@
 			Body:     body,
 			Deadline: 5 * time.Second,
 			Tokens: emulator.Tokens{
-				Prompt: 100,
-				Most:   50,
+				Prompt:    100,
+				MaxOutput: 50,
 			},
 		})
 	}
@@ -88,15 +88,15 @@
 				send(boxes[n%len(boxes)], path, fmt.Sprintf("repeat-%d", n), crashingPrompt)
 				replaceCrashed()
 			}
-			Expect(len(d.Ended())).To(BeNumerically("<=", maxCrashes), "engines crashed: %v", d.Ended())
+			Expect(len(d.Stopped())).To(BeNumerically("<=", maxCrashes), "engines crashed: %v", d.Stopped())
 			for i, b := range boxes {
 				id := fmt.Sprintf("late-%d", i)
 				Expect(send(b, path, id, crashingPrompt)).To(And(
 					HaveField("Status", http.StatusServiceUnavailable),
-					HaveField("RetryIn", Not(BeEmpty())),
+					HaveField("RetryAfter", Not(BeEmpty())),
 				))
 				Expect(d.Runs()).NotTo(HaveKey(id))
-				Expect(send(b, emulator.StreamPath, fmt.Sprintf("well-%d", i), "another prompt")).To(HaveField("Whole", true))
+				Expect(send(b, emulator.StreamPath, fmt.Sprintf("well-%d", i), "another prompt")).To(HaveField("IsComplete", true))
 				var shown bytes.Buffer
 				Expect(commands.Run([]string{"status", b.statusAddr}, &shown)).To(BeZero())
 				Expect(shown.String()).To(MatchRegexp(`REQUEST KEPT FROM ENDPOINTS.*\n[0-9a-f]{32} .*e-`))
--- a/box/era_test.go
+++ b/box/era_test.go
@@ -25,7 +25,7 @@
 	var d *emulator.Deployment
 	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id string) *emulator.Server { return addServer(d, id, emulator.Plain) }
+	add := func(id string) *emulator.Server { return addServer(d, id, emulator.PlainService) }
 	start := func() { boxes = startReadyBoxes(d, 3) }
 	// waitForLists waits until all boxes have the store's last change.
 	waitForLists := func() {
@@ -35,11 +35,11 @@
 		}
 	}
 	// restoreFrom makes the store unreachable for a moment and restores it from a copy.
-	restoreFrom := func(c *emulator.StoreCopy) {
+	restoreFrom := func(c *emulator.StoreSnapshot) {
 		d.Store.SetFault(emulator.StoreReset, 0)
 		time.Sleep(300 * time.Millisecond)
-		d.Store.Return(c)
-		d.Store.SetFault(emulator.StoreWell, 0)
+		d.Store.Restore(c)
+		d.Store.SetFault(emulator.StoreNoFault, 0)
 	}
 	// writeUnrelated writes entries that boxes ignore, to raise the store's revision.
 	writeUnrelated := func(entries int) {
@@ -57,7 +57,7 @@
 		add("i-1")
 		start()
 		waitForLists()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		writeUnrelated(30)
 		add("i-2")
 		waitForLists()
@@ -73,7 +73,7 @@
 	It("keep using endpoints that the copy lacks until they write their entries again", func() {
 		add("i-1")
 		start()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		s := add("i-2")
 		waitForLists()
 		restoreFrom(copied)
@@ -81,7 +81,7 @@
 		for time.Since(begin) < restoreGrace-800*time.Millisecond {
 			Expect(requestsTo(s)).To(BeNumerically(">", 0))
 		}
-		d.List(s, emulator.Plain, "ready")
+		d.List(s, emulator.PlainService, "ready")
 		time.Sleep(restoreGrace)
 		Expect(requestsTo(s)).To(BeNumerically(">", 0))
 	})
@@ -89,7 +89,7 @@
 	It("drop endpoints that the copy lacks and that don't write their entries again", func() {
 		add("i-1")
 		start()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		s := add("i-2")
 		waitForLists()
 		restoreFrom(copied)
@@ -102,8 +102,8 @@
 		leaving, gone := add("i-leaving"), add("i-gone")
 		start()
 		waitForLists()
-		copied := d.Store.Copy()
-		d.List(leaving, emulator.Plain, "draining")
+		copied := d.Store.Snapshot()
+		d.List(leaving, emulator.PlainService, "draining")
 		d.Unlist("i-gone")
 		waitForLists()
 		restoreFrom(copied)
@@ -114,11 +114,11 @@
 
 	It("keep a zone drained that the copy lists as not drained, until the operator ends the drain", func() {
 		add("i-1").WorkTime = 300 * time.Millisecond // too slow to serve all requests alone
-		far, err := d.AddIn("zone-b", "i-far", emulator.Plain)
+		far, err := d.AddIn("zone-b", "i-far", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 		start()
 		waitForLists()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		d.Drain("zone-b")
 		waitForLists()
 		restoreFrom(copied)
@@ -126,7 +126,7 @@
 		d.Drain("zone-b")
 		time.Sleep(restoreGrace + propagationTime)
 		Expect(requestsTo(far)).To(BeZero())
-		d.TakeBack("zone-b")
+		d.EndDrain("zone-b")
 		time.Sleep(propagationTime)
 		Eventually(func() int { return requestsTo(far) }).WithTimeout(waitTimeout).Should(BeNumerically(">", 0))
 	})
@@ -134,7 +134,7 @@
 	It("keep the newer configuration, and apply the next one that is published", func() {
 		add("i-1")
 		start()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		document := emulator.NewDocument(7)
 		document.Tenants = document.Tenants[1:]
 		d.Publish(document)
@@ -156,11 +156,11 @@
 		add("i-1")
 		start()
 		waitForLists()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		writeUnrelated(40)
 		restoreFrom(copied)
 		writeUnrelated(10)
-		copied = d.Store.Copy()
+		copied = d.Store.Snapshot()
 		add("i-2")
 		boxes = append(boxes, startBoxesWithSeed(d, boxes[0].settings.Peer, 1)...)
 		last := boxes[len(boxes)-1]
--- a/box/leaving_test.go
+++ b/box/leaving_test.go
@@ -29,12 +29,12 @@
 	}
 
 	It("gets no more requests, though the store lists it as ready", func() {
-		leaving, other := add("i-leaving", emulator.Plain), add("i-other", emulator.Plain)
+		leaving, other := add("i-leaving", emulator.PlainService), add("i-other", emulator.PlainService)
 		start()
 		runLoad(boxes, 300*time.Millisecond)
 		Expect(leaving.Runs()).NotTo(BeEmpty())
 		d.Store.SetFault(emulator.StoreSilent, 0)
-		leaving.Announce(emulator.Notice{Leaving: true})
+		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		runLoad(boxes, bound)
 		from := time.Now()
 		got := runLoad(boxes, 2*time.Second)
@@ -43,18 +43,18 @@
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 		Expect(other.Arrivals(from)).NotTo(BeEmpty())
 		By("the store recovers, with an entry written before")
-		d.Store.SetFault(emulator.StoreWell, 0)
-		d.List(leaving, emulator.Plain, "ready")
+		d.Store.SetFault(emulator.StoreNoFault, 0)
+		d.List(leaving, emulator.PlainService, "ready")
 		runLoad(boxes, 2*time.Second)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
 
 	It("gets none from a box that another box notified", func() {
-		leaving := add("i-leaving", emulator.Plain)
-		add("i-other", emulator.Plain)
+		leaving := add("i-leaving", emulator.PlainService)
+		add("i-other", emulator.PlainService)
 		start()
 		time.Sleep(time.Second) // boxes need a moment to form a group after they meet
-		leaving.Announce(emulator.Notice{Leaving: true})
+		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		runLoad(boxes[:1], time.Second)
 		from := time.Now()
 		runLoad(boxes[1:], 500*time.Millisecond)
@@ -62,10 +62,10 @@
 	})
 
 	It("gets no streams or load queries, and its running streams are moved", func() {
-		leaving, other := add("e-leaving", emulator.Model), add("e-other", emulator.Model)
+		leaving, other := add("e-leaving", emulator.ModelService), add("e-other", emulator.ModelService)
 		for _, s := range []*emulator.Server{leaving, other} {
 			s.Events = 60
-			s.EventGap = 50 * time.Millisecond
+			s.EventInterval = 50 * time.Millisecond
 		}
 		start()
 		stream := func(id string) emulator.Outcome {
@@ -75,8 +75,8 @@
 				Path:     emulator.StreamPath,
 				Deadline: 10 * time.Second,
 				Tokens: emulator.Tokens{
-					Prompt: 100,
-					Most:   200,
+					Prompt:    100,
+					MaxOutput: 200,
 				},
 			})
 		}
@@ -85,14 +85,14 @@
 			go func() { outcomes <- stream(fmt.Sprintf("before-%d", i)) }()
 		}
 		Eventually(func() int { return len(leaving.Runs()) }).WithTimeout(waitTimeout).Should(BeNumerically(">", 0))
-		leaving.Announce(emulator.Notice{Leaving: true})
+		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		time.Sleep(bound)
 		from := time.Now()
-		Expect(stream("after")).To(HaveField("Whole", true))
+		Expect(stream("after")).To(HaveField("IsComplete", true))
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 		for range cap(outcomes) {
-			Expect(<-outcomes).To(And(HaveField("Whole", true), HaveField("Fault", "")))
+			Expect(<-outcomes).To(And(HaveField("IsComplete", true), HaveField("Fault", "")))
 		}
-		Expect(leaving.Runs()).NotTo(ContainElement(HaveField("Ended", true)), "its streams are moved before they end")
+		Expect(leaving.Runs()).NotTo(ContainElement(HaveField("HasFinished", true)), "its streams are moved before they end")
 	})
 })
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -35,7 +35,7 @@
 	}
 	limit := func(perSecond float64, all ...*emulator.Server) {
 		for _, s := range all {
-			s.Announce(emulator.Notice{Limit: strconv.FormatFloat(perSecond, 'f', -1, 64)})
+			s.SetStatusHeaders(emulator.StatusHeaders{RateLimit: strconv.FormatFloat(perSecond, 'f', -1, 64)})
 		}
 	}
 	// maxArrivals is the most requests that an endpoint may get in a window by the platform's bound.
@@ -43,7 +43,7 @@
 
 	It("gets no more than that in any four seconds, while others serve the rest", func() {
 		const perSecond = 3.0
-		limited, other := add("i-strained", emulator.Plain), add("i-other", emulator.Plain)
+		limited, other := add("i-strained", emulator.PlainService), add("i-other", emulator.PlainService)
 		start()
 		limit(perSecond, limited)
 		runLoad(boxes, noticeTime)
@@ -52,21 +52,21 @@
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
 		arrivals := limited.Arrivals(from)
-		Expect(emulator.MostWithin(arrivals, window)).To(BeNumerically("<=", maxArrivals(perSecond)))
+		Expect(emulator.MaxArrivalsWithin(arrivals, window)).To(BeNumerically("<=", maxArrivals(perSecond)))
 		Expect(len(arrivals)).To(BeNumerically(">=", 9*perSecond/2), "its capacity is used")
 		Expect(len(other.Arrivals(from))).To(BeNumerically(">", len(arrivals)))
 	})
 
 	It("serves up to its limit when all endpoints have one; other requests are refused at once as not run", func() {
 		const perSecond = 2.5
-		limited := add("i-strained", emulator.Plain)
+		limited := add("i-strained", emulator.PlainService)
 		start()
 		limit(perSecond, limited)
 		runLoad(boxes, noticeTime)
 		from := time.Now()
 		got := runLoad(boxes, 9*time.Second)
 		arrivals := limited.Arrivals(from)
-		Expect(emulator.MostWithin(arrivals, window)).To(BeNumerically("<=", maxArrivals(perSecond)))
+		Expect(emulator.MaxArrivalsWithin(arrivals, window)).To(BeNumerically("<=", maxArrivals(perSecond)))
 		Expect(got[http.StatusOK]).To(BeNumerically(">=", 9*perSecond/2))
 		Expect(got[http.StatusServiceUnavailable]).To(BeNumerically(">", got[http.StatusOK]))
 		Expect(got).To(HaveLen(2))
@@ -77,11 +77,11 @@
 	})
 
 	It("gets unlimited requests again once it announces no limit", func() {
-		limited := add("i-strained", emulator.Plain)
+		limited := add("i-strained", emulator.PlainService)
 		start()
 		limit(1, limited)
 		runLoad(boxes, 2*time.Second)
-		limited.Announce(emulator.Notice{})
+		limited.SetStatusHeaders(emulator.StatusHeaders{})
 		Eventually(func() map[int]int { return runLoad(boxes, time.Second) }).WithTimeout(waitTimeout).Should(And(
 			HaveLen(1),
 			HaveKey(http.StatusOK),
@@ -92,12 +92,12 @@
 		const perSecond = 2.0
 		var engines []*emulator.Server
 		for i := range 2 {
-			engines = append(engines, add(fmt.Sprintf("e-%d", i), emulator.Model))
+			engines = append(engines, add(fmt.Sprintf("e-%d", i), emulator.ModelService))
 		}
-		plain := add("i-fails", emulator.Plain)
-		plain.SetFault(emulator.Fails, -1)
-		other := add("i-fails-too", emulator.Plain)
-		other.SetFault(emulator.Fails, -1)
+		plain := add("i-fails", emulator.PlainService)
+		plain.SetFault(emulator.InternalError, -1)
+		other := add("i-fails-too", emulator.PlainService)
+		other.SetFault(emulator.InternalError, -1)
 		start()
 		limit(perSecond, append(engines, plain, other)...)
 		send := func(lasts time.Duration) {
@@ -113,8 +113,8 @@
 								Path:     path,
 								Deadline: time.Second,
 								Tokens: emulator.Tokens{
-									Prompt: 100,
-									Most:   20,
+									Prompt:    100,
+									MaxOutput: 20,
 								},
 							})
 							time.Sleep(50 * time.Millisecond)
@@ -128,7 +128,7 @@
 		from := time.Now()
 		send(9 * time.Second)
 		for _, s := range append(engines, plain, other) {
-			Expect(emulator.MostWithin(s.Arrivals(from), window)).To(BeNumerically("<=", maxArrivals(perSecond)), s.ID)
+			Expect(emulator.MaxArrivalsWithin(s.Arrivals(from), window)).To(BeNumerically("<=", maxArrivals(perSecond)), s.ID)
 			Expect(s.Arrivals(from)).NotTo(BeEmpty(), s.ID)
 		}
 	})
