--- a/box/leaving_test.go
+++ b/box/leaving_test.go
@@ -12,60 +12,56 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// An endpoint on its way out could not tell the store, which was silent; each of its
-// answers said that it leaves, and requests went there as before until it ended. Callers
-// whose requests it ran at its end lost them. Boxes believed of a leaving endpoint what the
-// store said, and of engines their reports; the answers to requests were not read for it.
-// The evidence: no box logged that the endpoint leaves while each of them got its answers,
-// and the first late request arrived 2.01 s after a box had been told.
-var _ = Describe("an endpoint that says in its answers that it leaves", func() {
-	// bound is how long after an answer had told a box requests may still get there.
+// Guards against requests to an endpoint whose responses announce that it is leaving while
+// the store, which is unavailable, still lists it as ready.
+var _ = Describe("an endpoint that announces in its responses that it is leaving", func() {
+	// bound is the time after such a response in which requests may still arrive.
 	const bound = 2 * time.Second
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id, service string) *emulator.Server { return addTo(d, id, service) }
+	add := func(id, service string) *emulator.Server { return addServer(d, id, service) }
 	start := func() {
-		boxes = startReady(d, 3)
+		boxes = startReadyBoxes(d, 3)
 		for _, b := range boxes {
-			Eventually(func() string { return b.get("/status") }).WithTimeout(patience).Should(ContainSubstring(`"sharers":3`))
+			Eventually(func() string { return b.get("/status") }).WithTimeout(waitTimeout).Should(ContainSubstring(`"sharers":3`))
 		}
 	}
 
-	It("gets no requests any more, though the store lists it as ready", func() {
+	It("gets no more requests, though the store lists it as ready", func() {
 		leaving, other := add("i-leaving", emulator.PlainService), add("i-other", emulator.PlainService)
 		start()
-		load(boxes, 300*time.Millisecond)
+		runLoad(boxes, 300*time.Millisecond)
 		Expect(leaving.Runs()).NotTo(BeEmpty())
 		d.Store.SetFault(emulator.StoreSilent, 0)
 		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
-		load(boxes, bound)
+		runLoad(boxes, bound)
 		from := time.Now()
-		got := load(boxes, 2*time.Second)
+		got := runLoad(boxes, 2*time.Second)
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 		Expect(other.Arrivals(from)).NotTo(BeEmpty())
-		By("the store comes back, with an entry that was written before")
+		By("the store recovers, with an entry written before")
 		d.Store.SetFault(emulator.StoreNoFault, 0)
 		d.List(leaving, emulator.PlainService, "ready")
-		load(boxes, 2*time.Second)
+		runLoad(boxes, 2*time.Second)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
 
-	It("gets none by a box that heard of it from another", func() {
+	It("gets none from a box that another box notified", func() {
 		leaving := add("i-leaving", emulator.PlainService)
 		add("i-other", emulator.PlainService)
 		start()
-		time.Sleep(time.Second) // boxes that have just met aren't of one group yet
+		time.Sleep(time.Second) // boxes need a moment to form a group after they meet
 		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
-		load(boxes[:1], time.Second)
+		runLoad(boxes[:1], time.Second)
 		from := time.Now()
-		load(boxes[1:], 500*time.Millisecond)
+		runLoad(boxes[1:], 500*time.Millisecond)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
 
-	It("gets neither streams nor questions, and its streams go elsewhere", func() {
+	It("gets no streams or load queries, and its running streams are moved", func() {
 		leaving, other := add("e-leaving", emulator.ModelService), add("e-other", emulator.ModelService)
 		for _, s := range []*emulator.Server{leaving, other} {
 			s.Events = 60
@@ -88,7 +84,7 @@
 		for i := range cap(outcomes) {
 			go func() { outcomes <- stream(fmt.Sprintf("before-%d", i)) }()
 		}
-		Eventually(func() int { return len(leaving.Runs()) }).WithTimeout(patience).Should(BeNumerically(">", 0))
+		Eventually(func() int { return len(leaving.Runs()) }).WithTimeout(waitTimeout).Should(BeNumerically(">", 0))
 		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		time.Sleep(bound)
 		from := time.Now()
@@ -97,6 +93,6 @@
 		for range cap(outcomes) {
 			Expect(<-outcomes).To(And(HaveField("IsComplete", true), HaveField("Fault", "")))
 		}
-		Expect(leaving.Runs()).NotTo(ContainElement(HaveField("HasFinished", true)), "its streams went elsewhere before their end")
+		Expect(leaving.Runs()).NotTo(ContainElement(HaveField("HasFinished", true)), "its streams are moved before they end")
 	})
 })
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -16,83 +16,79 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// Endpoints under strain named in their answers how many requests a second they take from
-// all boxes together, and got up to seven times that in a second: callers saw failures and
-// late answers where the endpoints had asked for less. No box read what they named. The
-// evidence: eight boxes sent on as before, by zone and chance, and none logged anything
-// when the limit came. Kept by each box for itself it would still let the fleet send it
-// once for each box, and requests other than first sends would come on top.
-var _ = Describe("an endpoint that names a limit", func() {
+// Guards against boxes that ignore the request rate that an endpoint under load announces in
+// its responses, or that apply it per box and not to the fleet.
+var _ = Describe("an endpoint that announces a rate limit", func() {
 	const (
-		count  = 4
-		joined = 6 * time.Second // by then boxes have their parts of what is divided
-		told   = 500 * time.Millisecond
-		span   = 4 * time.Second
+		count      = 4
+		settleTime = 6 * time.Second // until boxes have received their rate shares
+		noticeTime = 500 * time.Millisecond
+		window     = 4 * time.Second
 	)
 	var d *emulator.Deployment
-	var boxes []*started
+	var boxes []*testBox
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id, service string) *emulator.Server { return addTo(d, id, service) }
+	add := func(id, service string) *emulator.Server { return addServer(d, id, service) }
 	start := func() {
-		boxes = startReady(d, count)
-		time.Sleep(joined)
+		boxes = startReadyBoxes(d, count)
+		time.Sleep(settleTime)
 	}
 	limit := func(perSecond float64, all ...*emulator.Server) {
 		for _, s := range all {
 			s.SetStatusHeaders(emulator.StatusHeaders{RateLimit: strconv.FormatFloat(perSecond, 'f', -1, 64)})
 		}
 	}
-	// most is what an endpoint may get within a span, by the platform's bound.
-	most := func(perSecond float64) int { return int(perSecond*1.5*span.Seconds()) + 5 }
+	// maxArrivals is the most requests that an endpoint may get in a window by the platform's bound.
+	maxArrivals := func(perSecond float64) int { return int(perSecond*1.5*window.Seconds()) + 5 }
 
-	It("gets no more than that within any four seconds, and the others serve the rest", func() {
+	It("gets no more than that in any four seconds, while others serve the rest", func() {
 		const perSecond = 3.0
-		strained, other := add("i-strained", emulator.PlainService), add("i-other", emulator.PlainService)
+		limited, other := add("i-strained", emulator.PlainService), add("i-other", emulator.PlainService)
 		start()
-		limit(perSecond, strained)
-		load(boxes, told)
+		limit(perSecond, limited)
+		runLoad(boxes, noticeTime)
 		from := time.Now()
-		got := load(boxes, 9*time.Second)
+		got := runLoad(boxes, 9*time.Second)
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
-		arrivals := strained.Arrivals(from)
-		Expect(emulator.MaxArrivalsWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
-		Expect(len(arrivals)).To(BeNumerically(">=", 9*perSecond/2), "what it takes is sent to it")
+		arrivals := limited.Arrivals(from)
+		Expect(emulator.MaxArrivalsWithin(arrivals, window)).To(BeNumerically("<=", maxArrivals(perSecond)))
+		Expect(len(arrivals)).To(BeNumerically(">=", 9*perSecond/2), "its capacity is used")
 		Expect(len(other.Arrivals(from))).To(BeNumerically(">", len(arrivals)))
 	})
 
-	It("serves that where all name one, and the rest is refused at once as not run", func() {
+	It("serves up to its limit when all endpoints have one; other requests are refused at once as not run", func() {
 		const perSecond = 2.5
-		strained := add("i-strained", emulator.PlainService)
+		limited := add("i-strained", emulator.PlainService)
 		start()
-		limit(perSecond, strained)
-		load(boxes, told)
+		limit(perSecond, limited)
+		runLoad(boxes, noticeTime)
 		from := time.Now()
-		got := load(boxes, 9*time.Second)
-		arrivals := strained.Arrivals(from)
-		Expect(emulator.MaxArrivalsWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
+		got := runLoad(boxes, 9*time.Second)
+		arrivals := limited.Arrivals(from)
+		Expect(emulator.MaxArrivalsWithin(arrivals, window)).To(BeNumerically("<=", maxArrivals(perSecond)))
 		Expect(got[http.StatusOK]).To(BeNumerically(">=", 9*perSecond/2))
 		Expect(got[http.StatusServiceUnavailable]).To(BeNumerically(">", got[http.StatusOK]))
 		Expect(got).To(HaveLen(2))
 		var shown bytes.Buffer
-		Expect(commands.Run([]string{"status", boxes[0].operators}, &shown)).To(BeZero())
+		Expect(commands.Run([]string{"status", boxes[0].statusAddr}, &shown)).To(BeZero())
 		Expect(shown.String()).To(MatchRegexp(`ENDPOINT THAT ASKED FOR LESS.*\ni-strained +2\.5 +-`))
 		Expect(arrivals).To(HaveLen(got[http.StatusOK]))
 	})
 
-	It("gets what others got before once it names none any more", func() {
-		strained := add("i-strained", emulator.PlainService)
+	It("gets unlimited requests again once it announces no limit", func() {
+		limited := add("i-strained", emulator.PlainService)
 		start()
-		limit(1, strained)
-		load(boxes, 2*time.Second)
-		strained.SetStatusHeaders(emulator.StatusHeaders{})
-		Eventually(func() map[int]int { return load(boxes, time.Second) }).WithTimeout(patience).Should(And(
+		limit(1, limited)
+		runLoad(boxes, 2*time.Second)
+		limited.SetStatusHeaders(emulator.StatusHeaders{})
+		Eventually(func() map[int]int { return runLoad(boxes, time.Second) }).WithTimeout(waitTimeout).Should(And(
 			HaveLen(1),
 			HaveKey(http.StatusOK),
 		))
 	})
 
-	It("gets no more by second sends, by streams and by questions for its load", func() {
+	It("gets no more through retries, streams and load queries", func() {
 		const perSecond = 2.0
 		var engines []*emulator.Server
 		for i := range 2 {
@@ -128,11 +124,11 @@
 			}
 			wait.Wait()
 		}
-		send(told)
+		send(noticeTime)
 		from := time.Now()
 		send(9 * time.Second)
 		for _, s := range append(engines, plain, other) {
-			Expect(emulator.MaxArrivalsWithin(s.Arrivals(from), span)).To(BeNumerically("<=", most(perSecond)), s.ID)
+			Expect(emulator.MaxArrivalsWithin(s.Arrivals(from), window)).To(BeNumerically("<=", maxArrivals(perSecond)), s.ID)
 			Expect(s.Arrivals(from)).NotTo(BeEmpty(), s.ID)
 		}
 	})
--- a/box/main.go
+++ b/box/main.go
@@ -17,18 +17,18 @@
 	"dillsaddle.example/dillsaddle/platform"
 )
 
-// The exit codes of the process.
+// Exit codes of the process.
 const (
-	exitDone  = 0
-	exitFault = 1
+	exitOK    = 0
+	exitError = 1
 	exitUsage = 2
 )
 
-// memoryPart is the share of a box's memory beyond which the collector works
-// harder; the rest is for stacks, sockets' buffers and the log's queue.
-const memoryPart = 0.7
+// memoryLimitRatio is the fraction of the box's memory that is set as the Go runtime's
+// memory limit. The rest is headroom for stacks, socket buffers and the log queue.
+const memoryLimitRatio = 0.7
 
-// Options are the flags of the process; everything else comes from the
+// Options are the process's command-line flags; all other settings come from the
 // platform's settings file.
 type Options struct {
 	Settings    string
@@ -41,55 +41,55 @@
 	o := &Options{}
 	fs := flag.NewFlagSet("dillsaddle-node", flag.ContinueOnError)
 	fs.StringVar(&o.Settings, "settings", os.Getenv(platform.SettingsVariable), "platform's settings `FILE`")
-	fs.IntVar(&o.MetricsPort, "metrics-port", 9464, "`port` of metrics and status on the box's address")
-	fs.StringVar(&o.LogLevel, "log-level", "info", "least `level` of log lines: debug, info, warn, error")
-	fs.BoolVar(&o.Check, "check", false, "check the settings and end")
+	fs.IntVar(&o.MetricsPort, "metrics-port", 9464, "`port` for metrics and status on the box's address")
+	fs.StringVar(&o.LogLevel, "log-level", "info", "lowest `level` that is logged: debug, info, warn, error")
+	fs.BoolVar(&o.Check, "check", false, "check the settings and exit")
 	return o, ff.Parse(fs, arguments)
 }
 
-// Main runs the process until its planned stop and gives its exit code. Signals
-// are taken from the first moment: a reload that meets a starting process must
-// not end it.
+// Main runs the process until its planned stop and returns its exit code. Signal
+// handlers are installed first, so that a SIGHUP during startup doesn't end the
+// process.
 func Main(arguments []string, out io.Writer) int {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	o, err := parse(arguments)
 	if errors.Is(err, flag.ErrHelp) {
-		return exitDone
+		return exitOK
 	}
 	if err != nil {
-		return fault(err, exitUsage)
+		return fail(err, exitUsage)
 	}
 	s, err := platform.LoadSettings(o.Settings)
 	if err != nil {
-		return fault(err, exitUsage)
+		return fail(err, exitUsage)
 	}
 	if o.Check {
-		fmt.Fprintln(out, "the settings are sound")
-		return exitDone
+		fmt.Fprintln(out, "settings are valid")
+		return exitOK
 	}
 	level, err := zap.ParseAtomicLevel(o.LogLevel)
 	if err != nil {
-		return fault(errors.Wrap(err, "read -log-level"), exitUsage)
+		return fail(errors.Wrap(err, "parse -log-level"), exitUsage)
 	}
-	debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryBytes)))
 	sink := eventlog.NewSink(out)
 	b, err := Start(o, s, eventlog.New(sink, level.Level()), sink)
 	if err != nil {
-		return fault(err, exitFault)
+		return fail(err, exitError)
 	}
-	b.wait(signals)
-	sink.Close(logFlush)
-	return exitDone
+	b.runUntilStopped(signals)
+	sink.Close(logFlushTimeout)
+	return exitOK
 }
 
-func fault(err error, code int) int {
+func fail(err error, code int) int {
 	fmt.Fprintf(os.Stderr, "dillsaddle-node: %v\n", err)
 	return code
 }
 
-// wait serves until a planned stop is over. A second signal changes nothing.
-func (b *Box) wait(signals <-chan os.Signal) {
+// runUntilStopped handles signals until a planned stop is complete.
+func (b *Box) runUntilStopped(signals <-chan os.Signal) {
 	for {
 		select {
 		case s := <-signals:
@@ -98,7 +98,7 @@
 				continue
 			}
 			b.Stop()
-		case <-b.Left():
+		case <-b.Done():
 			return
 		}
 	}
--- a/engine/completions/worker.go
+++ b/engine/completions/worker.go
@@ -19,14 +19,14 @@
 	"dillsaddle.example/dillsaddle/engine"
 )
 
-// maxConnections bounds the streams to one endpoint.
+// maxConnections bounds the concurrent streams to one endpoint.
 const maxConnections = 65536
 
-// longestStream bounds one read of a stream, so that a worker whose endpoint
-// stalls for ever is given back.
-const longestStream = time.Hour
+// maxStreamTime bounds one read of a stream, so that a stalled endpoint doesn't block a
+// worker for good.
+const maxStreamTime = time.Hour
 
-// Worker speaks the completions API.
+// Worker is a client of the completions API.
 type Worker struct {
 	streams *client.Client
 	calls   *client.Client
@@ -34,14 +34,14 @@
 
 var _ engine.Worker = (*Worker)(nil)
 
-// New builds a worker.
+// New returns a Worker.
 func New() (*Worker, error) {
 	streams, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
 		client.WithDialTimeout(time.Second),
 		client.WithResponseBodyStream(true),
 		client.WithMaxConnsPerHost(maxConnections),
-		client.WithClientReadTimeout(longestStream),
+		client.WithClientReadTimeout(maxStreamTime),
 	)
 	if err != nil {
 		return nil, errors.Wrap(err, "build the stream client")
@@ -61,11 +61,11 @@
 	}, nil
 }
 
-func base(address netip.AddrPort) string { return "http://" + address.String() }
+func baseURL(address netip.AddrPort) string { return "http://" + address.String() }
 
-// Start sends a request and tells what comes back.
+// Start sends a request and reports the response to the sink.
 func (w *Worker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
-	body, err := extend(c)
+	body, err := requestBody(c)
 	if err != nil {
 		sink <- engine.Unsent{Cause: err}
 		return
@@ -77,30 +77,30 @@
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
 	req.SetMethod(http.MethodPost)
-	req.SetRequestURI(base(c.Address) + path)
+	req.SetRequestURI(baseURL(c.Address) + path)
 	req.Header.SetContentTypeBytes([]byte("application/json"))
 	req.SetBody(body)
 	if !c.LeaseEnd.IsZero() && time.Now().After(c.LeaseEnd) {
-		sink <- engine.Unsent{Cause: errors.New("the lease ended before the send")}
+		sink <- engine.Unsent{Cause: errors.New("lease expired before the request was sent")}
 		return
 	}
 	if err := w.streams.Do(ctx, req, resp); err != nil {
-		sink <- failure(err)
+		sink <- sendFailure(err)
 		return
 	}
 	if resp.StatusCode() != http.StatusOK {
-		sink <- refusal(resp)
+		sink <- statusMessage(resp)
 		return
 	}
-	read(ctx, c.Endpoint, resp, sink)
+	readStream(ctx, c.Endpoint, resp, sink)
 }
 
-// extend adds what the protocol needs to the caller's JSON, whose other fields
-// pass unchanged.
-func extend(c engine.Call) ([]byte, error) {
+// requestBody adds the protocol's fields to the caller's JSON and leaves its other fields
+// unchanged.
+func requestBody(c engine.Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &fields); err != nil {
-		return nil, errors.Wrap(err, "read the caller's body")
+		return nil, errors.Wrap(err, "decode the caller's body")
 	}
 	fields["generation_id"] = json.RawMessage(strconv.Quote(c.Generation))
 	fields["priority"] = json.RawMessage(strconv.Itoa(c.Priority))
@@ -109,8 +109,8 @@
 	return json.Marshal(fields)
 }
 
-// failure tells a dial that failed, with no byte sent, from everything else.
-func failure(err error) engine.Message {
+// sendFailure returns Unsent for a failed dial, after which no byte was sent, and else Lost.
+func sendFailure(err error) engine.Message {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return engine.Unsent{Cause: err}
@@ -118,10 +118,10 @@
 	return engine.Lost{Cause: err}
 }
 
-// refusal tells an answer that means "not started" from one that may come
-// later: an engine checks a request before it starts it and answers 4xx or
-// 503; any other status may come from a started one.
-func refusal(resp *protocol.Response) engine.Message {
+// statusMessage converts a response without status 200. An engine validates a request before
+// it starts it, and refuses it with 4xx or 503. With any other status, the request may have
+// been started, so the attempt counts as lost.
+func statusMessage(resp *protocol.Response) engine.Message {
 	status := resp.StatusCode()
 	text := string(resp.Body())
 	if status >= 400 && status < 500 && status != http.StatusRequestTimeout || status == http.StatusServiceUnavailable {
@@ -133,18 +133,19 @@
 	return engine.Lost{Cause: errors.Errorf("endpoint answered %d", status)}
 }
 
+// release closes the response and returns both objects to their pools.
 func release(req *protocol.Request, resp *protocol.Response) {
 	_ = resp.CloseBodyStream()
 	protocol.ReleaseRequest(req)
 	protocol.ReleaseResponse(resp)
 }
 
-// Resume reads a generation again from an offset.
+// Resume continues reading a generation at an offset.
 func (w *Worker) Resume(ctx context.Context, c engine.ResumeCall, sink chan<- engine.Message) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
 	req.SetMethod(http.MethodGet)
-	req.SetRequestURI(base(c.Address) + "/v1/generations/" + c.Origin.Generation +
+	req.SetRequestURI(baseURL(c.Address) + "/v1/generations/" + c.Origin.Generation +
 		"?from=" + strconv.FormatUint(c.From, 10) + "&chat=" + strconv.FormatBool(c.Chat))
 	if err := w.streams.Do(ctx, req, resp); err != nil {
 		sink <- engine.Lost{Cause: err}
@@ -152,7 +153,7 @@
 	}
 	switch resp.StatusCode() {
 	case http.StatusOK:
-		read(ctx, c.Origin.Endpoint, resp, sink)
+		readStream(ctx, c.Origin.Endpoint, resp, sink)
 	case http.StatusNotFound:
 		sink <- engine.Gone{}
 	default:
@@ -160,6 +161,7 @@
 	}
 }
 
+// call sends a request and returns the status and the body of the response.
 func (w *Worker) call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer release(req, resp)
@@ -178,9 +180,9 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
 
-// Cancel ends a generation at its endpoint.
+// Cancel cancels a generation at its endpoint.
 func (w *Worker) Cancel(ctx context.Context, address netip.AddrPort, generation string, onlyIdle bool) error {
-	url := base(address) + "/v1/generations/" + generation + "?idle=" + strconv.FormatBool(onlyIdle)
+	url := baseURL(address) + "/v1/generations/" + generation + "?idle=" + strconv.FormatBool(onlyIdle)
 	status, _, err := w.call(ctx, http.MethodDelete, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "cancel a generation")
@@ -203,13 +205,13 @@
 
 // Load reads an endpoint's load report.
 func (w *Worker) Load(ctx context.Context, address netip.AddrPort) (engine.Load, error) {
-	status, body, err := w.call(ctx, http.MethodGet, base(address)+"/v1/load", nil)
+	status, body, err := w.call(ctx, http.MethodGet, baseURL(address)+"/v1/load", nil)
 	if err != nil {
 		return engine.Load{}, errors.Wrap(err, "read a load report")
 	}
 	var r loadReport
 	if err := json.Unmarshal(body, &r); err != nil || status != http.StatusOK {
-		return engine.Load{}, errors.Errorf("endpoint answered %d and no load report", status)
+		return engine.Load{}, errors.Errorf("endpoint answered %d without a valid load report", status)
 	}
 	return engine.Load{
 		Incarnation:  core.Incarnation(r.Incarnation),
@@ -228,15 +230,15 @@
 	Dropped  bool   `json:"dropped"`
 }
 
-// CacheEvents reads the cache events after a number; some may be missing.
+// CacheEvents reads the cache events after a sequence number. Events may be missing.
 func (w *Worker) CacheEvents(ctx context.Context, address netip.AddrPort, after int) ([]engine.CacheEvent, error) {
-	status, body, err := w.call(ctx, http.MethodGet, base(address)+"/v1/cache-events?after="+strconv.Itoa(after), nil)
+	status, body, err := w.call(ctx, http.MethodGet, baseURL(address)+"/v1/cache-events?after="+strconv.Itoa(after), nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "read cache events")
 	}
 	var all []cacheEvent
 	if err := json.Unmarshal(body, &all); err != nil || status != http.StatusOK {
-		return nil, errors.Errorf("endpoint answered %d and no cache events", status)
+		return nil, errors.Errorf("endpoint answered %d without valid cache events", status)
 	}
 	events := make([]engine.CacheEvent, 0, len(all))
 	for _, e := range all {
@@ -255,9 +257,9 @@
 func (w *Worker) Order(ctx context.Context, address netip.AddrPort, o engine.Order) error {
 	body, err := json.Marshal(orderBody(o))
 	if err != nil {
-		return errors.Wrap(err, "write an order")
+		return errors.Wrap(err, "encode an order")
 	}
-	status, text, err := w.call(ctx, http.MethodPost, base(address)+"/v1/orders", body)
+	status, text, err := w.call(ctx, http.MethodPost, baseURL(address)+"/v1/orders", body)
 	if err != nil {
 		return errors.Wrap(err, "send an order")
 	}
--- a/losses/report.go
+++ b/losses/report.go
@@ -9,33 +9,32 @@
 )
 
 const (
-	// longestTime and timeDigits are the range and the precision of the histograms:
-	// a minute, to the hundredth part.
-	longestTime = int64(time.Minute / time.Millisecond)
-	timeDigits  = 2
-	// exampleMost is how many requests a row names.
-	exampleMost = 5
+	// maxMillis and significantDigits are the range and the precision of the histograms.
+	maxMillis         = int64(time.Minute / time.Millisecond)
+	significantDigits = 2
+	// maxExamples bounds the requests listed in a row.
+	maxExamples = 5
 )
 
-// Row counts the losses of one route at one moment for one cause.
+// Row counts the losses of a route at one moment and for one cause.
 type Row struct {
 	Route    string   `json:"route"`
 	Moment   Moment   `json:"moment"`
 	Cause    Cause    `json:"cause"`
-	Late     bool     `json:"late"` // the answers came all the same
+	Late     bool     `json:"late"` // the answers were complete, but late
 	Count    int      `json:"count"`
-	Requests []string `json:"requests"` // the first of them
+	Requests []string `json:"requests"` // examples
 }
 
-// StreamStats is what the callers of a route, a customer or a rank felt of their streams.
+// StreamStats summarizes the latency of a route's, a customer's or a rank's streams.
 type StreamStats struct {
 	Name        string        `json:"name"`
 	Streams     int64         `json:"streams"`
-	FirstMedian time.Duration `json:"first_median_ns"` // stall: the silence before the first event
+	FirstMedian time.Duration `json:"first_median_ns"` // time to the first event
 	FirstTail   time.Duration `json:"first_p99_ns"`
 	PauseMedian time.Duration `json:"pause_median_ns"` // of each stream's longest pause between events
 	PauseTail   time.Duration `json:"pause_p99_ns"`
-	Stutters    int           `json:"stutters"` // streams with a noticeable pause at their engine: preempted, or beside long prompts
+	Stutters    int           `json:"stutters"` // streams with a noticeable pause that wasn't due to a move
 }
 
 // Total counts a route's requests.
@@ -46,7 +45,7 @@
 	Late         int    `json:"late"`
 }
 
-// Report is what a log tells of lost requests.
+// Report is the result of analyzing logs.
 type Report struct {
 	Lines      int              `json:"lines"`
 	Skipped    Skipped          `json:"skipped"`
@@ -58,26 +57,26 @@
 	Placements []PlacementStats `json:"placings"`
 }
 
-// Reader gathers log lines, of any boxes in any order.
+// Reader reads the logs of any number of boxes, in any order.
 type Reader struct {
 	lines    int
 	skipped  Skipped
 	requests map[string]*request
-	left     map[string]time.Time // endpoints, with when a box first heard that they leave
-	steps    []step
+	leftAt   map[string]time.Time // when a box first logged that the endpoint was leaving or gone
+	runSteps []runStep
 }
 
-// NewReader builds a reader that has seen nothing.
+// NewReader returns an empty Reader.
 func NewReader() *Reader {
 	return &Reader{
 		requests: make(map[string]*request),
-		left:     make(map[string]time.Time),
+		leftAt:   make(map[string]time.Time),
 	}
 }
 
-// Read takes a whole log.
+// Read reads a log to its end.
 func (r *Reader) Read(from io.Reader) error {
-	lines, skipped, err := read(from, r.take)
+	lines, skipped, err := read(from, r.addLine)
 	if r.skipped.Count == 0 {
 		r.skipped.First = r.lines + skipped.First
 		r.skipped.FirstError = skipped.FirstError
@@ -87,11 +86,12 @@
 	return err
 }
 
-func (r *Reader) take(l Line) {
+// addLine adds a line to its request, or records that an endpoint left.
+func (r *Reader) addLine(l Line) {
 	if l.Request == "" {
 		if l.Event == "endpoint leaving" || l.Event == "endpoint gone" {
-			if at, known := r.left[l.Endpoint]; !known || l.At.Before(at) {
-				r.left[l.Endpoint] = l.At
+			if at, known := r.leftAt[l.Endpoint]; !known || l.At.Before(at) {
+				r.leftAt[l.Endpoint] = l.At
 			}
 		}
 		return
@@ -104,20 +104,20 @@
 		}
 		r.requests[l.Request] = q
 	}
-	q.take(l)
-	if s, ok := steps(l); ok {
-		r.steps = append(r.steps, s)
+	q.addLine(l)
+	if s, ok := runSteps(l); ok {
+		r.runSteps = append(r.runSteps, s)
 	}
 }
 
-// Report counts what was read.
+// Report returns the report on all lines read so far.
 func (r *Reader) Report() Report {
 	c := &counter{
 		totals:    make(map[string]*Total),
 		rows:      make(map[rowKey]*Row),
-		routes:    make(map[string]*felt),
-		customers: make(map[string]*felt),
-		ranks:     make(map[string]*felt),
+		routes:    make(map[string]*streamHistograms),
+		customers: make(map[string]*streamHistograms),
+		ranks:     make(map[string]*streamHistograms),
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		c.count(r.requests[id], r.hasLeft)
@@ -127,16 +127,16 @@
 		Skipped:    r.skipped,
 		Totals:     c.allTotals(),
 		Rows:       c.allRows(),
-		Routes:     feltBy(c.routes),
-		Customers:  feltBy(c.customers),
-		Ranks:      feltBy(c.ranks),
-		Placements: r.placings(),
+		Routes:     streamStats(c.routes),
+		Customers:  streamStats(c.customers),
+		Ranks:      streamStats(c.ranks),
+		Placements: r.placementStats(),
 	}
 }
 
 func (r *Reader) hasLeft(endpoint string) bool {
-	_, left := r.left[endpoint]
-	return left
+	_, leftAt := r.leftAt[endpoint]
+	return leftAt
 }
 
 type rowKey struct {
@@ -146,14 +146,17 @@
 	late   bool
 }
 
+// counter collects the parts of a report.
 type counter struct {
 	totals    map[string]*Total
 	rows      map[rowKey]*Row
-	routes    map[string]*felt
-	customers map[string]*felt
-	ranks     map[string]*felt
+	routes    map[string]*streamHistograms
+	customers map[string]*streamHistograms
+	ranks     map[string]*streamHistograms
 }
 
+// count adds a request to the totals and the stream statistics and, if it was lost or late,
+// to the rows.
 func (c *counter) count(q *request, hasLeft func(string) bool) {
 	t := c.totals[q.route]
 	if t == nil {
@@ -161,8 +164,8 @@
 		c.totals[q.route] = t
 	}
 	t.RequestCount++
-	if q.end != nil && q.end.Event == "streamed" {
-		c.feel(q)
+	if q.outcome != nil && q.outcome.Event == "streamed" {
+		c.addStream(q)
 	}
 	l, lost := q.loss(hasLeft)
 	if !lost {
@@ -190,7 +193,7 @@
 		c.rows[key] = row
 	}
 	row.Count++
-	if len(row.Requests) < exampleMost {
+	if len(row.Requests) < maxExamples {
 		row.Requests = append(row.Requests, l.Request)
 	}
 }
@@ -204,7 +207,7 @@
 	return all
 }
 
-// allRows gives the rows with the most losses first; late answers come last.
+// allRows returns the rows in descending order of count, those of late answers last.
 func (c *counter) allRows() []Row {
 	var all []Row
 	for _, row := range c.rows {
--- a/losses/request.go
+++ b/losses/request.go
@@ -7,10 +7,10 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Moment is where in its life a request was lost.
+// Moment is the phase of a request in which it was lost.
 type Moment string
 
-// The moments, in the order of a request's life.
+// Moments, in the order of a request's life.
 const (
 	BeforeSend    Moment = "before it was sent"
 	AwaitingFirst Moment = "before its first event or answer"
@@ -18,58 +18,58 @@
 	WhileMoving   Moment = "while it was moved"
 	AfterMoving   Moment = "after it was moved or continued"
 	AtAnswer      Moment = "at its answer"
-	InProgress    Moment = "under way" // nobody lived to say more
+	InProgress    Moment = "under way" // the box ended without logging more
 )
 
-// Cause is why a request was lost, as far as its box could know.
+// Cause is why a request was lost, as far as its box's log says.
 type Cause string
 
-// The causes.
+// Causes of a loss.
 const (
-	NoConfiguration    Cause = "no configuration was known"
-	NoEndpoint         Cause = "no endpoint was there"
-	EndpointsRefused   Cause = "endpoints refused it"
-	EndpointFailed     Cause = "the endpoint's own failure"
-	AnswerOverdue      Cause = "the endpoint owed its answer"
-	EngineLeft         Cause = "its engine left"
-	EndpointCrashed    Cause = "its endpoint ended under it"
-	RequestQuarantined Cause = "endpoints end under it" // it was kept from them
-	ConnectionBroke    Cause = "its connection broke"
-	CopyLost           Cause = "the engine with its copy was gone"
-	BudgetSpent        Cause = "the retry budget was spent"
-	CallerLeft         Cause = "its caller left"
-	TimeOver           Cause = "its time was over"
+	NoConfigLoaded     Cause = "no configuration loaded"
+	NoEndpoint         Cause = "no endpoint available"
+	EndpointsRefused   Cause = "refused by endpoints"
+	EndpointFailed     Cause = "endpoint answered with a failure"
+	AnswerOverdue      Cause = "endpoint's answer overdue"
+	EngineLeft         Cause = "engine left"
+	EndpointCrashed    Cause = "endpoint crashed during the request"
+	RequestQuarantined Cause = "request quarantined"
+	ConnectionBroke    Cause = "connection to the endpoint broke"
+	CopyLost           Cause = "engine with the copy unreachable"
+	BudgetSpent        Cause = "retry budget spent"
+	CallerDisconnected Cause = "caller disconnected"
+	DeadlineExceeded   Cause = "deadline exceeded"
 	BoxCrashed         Cause = "box ended during the request"
-	SlowFirst          Cause = "its first event or answer was late"
-	PauseAtSeam        Cause = "a pause where it went on at another engine"
-	PauseAtEngine      Cause = "a pause at its engine" // preempted, or beside long prompts
-	RefusedByGateway   Cause = "the box refused it"
+	SlowFirst          Cause = "first event or answer late"
+	PauseAtSeam        Cause = "pause while moving to another engine"
+	PauseAtEngine      Cause = "pause at the engine" // it preempted the run or processed long prompts
+	RefusedByGateway   Cause = "refused by the box"
 )
 
-// unknownConfiguration is what a box says that knows no configuration.
-const unknownConfiguration = "no configuration is known yet"
+// noConfiguration is the reason in a box's log line for a request before its configuration.
+const noConfiguration = "no configuration is known yet"
 
-// request is what the lines of one attempt say.
+// request collects the log lines of one request ID.
 type request struct {
-	id       string
-	route    string
-	customer string
-	rank     int
-	began    time.Time
-	endpoint string // the last one
-	placed   bool
-	moving   bool // its move had begun or failed
-	moved    bool // it went on elsewhere
-	overdue  bool
-	ended    bool            // the endpoint of its last send ended
-	seams    map[string]bool // the events after which it went on elsewhere
-	end      *Line
+	id              string
+	route           string
+	customer        string
+	rank            int
+	firstSeen       time.Time
+	endpoint        string // the current one
+	placed          bool
+	moveStarted     bool // a move was started or has failed
+	continued       bool // the run went on at another engine
+	answerOverdue   bool
+	endpointCrashed bool            // the endpoint of the last send crashed
+	seams           map[string]bool // IDs of the events after which the run went on elsewhere
+	outcome         *Line           // the line that ended the request; nil if there is none
 }
 
-// take adds a line to what is known of the request.
-func (r *request) take(l Line) {
-	if r.began.IsZero() {
-		r.began = l.At
+// addLine updates the request with a line.
+func (r *request) addLine(l Line) {
+	if r.firstSeen.IsZero() {
+		r.firstSeen = l.At
 	}
 	if l.Route != "" {
 		r.route = l.Route
@@ -83,86 +83,88 @@
 		r.placed = true
 		r.endpoint = l.Endpoint
 	case "moved", "copy failed", "no target to move to", "move failed: engine unreachable":
-		r.moving = true
+		r.moveStarted = true
 	case "continued from a copy", "resumed in another run":
-		r.moved = true
-		r.moving = false
+		r.continued = true
+		r.moveStarted = false
 		r.endpoint = l.Endpoint
 		r.seams[l.LastEvent] = true
 	case "answer overdue":
-		r.overdue = true
+		r.answerOverdue = true
 	case "endpoint crashed during a request":
-		r.ended = l.Endpoint == r.endpoint
+		r.endpointCrashed = l.Endpoint == r.endpoint
 	case "answered", "streamed", "cut", "given up", "refused", "caller left":
-		r.end = &l
+		r.outcome = &l
 	}
 }
 
-// Loss is one request that ended without its answer, or late.
+// Loss is a request that ended without its answer, or with a late one.
 type Loss struct {
 	Request string
 	Route   string
 	Moment  Moment
 	Cause   Cause
-	Late    bool // its answer came all the same
+	Late    bool // the answer was complete, but late
 }
 
-// loss tells whether the request was lost; an end that was never logged is the
-// box's own.
+// loss returns the request's loss, if any. A placed request without a final line was lost
+// with its box.
 func (r *request) loss(engineLeft func(endpoint string) bool) (Loss, bool) {
 	l := Loss{
 		Request: r.id,
 		Route:   r.route,
 	}
 	switch {
-	case r.end == nil && !r.placed:
+	case r.outcome == nil && !r.placed:
 		return l, false
-	case r.end == nil:
+	case r.outcome == nil:
 		l.Moment, l.Cause = InProgress, BoxCrashed
-	case r.end.Event == "streamed" || r.end.Event == "answered":
-		return r.late(l)
-	case r.end.Event == "refused":
-		l.Moment, l.Cause = BeforeSend, r.refusal()
-		// A key or a route that isn't there is the caller's affair.
-		return l, r.end.Status >= http.StatusInternalServerError
-	case r.end.Event == "caller left":
-		l.Moment, l.Cause = r.moment(), CallerLeft
-		if r.overdue {
+	case r.outcome.Event == "streamed" || r.outcome.Event == "answered":
+		return r.lossOfAnswered(l)
+	case r.outcome.Event == "refused":
+		l.Moment, l.Cause = BeforeSend, r.refusalCause()
+		// An unknown key or route is the caller's error.
+		return l, r.outcome.Status >= http.StatusInternalServerError
+	case r.outcome.Event == "caller left":
+		l.Moment, l.Cause = r.lossMoment(), CallerDisconnected
+		if r.answerOverdue {
 			l.Cause = AnswerOverdue
 		}
 	default:
-		l.Moment, l.Cause = r.moment(), r.why(engineLeft)
+		l.Moment, l.Cause = r.lossMoment(), r.failureCause(engineLeft)
 	}
 	return l, true
 }
 
-func (r *request) moment() Moment {
+// lossMoment returns the phase that the request was in when it ended.
+func (r *request) lossMoment() Moment {
 	switch {
 	case !r.placed:
 		return BeforeSend
-	case r.moving:
+	case r.moveStarted:
 		return WhileMoving
-	case r.moved:
+	case r.continued:
 		return AfterMoving
-	case r.end != nil && r.end.LastEvent != "":
+	case r.outcome != nil && r.outcome.LastEvent != "":
 		return BetweenEvents
 	}
 	return AwaitingFirst
 }
 
-func (r *request) refusal() Cause {
-	switch r.end.EndReason {
-	case unknownConfiguration:
-		return NoConfiguration
+// refusalCause converts the reason of a request that a box refused.
+func (r *request) refusalCause() Cause {
+	switch r.outcome.EndReason {
+	case noConfiguration:
+		return NoConfigLoaded
 	case string(core.ReasonQuarantined):
 		return RequestQuarantined
 	}
 	return RefusedByGateway
 }
 
-// why translates the reason of a request that was cut or given up.
-func (r *request) why(engineLeft func(endpoint string) bool) Cause {
-	switch core.Reason(r.end.EndReason) {
+// failureCause converts the reason of a request that was cut or given up.
+func (r *request) failureCause(engineLeft func(endpoint string) bool) Cause {
+	switch core.Reason(r.outcome.EndReason) {
 	case core.ReasonNoEndpoint:
 		return NoEndpoint
 	case core.ReasonRefused:
@@ -172,44 +174,44 @@
 	case core.ReasonQuarantined:
 		return RequestQuarantined
 	case core.ReasonExpired:
-		if r.overdue {
+		if r.answerOverdue {
 			return AnswerOverdue
 		}
-		return TimeOver
+		return DeadlineExceeded
 	case core.ReasonUnreachable:
-		if r.moved {
+		if r.continued {
 			return CopyLost
 		}
 	}
 	switch {
 	case engineLeft(r.endpoint):
 		return EngineLeft
-	case r.ended:
+	case r.endpointCrashed:
 		return EndpointCrashed
 	}
 	return ConnectionBroke
 }
 
-// late tells whether an answer that came was late or a failure, and for what.
-func (r *request) late(l Loss) (Loss, bool) {
-	if r.end.Status >= http.StatusInternalServerError {
+// lossOfAnswered returns the loss of an answered request, if it failed or was late.
+func (r *request) lossOfAnswered(l Loss) (Loss, bool) {
+	if r.outcome.Status >= http.StatusInternalServerError {
 		l.Moment, l.Cause = AwaitingFirst, EndpointFailed
 		return l, true
 	}
-	if !r.end.Late {
+	if !r.outcome.Late {
 		return l, false
 	}
 	l.Late = true
 	l.Moment, l.Cause = AtAnswer, SlowFirst
-	if r.end.Event == "streamed" && r.end.PauseAfter != "" && r.end.LongestPause > stutter {
+	if r.outcome.Event == "streamed" && r.outcome.PauseAfter != "" && r.outcome.LongestPause > minStutter {
 		l.Moment, l.Cause = BetweenEvents, PauseAtEngine
-		if r.seams[r.end.PauseAfter] {
+		if r.seams[r.outcome.PauseAfter] {
 			l.Cause = PauseAtSeam
 		}
 	}
 	return l, true
 }
 
-// stutter is a pause between events that a reader notices, above what a busy
-// engine needs between two events.
-const stutter = 150 * time.Millisecond
+// minStutter is the shortest pause between events that readers notice, well above an
+// engine's usual time between events.
+const minStutter = 150 * time.Millisecond
