--- a/model/call.go
+++ b/model/call.go
@@ -8,11 +8,11 @@
 
 // CallRules are the bounds of the specification of one caller's request.
 type CallRules struct {
-	Rules   core.CallRules
-	Budget  bool // whether the retry budget has room
-	Events  int  // of a stream
-	Faults  int
-	Options []core.Option
+	Rules     core.CallRules
+	HasBudget bool // whether the retry budget has room
+	Events    int  // of a stream
+	Faults    int
+	Options   []core.Option
 }
 
 // callState is a call with what is true of its runs, which the call can't see.
@@ -23,14 +23,14 @@
 	runs      int          // that an endpoint began
 	delivered int          // events of the stream that the caller has
 	faults    int
-	broken    string
+	violation string
 }
 
 // Calls gives the first state of the specification of requests.
 func Calls(rules CallRules) State {
 	return &callState{
 		rules:   &rules,
-		call:    core.NewCall(rules.Rules, func() bool { return rules.Budget }, rules.Options...),
+		call:    core.NewCall(rules.Rules, func() bool { return rules.HasBudget }, rules.Options...),
 		pending: core.PlaceCall{},
 		faults:  rules.Faults,
 	}
@@ -38,7 +38,7 @@
 
 // Key writes what decides the later states.
 func (s *callState) Key() string {
-	return fmt.Sprintf("%T %s %d %t %d %d %d %s", s.pending, s.call.State(), s.call.Sends(), s.call.MayHaveRun(), s.runs, s.delivered, s.faults, s.broken)
+	return fmt.Sprintf("%T %s %d %t %d %d %d %s", s.pending, s.call.State(), s.call.Sends(), s.call.MayHaveRun(), s.runs, s.delivered, s.faults, s.violation)
 }
 
 func (s *callState) clone() *callState {
@@ -49,77 +49,77 @@
 
 // Next gives every step of callers, endpoints and links.
 func (s *callState) Next() []Transition {
-	if s.broken != "" {
+	if s.violation != "" {
 		return nil
 	}
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
 type callAdder = func(label string, change func(*callState))
 
-func (s *callState) steps(add callAdder) {
+func (s *callState) addSteps(add callAdder) {
 	if s.pending == nil {
 		return
 	}
-	s.step(add, "the caller leaves", 0, core.CallAbandoned{})
-	s.step(add, "its time ends", 0, core.CallExpired{})
+	s.addStep(add, "the caller leaves", 0, core.CallAbandoned{})
+	s.addStep(add, "its time ends", 0, core.CallExpired{})
 	switch s.pending.(type) {
 	case core.PlaceCall:
-		s.step(add, "an endpoint is chosen", 0, core.CallPlaced{})
-		s.step(add, "no endpoint is there", 0, core.CallUnplaced{})
-		s.fault(add, "endpoints end under it", 0, core.CallQuarantined{})
+		s.addStep(add, "an endpoint is chosen", 0, core.CallPlaced{})
+		s.addStep(add, "no endpoint is there", 0, core.CallUnplaced{})
+		s.addFault(add, "endpoints end under it", 0, core.CallQuarantined{})
 	case core.SendCall, core.ContinueCall, core.ResumeCall:
-		s.sent(add)
+		s.addSendSteps(add)
 	default:
-		s.under(add)
+		s.addStreamSteps(add)
 	}
 }
 
-// sent gives what can become of a request that goes out.
-func (s *callState) sent(add callAdder) {
+// addSendSteps gives what can become of a request that goes out.
+func (s *callState) addSendSteps(add callAdder) {
 	run := 1
 	if _, goesOn := s.pending.(core.ContinueCall); goesOn {
 		run = 0
 	}
 	if _, first := s.pending.(core.SendCall); !first {
-		s.fault(add, "endpoints end under it", 0, core.CallQuarantined{})
+		s.addFault(add, "endpoints end under it", 0, core.CallQuarantined{})
 	}
-	s.fault(add, "no byte left", 0, core.CallUnsent{})
-	s.fault(add, "the endpoint refuses it", 0, core.CallRefused{})
-	s.fault(add, "its connection breaks before it is read", 0, core.CallBroken{})
-	s.fault(add, "it runs and its answer is lost", run, core.CallBroken{})
-	s.fault(add, "it runs and its time ends", run, core.CallExpired{})
-	s.step(add, "it runs and is answered", run, core.CallAnswered{})
-	s.fault(add, "it runs and fails", run, core.CallAnswered{Failed: true})
+	s.addFault(add, "no byte left", 0, core.CallUnsent{})
+	s.addFault(add, "the endpoint refuses it", 0, core.CallRefused{})
+	s.addFault(add, "its connection breaks before it is read", 0, core.CallBroken{})
+	s.addFault(add, "it runs and its answer is lost", run, core.CallBroken{})
+	s.addFault(add, "it runs and its time ends", run, core.CallExpired{})
+	s.addStep(add, "it runs and is answered", run, core.CallAnswered{})
+	s.addFault(add, "it runs and fails", run, core.CallAnswered{Failed: true})
 	if s.rules.Events > 0 {
 		add("it runs and its stream begins", func(n *callState) {
 			n.runs += run
-			n.event()
+			n.deliverEvent()
 		})
 	}
 }
 
-// under gives what can become of a stream under way.
-func (s *callState) under(add callAdder) {
+// addStreamSteps gives what can become of a stream under way.
+func (s *callState) addStreamSteps(add callAdder) {
 	if s.delivered < s.rules.Events {
-		add("an event comes", func(n *callState) { n.event() })
+		add("an event comes", func(n *callState) { n.deliverEvent() })
 	} else {
-		s.step(add, "the stream completes", 0, core.CallCompleted{})
+		s.addStep(add, "the stream completes", 0, core.CallCompleted{})
 	}
-	s.fault(add, "the stream breaks, and a copy is there", 0, core.CallBroken{Copy: true})
-	s.fault(add, "the stream breaks", 0, core.CallBroken{})
+	s.addFault(add, "the stream breaks, and a copy is there", 0, core.CallBroken{Copy: true})
+	s.addFault(add, "the stream breaks", 0, core.CallBroken{})
 }
 
-func (s *callState) event() {
+func (s *callState) deliverEvent() {
 	s.delivered++
 	s.call.Step(at(0), core.CallProgressed{})
-	s.pending = underWay{}
+	s.pending = readingStream{}
 }
 
-// underWay stands for the reading of a stream, which the shell goes on with.
-type underWay struct{ core.CommandBase }
+// readingStream stands for the reading of a stream, which the shell goes on with.
+type readingStream struct{ core.CommandBase }
 
-func (s *callState) fault(add callAdder, label string, runs int, ev core.Event) {
+func (s *callState) addFault(add callAdder, label string, runs int, ev core.Event) {
 	if s.faults == 0 {
 		return
 	}
@@ -129,7 +129,7 @@
 	})
 }
 
-func (s *callState) step(add callAdder, label string, runs int, ev core.Event) {
+func (s *callState) addStep(add callAdder, label string, runs int, ev core.Event) {
 	add(label, func(n *callState) { n.apply(runs, ev) })
 }
 
@@ -138,37 +138,37 @@
 	commands := s.call.Step(at(0), ev)
 	s.pending = nil
 	if len(commands) > 0 {
-		s.obey(commands[0])
+		s.handleCommand(commands[0])
 	}
 	if s.runs > 1 && !s.rules.Rules.Repeatable {
-		s.broken = "a request that may run once ran twice"
+		s.violation = "a request that may run once ran twice"
 	}
 }
 
-// obey takes a command, or checks the end that it gives the caller.
-func (s *callState) obey(command core.Command) {
+// handleCommand takes a command, or checks the end that it gives the caller.
+func (s *callState) handleCommand(command core.Command) {
 	switch c := command.(type) {
 	case core.PlaceCall, core.SendCall, core.ContinueCall, core.ResumeCall:
 		s.pending = command
 		if _, resumed := command.(core.ResumeCall); resumed && !s.rules.Rules.Resumable {
-			s.broken = "a stream that may not be resumed goes on in another run"
+			s.violation = "a stream that may not be resumed goes on in another run"
 		}
 		if _, again := command.(core.PlaceCall); again && s.delivered > 0 {
-			s.broken = "a stream of which the caller has a part is sent anew"
+			s.violation = "a stream of which the caller has a part is sent anew"
 		}
 	case core.RefuseCall:
 		if s.delivered > 0 {
-			s.broken = "a refusal was written into a stream"
+			s.violation = "a refusal was written into a stream"
 		}
 		if c.Outcome == core.NotRun && s.runs > 0 {
-			s.broken = "a request that ran was told not run"
+			s.violation = "a request that ran was told not run"
 		}
 	case core.PassAnswer:
 		if s.delivered > 0 {
-			s.broken = "an answer was written into a stream"
+			s.violation = "an answer was written into a stream"
 		}
 	}
 }
 
-// Broken checks what a request is promised.
-func (s *callState) Broken() (string, bool) { return s.broken, s.broken != "" }
+// FindViolation checks what a request is promised.
+func (s *callState) FindViolation() (string, bool) { return s.violation, s.violation != "" }
--- a/model/check.go
+++ b/model/check.go
@@ -39,15 +39,15 @@
 	Name     string
 	Promises []Promise
 	Guards   []core.Guard
-	First    func(deep bool, options ...core.Option) State
+	Initial  func(deep bool, options ...core.Option) State
 	States   int // bound of the quick run; the deep one has deepStates
 }
 
-// deepStates bounds the deep runs.
-const deepStates = 700000
+// maxDeepStates bounds the deep runs.
+const maxDeepStates = 700000
 
-// guardStates bounds the runs with a guard off, which end at the break.
-const guardStates = 400000
+// maxGuardStates bounds the runs with a guard off, which end at the break.
+const maxGuardStates = 400000
 
 // maxDepth is beyond the depth of every specification here.
 const maxDepth = 100
@@ -57,11 +57,11 @@
 	states := c.States
 	switch {
 	case len(options) > 0:
-		states = guardStates
+		states = maxGuardStates
 	case deep:
-		states = deepStates
+		states = maxDeepStates
 	}
-	return Explore(c.First(deep, options...), Bounds{
+	return Explore(c.Initial(deep, options...), Bounds{
 		Depth:  maxDepth,
 		States: states,
 	})
@@ -85,7 +85,7 @@
 			Promises: []Promise{NeverOlderConfig},
 			Guards:   []core.Guard{core.GuardVersionOrder, core.GuardVersionQuery},
 			States:   200000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return ConfigVersions(VersionRules{
 					Faults:  pick(deep, 2, 3),
 					Options: options,
@@ -97,7 +97,7 @@
 			Promises: []Promise{PlannedStopCutsNothing},
 			Guards:   []core.Guard{core.GuardDrain},
 			States:   100000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return PlannedStops(DrainRules{
 					Streams: pick(deep, 4, 30),
 					Options: options,
@@ -124,7 +124,7 @@
 			core.GuardBytesSent,
 		},
 		States: 100000,
-		First: func(deep bool, options ...core.Option) State {
+		Initial: func(deep bool, options ...core.Option) State {
 			return Streams(StreamRules{
 				Callers:    pick(deep, 1, 2),
 				Tokens:     pick(deep, 2, 1),
@@ -145,7 +145,7 @@
 			Promises: []Promise{TokensOnce, CompleteAnswer, NotRunMeansNotRun, AtMostOnce},
 			Guards:   guards,
 			States:   100000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return Calls(CallRules{
 					Rules: core.CallRules{
 						Repeatable:   repeatable,
@@ -153,10 +153,10 @@
 						MaxEndpoints: pick(repeatable, 1, 2),
 						MaxSends:     3,
 					},
-					Budget:  true,
-					Events:  events,
-					Faults:  pick(deep, 3, 5),
-					Options: options,
+					HasBudget: true,
+					Events:    events,
+					Faults:    pick(deep, 3, 5),
+					Options:   options,
 				})
 			},
 		}
@@ -177,7 +177,7 @@
 			Name:     fmt.Sprintf("moves off an engine that leaves, %d boxes with %d runs each", boxes, runs),
 			Promises: []Promise{TokensOnce},
 			States:   30000,
-			First: func(deep bool, _ ...core.Option) State {
+			Initial: func(deep bool, _ ...core.Option) State {
 				return Evacuations(EvacuationRules{
 					Boxes:  boxes,
 					Runs:   runs,
@@ -191,17 +191,17 @@
 
 func claimChecks() []Check {
 	guards := map[ClaimScenario][]core.Guard{
-		SameList:    {core.GuardClaimRecord, core.GuardClaimRestart, core.GuardClaimTakeover},
-		HomeLeaves:  {core.GuardClaimTakeover},
-		HomeReturns: {core.GuardClaimTakeover},
-		HomeJoins:   {core.GuardClaimTakeover},
-		HomeStops:   {core.GuardClaimTakeover},
+		SameList:     {core.GuardClaimRecord, core.GuardClaimRestart, core.GuardClaimTakeover},
+		OwnerLeaves:  {core.GuardClaimTakeover},
+		OwnerReturns: {core.GuardClaimTakeover},
+		OwnerJoins:   {core.GuardClaimTakeover},
+		OwnerStops:   {core.GuardClaimTakeover},
 	}
 	var all []Check
-	for _, scenario := range []ClaimScenario{SameList, HomeLeaves, HomeReturns, HomeJoins, HomeStops} {
+	for _, scenario := range []ClaimScenario{SameList, OwnerLeaves, OwnerReturns, OwnerJoins, OwnerStops} {
 		for _, timed := range []bool{true, false} {
 			needed := guards[scenario]
-			if scenario == HomeLeaves && timed {
+			if scenario == OwnerLeaves && timed {
 				// Without its time, a key is unknown to the successor for as long
 				// as an old home may still grant: freshness is not needed there.
 				needed = append(slices.Clone(needed), core.GuardClaimFresh)
@@ -222,14 +222,14 @@
 		Promises: []Promise{AtMostOnce, NotRunMeansNotRun},
 		Guards:   guards,
 		States:   30000,
-		First: func(deep bool, options ...core.Option) State {
+		Initial: func(deep bool, options ...core.Option) State {
 			faults := pick(deep, 1, 2)
 			if scenario == SameList {
 				faults = 2
 			}
 			return Claims(ClaimRules{
 				Scenario: scenario,
-				Boxes:    []int{boxHome, boxSuccessor},
+				Boxes:    []int{boxOwner, boxSuccessor},
 				Keys:     1,
 				Faults:   faults,
 				Time:     2,
@@ -247,7 +247,7 @@
 			Promises: promises,
 			Guards:   guards,
 			States:   200000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return Leases(LeaseRules{
 					Faults:  pick(deep, 2, 3),
 					Time:    pick(deep, 6, 8),
@@ -270,12 +270,12 @@
 			Promises: []Promise{NeverOlderConfig},
 			Guards:   []core.Guard{guard},
 			States:   200000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return Fences(FenceRules{
-					Checks:  checks,
-					Faults:  pick(deep, 2, 3),
-					Time:    pick(deep, 4, 6),
-					Options: options,
+					EndpointChecks: checks,
+					Faults:         pick(deep, 2, 3),
+					Time:           pick(deep, 4, 6),
+					Options:        options,
 				})
 			},
 		}
--- a/model/check_test.go
+++ b/model/check_test.go
@@ -10,33 +10,33 @@
 	"dillsaddle.example/dillsaddle/model"
 )
 
-// outcome is one exploration of a check, with a guard off or with all on.
-type outcome struct {
+// exploration is one exploration of a check, with a guard off or with all on.
+type exploration struct {
 	check  model.Check
 	guard  core.Guard
 	result model.Result
 }
 
-// explored runs every check with all guards on and with each off, side by side.
-var explored = sync.OnceValue(func() []outcome {
-	all := outcomes()
+// exploreAll runs every check with all guards on and with each off, side by side.
+var exploreAll = sync.OnceValue(func() []exploration {
+	all := explorations()
 	var wait sync.WaitGroup
-	room := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	for i := range all {
 		wait.Go(func() {
-			room <- struct{}{}
+			slots <- struct{}{}
 			all[i].run()
-			<-room
+			<-slots
 		})
 	}
 	wait.Wait()
 	return all
 })
 
-// atOnce bounds the explorations side by side, for their memory.
-const atOnce = 4
+// maxConcurrent bounds the explorations side by side, for their memory.
+const maxConcurrent = 4
 
-func (o *outcome) run() {
+func (o *exploration) run() {
 	var options []core.Option
 	if o.guard != "" {
 		options = append(options, core.WithoutGuard(o.guard))
@@ -45,30 +45,30 @@
 }
 
 var _ = Describe("the core protocol", func() {
-	for i, o := range outcomes() {
+	for i, o := range explorations() {
 		if o.guard == "" {
 			It("holds in: "+o.check.Name, func() {
-				r := explored()[i].result
+				r := exploreAll()[i].result
 				AddReportEntry(r.String())
 				Expect(r.Violation).To(BeEmpty(), model.FormatTrace(r.Trace))
 			})
 			continue
 		}
 		It("is found broken without "+string(o.guard)+" in: "+o.check.Name, func() {
-			r := explored()[i].result
+			r := exploreAll()[i].result
 			AddReportEntry(r.String())
 			Expect(r.Violation).NotTo(BeEmpty(), r.String())
 		})
 	}
 })
 
-// outcomes lists what explored runs, in the same order.
-func outcomes() []outcome {
-	var all []outcome
+// explorations lists what explored runs, in the same order.
+func explorations() []exploration {
+	var all []exploration
 	for _, c := range model.Checks() {
-		all = append(all, outcome{check: c})
+		all = append(all, exploration{check: c})
 		for _, g := range c.Guards {
-			all = append(all, outcome{
+			all = append(all, exploration{
 				check: c,
 				guard: g,
 			})
--- a/model/claim.go
+++ b/model/claim.go
@@ -13,11 +13,11 @@
 
 // The scenarios of the specification of claims.
 const (
-	HomeLeaves  ClaimScenario = "home-leaves"  // the home of the key goes off the list
-	HomeReturns ClaimScenario = "home-returns" // and comes back on it
-	HomeJoins   ClaimScenario = "home-joins"   // a new box becomes the key's home
-	HomeStops   ClaimScenario = "home-stops"   // the home is stopped as planned, then goes off the list
-	SameList    ClaimScenario = "same-list"
+	OwnerLeaves  ClaimScenario = "home-leaves"  // the home of the key goes off the list
+	OwnerReturns ClaimScenario = "home-returns" // and comes back on it
+	OwnerJoins   ClaimScenario = "home-joins"   // a new box becomes the key's home
+	OwnerStops   ClaimScenario = "home-stops"   // the home is stopped as planned, then goes off the list
+	SameList     ClaimScenario = "same-list"
 )
 
 // ClaimRules are the bounds of the specification of claims.
@@ -34,10 +34,10 @@
 // claimTimes are the core's bounds in units of the specification's time.
 func claimTimes() core.ClaimRules {
 	return core.ClaimRules{
-		Guard:     3 * unit,
-		Fresh:     1 * unit,
-		GrantTTL:  1 * unit,
-		Retention: 100 * unit,
+		Guard:     3 * timeStep,
+		Fresh:     1 * timeStep,
+		GrantTTL:  1 * timeStep,
+		Retention: 100 * timeStep,
 	}
 }
 
@@ -54,12 +54,12 @@
 
 // claimRequest is one caller's request through one box's entry.
 type claimRequest struct {
-	key   core.ClaimKey
-	box   int
-	state requestState
-	asked int
-	until int
-	ran   bool
+	key          core.ClaimKey
+	box          int
+	state        requestState
+	askedAt      int
+	grantedUntil int
+	ran          bool
 }
 
 func (r *claimRequest) attempt(i int) string { return fmt.Sprintf("a%d", i) }
@@ -73,23 +73,23 @@
 
 // claimMessage is a message between an entry and a home.
 type claimMessage struct {
-	kind    claimMessageKind
-	request int
-	home    int
-	list    uint64
-	known   core.Incarnation
-	verdict core.ClaimVerdict
-	life    core.Incarnation
+	kind             claimMessageKind
+	request          int
+	owner            int
+	list             uint64
+	knownIncarnation core.Incarnation
+	verdict          core.ClaimVerdict
+	ownerIncarnation core.Incarnation
 }
 
 type claimBox struct {
-	home        *core.ClaimOwner // nil while the process is dead
-	incarnation core.Incarnation
-	list        int // index of the list in use, -1 for none
-	cut         bool
-	paused      bool
-	stopping    bool
-	known       [len(boxNames)]core.Incarnation // homes' lives that its entry met
+	owner            *core.ClaimOwner // nil while the process is dead
+	incarnation      core.Incarnation
+	list             int // index of the list in use, -1 for none
+	cut              bool
+	paused           bool
+	stopping         bool
+	knownIncarnation [len(boxNames)]core.Incarnation // homes' lives that its entry met
 }
 
 type claimState struct {
@@ -100,16 +100,16 @@
 	faults    int
 	boxes     [len(boxNames)]claimBox
 	requests  []claimRequest
-	net       []claimMessage
+	inFlight  []claimMessage
 	effects   []int
-	made      []int // when each key was first used, -1 before
+	firstUsed []int // when each key was first used, -1 before
 }
 
 // The boxes of the specification: the first is the keys' home, the second its
 // successor; the third only vouches and carries callers, and follows the list
 // at each step of time.
 const (
-	boxHome = iota
+	boxOwner = iota
 	boxSuccessor
 	boxThird
 )
@@ -118,10 +118,10 @@
 // most once.
 func Claims(rules ClaimRules) State {
 	s := &claimState{
-		rules:   &rules,
-		faults:  rules.Faults,
-		effects: make([]int, rules.Keys),
-		made:    slices.Repeat([]int{-1}, rules.Keys),
+		rules:     &rules,
+		faults:    rules.Faults,
+		effects:   make([]int, rules.Keys),
+		firstUsed: slices.Repeat([]int{-1}, rules.Keys),
 	}
 	keys := claimKeys(rules.Keys)
 	s.lists = claimLists(rules.Scenario)
@@ -138,8 +138,8 @@
 			s.startBox(i)
 		}
 	}
-	s.handovers() // all tell what they met
-	s.handovers() // all are settled now and say so
+	s.requestHandovers() // all tell what they met
+	s.requestHandovers() // all are settled now and say so
 	s.now = bootTime
 	s.tick()
 	return s
@@ -150,7 +150,7 @@
 
 // claimKeys gives keys whose home is box-a while it is listed.
 func claimKeys(n int) []core.ClaimKey {
-	all := listOf(1, 0, boxNames[:]...)
+	all := newList(1, 0, boxNames[:]...)
 	var keys []core.ClaimKey
 	for i := 0; len(keys) < n; i++ {
 		key := core.ClaimKey{
@@ -165,14 +165,14 @@
 }
 
 func claimLists(scenario ClaimScenario) []*core.List {
-	all := listOf(1, 0, boxNames[:]...)
+	all := newList(1, 0, boxNames[:]...)
 	switch scenario {
-	case HomeLeaves, HomeStops:
-		return []*core.List{all, listOf(2, unit, boxNames[1:]...)}
-	case HomeReturns:
-		return []*core.List{all, listOf(2, unit, boxNames[1:]...), listOf(3, 2*unit, boxNames[:]...)}
-	case HomeJoins:
-		return []*core.List{listOf(1, 0, boxNames[1:]...), listOf(2, unit, boxNames[:]...)}
+	case OwnerLeaves, OwnerStops:
+		return []*core.List{all, newList(2, timeStep, boxNames[1:]...)}
+	case OwnerReturns:
+		return []*core.List{all, newList(2, timeStep, boxNames[1:]...), newList(3, 2*timeStep, boxNames[:]...)}
+	case OwnerJoins:
+		return []*core.List{newList(1, 0, boxNames[1:]...), newList(2, timeStep, boxNames[:]...)}
 	}
 	return []*core.List{all}
 }
@@ -181,12 +181,12 @@
 func (s *claimState) startBox(i int) {
 	b := &s.boxes[i]
 	b.incarnation++
-	b.home = core.NewClaimOwner(core.Box{
+	b.owner = core.NewClaimOwner(core.Box{
 		Name:        boxNames[i],
 		Incarnation: b.incarnation,
 	}, claimTimes(), at(s.now), s.rules.Options...)
 	b.list = -1
-	b.known = [len(boxNames)]core.Incarnation{}
+	b.knownIncarnation = [len(boxNames)]core.Incarnation{}
 	s.adopt(i, s.published)
 }
 
@@ -194,8 +194,8 @@
 	b := &s.boxes[i]
 	b.list = list
 	published := *s.lists[list]
-	published.Age = time.Duration(s.now) * unit
-	b.home.Step(at(s.now), core.ListAdopted{
+	published.Age = time.Duration(s.now) * timeStep
+	b.owner.Step(at(s.now), core.ListAdopted{
 		List: &published,
 		At:   at(s.now),
 	})
@@ -203,28 +203,28 @@
 
 func (s *claimState) reachable(i, j int) bool {
 	a, b := &s.boxes[i], &s.boxes[j]
-	if a.home == nil || b.home == nil || a.paused || b.paused {
+	if a.owner == nil || b.owner == nil || a.paused || b.paused {
 		return false
 	}
 	return i == j || !a.cut && !b.cut
 }
 
-// handovers lets each box that can reach another take what it hands over.
-func (s *claimState) handovers() {
+// requestHandovers lets each box that can reach another take what it hands over.
+func (s *claimState) requestHandovers() {
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if b.home == nil || b.paused {
+		if b.owner == nil || b.paused {
 			continue
 		}
-		for _, command := range b.home.Step(at(s.now), core.HandoverDue{}) {
+		for _, command := range b.owner.Step(at(s.now), core.HandoverDue{}) {
 			if wanted, ok := command.(core.HandoverWanted); ok {
-				s.handover(slices.Index(boxNames[:], wanted.From), i, wanted.ListVersion)
+				s.transferClaims(slices.Index(boxNames[:], wanted.From), i, wanted.ListVersion)
 			}
 		}
 	}
 }
 
-func (s *claimState) handover(from, to int, version uint64) {
+func (s *claimState) transferClaims(from, to int, version uint64) {
 	if !s.reachable(from, to) {
 		return
 	}
@@ -235,9 +235,9 @@
 		},
 		ListVersion: version,
 	}
-	for _, command := range s.boxes[from].home.Step(at(s.now), asked) {
+	for _, command := range s.boxes[from].owner.Step(at(s.now), asked) {
 		if sent, ok := command.(core.HandoverSent); ok {
-			s.boxes[to].home.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
+			s.boxes[to].owner.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
 		}
 	}
 }
@@ -245,12 +245,12 @@
 func (s *claimState) clone() *claimState {
 	copied := *s
 	copied.requests = slices.Clone(s.requests)
-	copied.net = slices.Clone(s.net)
+	copied.inFlight = slices.Clone(s.inFlight)
 	copied.effects = slices.Clone(s.effects)
-	copied.made = slices.Clone(s.made)
+	copied.firstUsed = slices.Clone(s.firstUsed)
 	for i := range copied.boxes {
-		if copied.boxes[i].home != nil {
-			copied.boxes[i].home = copied.boxes[i].home.Clone()
+		if copied.boxes[i].owner != nil {
+			copied.boxes[i].owner = copied.boxes[i].owner.Clone()
 		}
 	}
 	return &copied
@@ -258,18 +258,18 @@
 
 // Key writes what decides the later states. Messages are a set.
 func (s *claimState) Key() string {
-	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;", s.now, s.faults, s.published, s.requests, s.effects, s.made)
-	texts := make([]string, 0, len(s.net))
-	for _, m := range s.net {
+	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;", s.now, s.faults, s.published, s.requests, s.effects, s.firstUsed)
+	texts := make([]string, 0, len(s.inFlight))
+	for _, m := range s.inFlight {
 		texts = append(texts, fmt.Sprint(m))
 	}
 	slices.Sort(texts)
 	b = fmt.Appendf(b, "%v;", texts)
 	for i := range s.boxes {
 		box := &s.boxes[i]
-		b = fmt.Appendf(b, "%d,%d,%v,%v,%v,%v;", box.incarnation, box.list, box.cut, box.paused, box.stopping, box.known)
-		if box.home != nil {
-			b = box.home.Fingerprint(b, at(s.now))
+		b = fmt.Appendf(b, "%d,%d,%v,%v,%v,%v;", box.incarnation, box.list, box.cut, box.paused, box.stopping, box.knownIncarnation)
+		if box.owner != nil {
+			b = box.owner.Fingerprint(b, at(s.now))
 		}
 	}
 	return string(b)
@@ -278,28 +278,28 @@
 // Next gives every step that callers, entries, homes, the platform, time and
 // faults can take.
 func (s *claimState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *claimState) steps(add func(string, func(*claimState))) {
+// addSteps adds each of them.
+func (s *claimState) addSteps(add func(string, func(*claimState))) {
 	for i := range s.requests {
-		s.nextRequest(i, add)
+		s.addRequestSteps(i, add)
 	}
-	for m := range s.net {
-		s.nextMessage(m, add)
+	for m := range s.inFlight {
+		s.addMessageSteps(m, add)
 	}
-	s.nextPlatform(add)
-	s.nextRecovery(add)
+	s.addPlatformSteps(add)
+	s.addRecoverySteps(add)
 	if s.faults > 0 {
-		s.nextFault(add)
+		s.addFaults(add)
 	}
 }
 
 type claimAdder func(label string, change func(*claimState))
 
-// Broken checks what is promised of requests that may run at most once.
-func (s *claimState) Broken() (string, bool) {
+// FindViolation checks what is promised of requests that may run at most once.
+func (s *claimState) FindViolation() (string, bool) {
 	for key, n := range s.effects {
 		if n > 1 {
 			return fmt.Sprintf("the request of key %d ran %d times", key, n), true
--- a/model/claim_fault.go
+++ b/model/claim_fault.go
@@ -6,21 +6,21 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// nextPlatform gives the platform's and time's own steps.
-func (s *claimState) nextPlatform(add claimAdder) {
+// addPlatformSteps gives the platform's and time's own steps.
+func (s *claimState) addPlatformSteps(add claimAdder) {
 	if s.published+1 < len(s.lists) {
 		add(fmt.Sprintf("the platform publishes list %d", s.published+2), func(n *claimState) { n.published++ })
 	}
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if i != boxThird && b.home != nil && !b.paused && !b.cut && b.list < s.published {
+		if i != boxThird && b.owner != nil && !b.paused && !b.cut && b.list < s.published {
 			add(fmt.Sprintf("%s adopts list %d", boxNames[i], b.list+2), func(n *claimState) { n.adopt(i, n.boxes[i].list+1) })
 		}
-		if b.home == nil && b.incarnation == 0 && s.lists[s.published].Member(boxNames[i]) != nil {
+		if b.owner == nil && b.incarnation == 0 && s.lists[s.published].Member(boxNames[i]) != nil {
 			add(boxNames[i]+" starts", func(n *claimState) { n.startBox(i) })
 		}
 	}
-	s.nextStop(add)
+	s.addStopSteps(add)
 	if s.now < bootTime+1+s.rules.Time {
 		add("time passes", func(n *claimState) { n.tick() })
 	}
@@ -32,7 +32,7 @@
 	s.now++
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if b.home == nil || b.paused || b.cut {
+		if b.owner == nil || b.paused || b.cut {
 			continue
 		}
 		if i == boxThird && b.list < s.published {
@@ -41,17 +41,17 @@
 		if b.list != s.published {
 			continue
 		}
-		b.home.Step(at(s.now), core.ListConfirmed{
+		b.owner.Step(at(s.now), core.ListConfirmed{
 			Version: s.lists[b.list].Version,
 			At:      at(s.now),
 		})
 	}
-	s.handovers()
+	s.requestHandovers()
 }
 
-// nextFault gives what can go wrong. A cut or paused box comes back without
+// addFaults gives what can go wrong. A cut or paused box comes back without
 // another fault, and the process of a dead one is started anew.
-func (s *claimState) nextFault(add claimAdder) {
+func (s *claimState) addFaults(add claimAdder) {
 	fault := func(label string, change func(*claimState)) {
 		add("fault: "+label, func(n *claimState) {
 			n.faults--
@@ -60,22 +60,22 @@
 	}
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if b.home != nil && i != boxThird {
+		if b.owner != nil && i != boxThird {
 			fault(boxNames[i]+" dies and restarts with empty memory", func(n *claimState) { n.startBox(i) })
 		}
-		if b.home != nil && i == boxHome {
-			fault(boxNames[i]+" dies for good", func(n *claimState) { n.boxes[i].home = nil })
+		if b.owner != nil && i == boxOwner {
+			fault(boxNames[i]+" dies for good", func(n *claimState) { n.boxes[i].owner = nil })
 		}
-		if b.home != nil && !b.paused && i != boxThird {
+		if b.owner != nil && !b.paused && i != boxThird {
 			fault(boxNames[i]+" is paused", func(n *claimState) { n.boxes[i].paused = true })
 		}
-		if b.home != nil && !b.cut {
+		if b.owner != nil && !b.cut {
 			fault(boxNames[i]+" is cut off", func(n *claimState) { n.boxes[i].cut = true })
 		}
 	}
 }
 
-func (s *claimState) nextRecovery(add claimAdder) {
+func (s *claimState) addRecoverySteps(add claimAdder) {
 	for i := range s.boxes {
 		if s.boxes[i].paused {
 			add(boxNames[i]+" wakes", func(n *claimState) { n.boxes[i].paused = false })
@@ -86,37 +86,37 @@
 	}
 }
 
-// nextStop gives the steps of a planned stop of the home: it hands over what it
+// addStopSteps gives the steps of a planned stop of the home: it hands over what it
 // has, and leaves when no granted claim is open.
-func (s *claimState) nextStop(add claimAdder) {
-	b := &s.boxes[boxHome]
-	if s.rules.Scenario != HomeStops || b.home == nil || b.paused {
+func (s *claimState) addStopSteps(add claimAdder) {
+	b := &s.boxes[boxOwner]
+	if s.rules.Scenario != OwnerStops || b.owner == nil || b.paused {
 		return
 	}
 	if !b.stopping {
-		add(boxNames[boxHome]+" is stopped as planned", func(n *claimState) {
-			n.boxes[boxHome].stopping = true
+		add(boxNames[boxOwner]+" is stopped as planned", func(n *claimState) {
+			n.boxes[boxOwner].stopping = true
 			n.retire()
 		})
 		return
 	}
-	if b.home.Open() == 0 {
-		add(boxNames[boxHome]+" hands over once more and leaves", func(n *claimState) {
+	if b.owner.Open() == 0 {
+		add(boxNames[boxOwner]+" hands over once more and leaves", func(n *claimState) {
 			n.retire()
-			n.boxes[boxHome].home = nil
+			n.boxes[boxOwner].owner = nil
 		})
 	}
 }
 
 func (s *claimState) retire() {
-	for _, command := range s.boxes[boxHome].home.Step(at(s.now), core.Retire{}) {
+	for _, command := range s.boxes[boxOwner].owner.Step(at(s.now), core.Retire{}) {
 		sent, ok := command.(core.HandoverSent)
 		if !ok {
 			continue
 		}
 		for i := range boxNames {
-			if boxNames[i] == sent.Handover.To && s.reachable(boxHome, i) {
-				s.boxes[i].home.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
+			if boxNames[i] == sent.Handover.To && s.reachable(boxOwner, i) {
+				s.boxes[i].owner.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
 			}
 		}
 	}
--- a/model/clock.go
+++ b/model/clock.go
@@ -6,19 +6,19 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// start is the moment at which every specification begins.
-var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the moment at which every specification begins.
+var startTime = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// unit is one step of a specification's time.
-const unit = time.Second
+// timeStep is one step of a specification's time.
+const timeStep = time.Second
 
-func at(step int) time.Time { return start.Add(time.Duration(step) * unit) }
+func at(step int) time.Time { return startTime.Add(time.Duration(step) * timeStep) }
 
 // boxNames are the boxes of every specification.
 var boxNames = [3]string{"box-a", "box-b", "box-c"}
 
-// listOf builds a list version from the boxes that are live in it.
-func listOf(version uint64, age time.Duration, live ...string) *core.List {
+// newList builds a list version from the boxes that are live in it.
+func newList(version uint64, age time.Duration, live ...string) *core.List {
 	l := &core.List{
 		Version: version,
 		Age:     age,
--- a/model/drain.go
+++ b/model/drain.go
@@ -13,14 +13,14 @@
 }
 
 type drainState struct {
-	rules   *DrainRules
-	drain   *core.Drain
-	streams int
-	pending int // claims that the next home has not taken
-	begun   int
-	stops   int
-	cut     bool // a stream was cut, or a claim lost, by the leaving
-	late    bool // a stream was taken after the stop
+	rules          *DrainRules
+	drain          *core.Drain
+	streams        int
+	pendingClaims  int // claims that the next home has not taken
+	startedStreams int
+	stopRequests   int
+	lostWork       bool // a stream was cut, or a claim lost, by the leaving
+	acceptedLate   bool // a stream was taken after the stop
 }
 
 // maxStops is how often the stop is asked for.
@@ -29,35 +29,35 @@
 // PlannedStops gives the first state of the specification of planned stops.
 func PlannedStops(rules DrainRules) State {
 	return &drainState{
-		rules:   &rules,
-		drain:   core.NewDrain(rules.Options...),
-		pending: 1,
+		rules:         &rules,
+		drain:         core.NewDrain(rules.Options...),
+		pendingClaims: 1,
 	}
 }
 
 // Key writes what decides the later states.
 func (s *drainState) Key() string {
-	return fmt.Sprint(s.drain.State, s.streams, s.pending, s.begun, s.stops, s.cut, s.late)
+	return fmt.Sprint(s.drain.State, s.streams, s.pendingClaims, s.startedStreams, s.stopRequests, s.lostWork, s.acceptedLate)
 }
 
 func (s *drainState) step(ev core.Event) {
 	for _, command := range s.drain.Step(at(0), ev) {
 		if _, ok := command.(core.Exit); ok {
-			s.cut = s.streams+s.pending > 0
+			s.lostWork = s.streams+s.pendingClaims > 0
 		}
 	}
 }
 
-func (s *drainState) changed() {
+func (s *drainState) reportWork() {
 	s.step(core.WorkChanged{
 		Streams: s.streams,
-		Pending: s.pending,
+		Pending: s.pendingClaims,
 	})
 }
 
 // Next gives every step of callers, operators and the handover.
 func (s *drainState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
 func (s *drainState) clone() *drainState {
@@ -66,41 +66,41 @@
 	return &copied
 }
 
-// steps adds each of them.
-func (s *drainState) steps(add func(string, func(*drainState))) {
-	if s.drain.Accepting() && s.begun < s.rules.Streams {
+// addSteps adds each of them.
+func (s *drainState) addSteps(add func(string, func(*drainState))) {
+	if s.drain.Accepting() && s.startedStreams < s.rules.Streams {
 		add("a stream begins", func(n *drainState) {
-			n.begun++
+			n.startedStreams++
 			n.streams++
-			n.late = !n.drain.Accepting()
-			n.changed()
+			n.acceptedLate = !n.drain.Accepting()
+			n.reportWork()
 		})
 	}
 	if s.streams > 0 {
 		add("a stream ends", func(n *drainState) {
 			n.streams--
-			n.changed()
+			n.reportWork()
 		})
 	}
-	if s.pending > 0 && !s.drain.Accepting() {
+	if s.pendingClaims > 0 && !s.drain.Accepting() {
 		add("the next home takes the claims", func(n *drainState) {
-			n.pending--
-			n.changed()
+			n.pendingClaims--
+			n.reportWork()
 		})
 	}
-	if s.stops < maxStops {
+	if s.stopRequests < maxStops {
 		add("a planned stop is asked for", func(n *drainState) {
-			n.stops++
-			n.changed()
+			n.stopRequests++
+			n.reportWork()
 			n.step(core.StopRequested{})
 		})
 	}
 }
 
-// Broken checks what planned stops promise.
-func (s *drainState) Broken() (string, bool) {
-	if s.cut {
+// FindViolation checks what planned stops promise.
+func (s *drainState) FindViolation() (string, bool) {
+	if s.lostWork {
 		return "a planned stop cut a request in progress", true
 	}
-	return "a stream was taken after the stop", s.late
+	return "a stream was taken after the stop", s.acceptedLate
 }
--- a/model/explore.go
+++ b/model/explore.go
@@ -12,9 +12,9 @@
 
 // State is one state of a specification.
 type State interface {
-	Key() string            // equal for states that behave alike
-	Next() []Transition     // in an order that doesn't change between runs
-	Broken() (string, bool) // what promise the state breaks
+	Key() string                   // equal for states that behave alike
+	Next() []Transition            // in an order that doesn't change between runs
+	FindViolation() (string, bool) // what promise the state breaks
 }
 
 // Transition is one step to another state.
@@ -41,11 +41,11 @@
 
 // String gives the result in one line.
 func (r Result) String() string {
-	how := "all states"
+	coverage := "all states"
 	if !r.Complete {
-		how = "up to the bound"
+		coverage = "up to the bound"
 	}
-	text := fmt.Sprintf("%d states, depth %d, %s, %s", r.States, r.Depth, r.Elapsed.Round(time.Millisecond), how)
+	text := fmt.Sprintf("%d states, depth %d, %s, %s", r.States, r.Depth, r.Elapsed.Round(time.Millisecond), coverage)
 	if r.Violation != "" {
 		text += "; broken: " + r.Violation
 	}
@@ -69,12 +69,12 @@
 func (e edge) To() graph.Node           { return e.to }
 func (e edge) ReversedEdge() graph.Edge { return edge{from: e.to, to: e.from} }
 
-// space is the graph of a specification's states, made as it is walked.
-type space struct {
-	nodes  []*node
-	byKey  map[fingerprint]int64
-	states int
-	full   bool
+// stateGraph is the graph of a specification's states, made as it is walked.
+type stateGraph struct {
+	nodes        []*node
+	byKey        map[fingerprint]int64
+	maxStates    int
+	limitReached bool
 }
 
 // fingerprint stands for a state's key, which would fill the memory: two keys of
@@ -88,15 +88,15 @@
 
 // From gives the states after one; the library asks once for each, and then the
 // state itself is let go.
-func (s *space) From(id int64) graph.Nodes {
+func (s *stateGraph) From(id int64) graph.Nodes {
 	from := s.nodes[id]
-	if from.state == nil || s.full {
+	if from.state == nil || s.limitReached {
 		return graph.Empty
 	}
 	var next []graph.Node
 	for _, t := range from.state.Next() {
-		n, fresh := s.intern(t.To, id, t.Label)
-		if fresh {
+		n, isNew := s.intern(t.To, id, t.Label)
+		if isNew {
 			next = append(next, n)
 		}
 	}
@@ -108,14 +108,14 @@
 }
 
 // Edge gives the edge between two states.
-func (s *space) Edge(u, v int64) graph.Edge {
+func (s *stateGraph) Edge(u, v int64) graph.Edge {
 	return edge{
 		from: s.nodes[u],
 		to:   s.nodes[v],
 	}
 }
 
-func (s *space) intern(state State, parent int64, label string) (*node, bool) {
+func (s *stateGraph) intern(state State, parent int64, label string) (*node, bool) {
 	key := fingerprintOf(state.Key())
 	if id, known := s.byKey[key]; known {
 		return s.nodes[id], false
@@ -128,7 +128,7 @@
 	}
 	s.nodes = append(s.nodes, n)
 	s.byKey[key] = n.id
-	s.full = s.full || len(s.nodes) >= s.states
+	s.limitReached = s.limitReached || len(s.nodes) >= s.maxStates
 	return n, true
 }
 
@@ -148,36 +148,36 @@
 // Explore walks all states from a first one, breadth first.
 func Explore(first State, bounds Bounds) Result {
 	began := time.Now()
-	s := &space{
-		byKey:  make(map[fingerprint]int64),
-		states: bounds.States,
+	s := &stateGraph{
+		byKey:     make(map[fingerprint]int64),
+		maxStates: bounds.States,
 	}
 	root, _ := s.intern(first, -1, "start")
 	var out Result
-	deep := false
+	depthExceeded := false
 	walker := traverse.BreadthFirst{}
 	found := walker.Walk(s, root, func(n graph.Node, depth int) bool {
 		out.Depth = depth
 		if depth > bounds.Depth {
-			deep = true
+			depthExceeded = true
 			return true
 		}
-		what, broken := n.(*node).state.Broken()
-		if broken {
-			out.Violation = what
+		violation, violated := n.(*node).state.FindViolation()
+		if violated {
+			out.Violation = violation
 		}
-		return broken
+		return violated
 	})
 	out.States = len(s.nodes)
 	out.Elapsed = time.Since(began)
-	out.Complete = !deep && !s.full
+	out.Complete = !depthExceeded && !s.limitReached
 	if found != nil && out.Violation != "" {
 		out.Trace = s.trace(found.ID())
 	}
 	return out
 }
 
-func (s *space) trace(id int64) []string {
+func (s *stateGraph) trace(id int64) []string {
 	var steps []string
 	for ; id > 0; id = s.nodes[id].parent {
 		steps = append([]string{s.nodes[id].label}, steps...)
@@ -199,8 +199,8 @@
 		t := next[choose(len(next))]
 		out.Trace = append(out.Trace, t.Label)
 		at = t.To
-		if what, broken := at.Broken(); broken {
-			out.Violation = what
+		if violation, violated := at.FindViolation(); violated {
+			out.Violation = violation
 			break
 		}
 	}
--- a/model/fence.go
+++ b/model/fence.go
@@ -8,15 +8,15 @@
 
 // FenceRules are the bounds of the specification of fenced orders.
 type FenceRules struct {
-	Checks  bool // the endpoint checks fences
-	Faults  int
-	Time    int
-	Options []core.Option
+	EndpointChecks bool // the endpoint checks fences
+	Faults         int
+	Time           int
+	Options        []core.Option
 }
 
-// fenceFresh is how old a reading may be for orders to an endpoint that doesn't
+// maxListAge is how old a reading may be for orders to an endpoint that doesn't
 // check.
-const fenceFresh = 1
+const maxListAge = 1
 
 type fenceOwner struct {
 	orders *core.OrderPermission
@@ -26,32 +26,32 @@
 }
 
 type fenceState struct {
-	rules     *FenceRules
-	now       int
-	faults    int
-	published int
-	owners    [2]fenceOwner
-	held      []core.Fence // orders on their way, late
-	gate      *core.FenceCheck
-	applied   core.Fence
-	older     bool
+	rules        *FenceRules
+	now          int
+	faults       int
+	published    int
+	owners       [2]fenceOwner
+	delayed      []core.Fence // orders on their way, late
+	fenceCheck   *core.FenceCheck
+	applied      core.Fence
+	appliedOlder bool
 }
 
 // Fences gives the first state of the specification of fenced orders: an owner
 // before a list change, the one after it, and an endpoint.
 func Fences(rules FenceRules) State {
 	s := &fenceState{
-		rules:     &rules,
-		faults:    rules.Faults,
-		published: 1,
-		gate:      core.NewFenceCheck(rules.Options...),
+		rules:      &rules,
+		faults:     rules.Faults,
+		published:  1,
+		fenceCheck: core.NewFenceCheck(rules.Options...),
 	}
-	if !rules.Checks {
-		s.gate = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
+	if !rules.EndpointChecks {
+		s.fenceCheck = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
 	}
 	for i := range s.owners {
 		s.owners[i] = fenceOwner{
-			orders: core.NewOrderPermission(core.OrderRules{Fresh: fenceFresh * unit}, rules.Options...),
+			orders: core.NewOrderPermission(core.OrderRules{Fresh: maxListAge * timeStep}, rules.Options...),
 			list:   1,
 		}
 		s.owners[i].orders.Step(at(0), core.ListConfirmed{At: at(0)})
@@ -62,8 +62,8 @@
 
 func (s *fenceState) clone() *fenceState {
 	copied := *s
-	copied.gate = s.gate.Clone()
-	copied.held = append([]core.Fence(nil), s.held...)
+	copied.fenceCheck = s.fenceCheck.Clone()
+	copied.delayed = append([]core.Fence(nil), s.delayed...)
 	for i := range copied.owners {
 		copied.owners[i].orders = s.owners[i].orders.Clone()
 	}
@@ -72,7 +72,7 @@
 
 // Key writes what decides the later states.
 func (s *fenceState) Key() string {
-	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;%v;", s.now, s.faults, s.published, s.held, s.gate.Highest, s.applied, s.older)
+	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;%v;", s.now, s.faults, s.published, s.delayed, s.fenceCheck.Highest, s.applied, s.appliedOlder)
 	for i := range s.owners {
 		o := &s.owners[i]
 		b = fmt.Appendf(b, "%d,%v,%v;", o.list, o.cut, o.paused)
@@ -83,26 +83,26 @@
 
 // Next gives every step of the platform, owners, time and faults.
 func (s *fenceState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *fenceState) steps(add func(string, func(*fenceState))) {
+// addSteps adds each of them.
+func (s *fenceState) addSteps(add func(string, func(*fenceState))) {
 	if s.published == 1 {
 		add("the platform publishes list 2", func(n *fenceState) { n.published = 2 })
 	}
 	for i := range s.owners {
-		s.nextOwner(i, add)
+		s.addOwnerSteps(i, add)
 	}
-	for h := range s.held {
-		add("a late order arrives", func(n *fenceState) { n.arriveHeld(h) })
+	for h := range s.delayed {
+		add("a late order arrives", func(n *fenceState) { n.deliverDelayed(h) })
 	}
 	if s.now < s.rules.Time {
 		add("time passes", func(n *fenceState) { n.tick() })
 	}
 }
 
-func (s *fenceState) nextOwner(i int, add func(string, func(*fenceState))) {
+func (s *fenceState) addOwnerSteps(i int, add func(string, func(*fenceState))) {
 	o := &s.owners[i]
 	if o.paused {
 		add(boxNames[i]+" wakes", func(n *fenceState) { n.owners[i].paused = false })
@@ -111,12 +111,12 @@
 	if !o.cut && o.list < s.published {
 		add(boxNames[i]+" adopts list 2", func(n *fenceState) { n.adopt(i) })
 	}
-	if o.orders.Permitted(at(s.now), s.rules.Checks) {
-		add(boxNames[i]+" sends an order", func(n *fenceState) { n.arrive(n.fence(i)) })
-		if s.faults > 0 && s.rules.Checks {
+	if o.orders.Permitted(at(s.now), s.rules.EndpointChecks) {
+		add(boxNames[i]+" sends an order", func(n *fenceState) { n.deliver(n.fence(i)) })
+		if s.faults > 0 && s.rules.EndpointChecks {
 			add("fault: "+boxNames[i]+" sends an order that is late", func(n *fenceState) {
 				n.faults--
-				n.held = append(n.held, n.fence(i))
+				n.delayed = append(n.delayed, n.fence(i))
 			})
 		}
 	}
@@ -154,17 +154,17 @@
 	o.orders.Step(at(s.now), core.HoldTaken{})
 }
 
-func (s *fenceState) arriveHeld(h int) {
-	f := s.held[h]
-	s.held = append(s.held[:h:h], s.held[h+1:]...)
-	s.arrive(f)
+func (s *fenceState) deliverDelayed(h int) {
+	f := s.delayed[h]
+	s.delayed = append(s.delayed[:h:h], s.delayed[h+1:]...)
+	s.deliver(f)
 }
 
-func (s *fenceState) arrive(f core.Fence) {
-	if !s.gate.Admit(f) {
+func (s *fenceState) deliver(f core.Fence) {
+	if !s.fenceCheck.Admit(f) {
 		return
 	}
-	s.older = s.older || f.Compare(s.applied) < 0
+	s.appliedOlder = s.appliedOlder || f.Compare(s.applied) < 0
 	s.applied = f
 }
 
@@ -178,7 +178,7 @@
 	}
 }
 
-// Broken checks what fences promise.
-func (s *fenceState) Broken() (string, bool) {
-	return "an older owner's order was applied after a newer owner's", s.older
+// FindViolation checks what fences promise.
+func (s *fenceState) FindViolation() (string, bool) {
+	return "an older owner's order was applied after a newer owner's", s.appliedOlder
 }
--- a/model/lease.go
+++ b/model/lease.go
@@ -19,70 +19,70 @@
 
 func leaseTimes() core.LeaseRules {
 	return core.LeaseRules{
-		TTL:   1 * unit,
-		Fresh: 2 * unit,
+		TTL:   1 * timeStep,
+		Fresh: 2 * timeStep,
 	}
 }
 
 // leaseOwner is one box that is, or takes itself for, the owner.
 type leaseOwner struct {
-	hold    *core.Ownership
-	list    int // version in use
-	cut     bool
-	paused  bool
-	dead    bool
-	leaving bool // what its list says of the endpoint
+	ownership *core.Ownership
+	list      int // version in use
+	cut       bool
+	paused    bool
+	dead      bool
+	leaving   bool // what its list says of the endpoint
 }
 
 // leaseState is one state of two owners, before and after a list change, an
 // entry that asks both, and an endpoint.
 type leaseState struct {
-	rules     *LeaseRules
-	now       int
-	faults    int
-	published int
-	leftAt    int // when the platform showed the endpoint as leaving, -1 before
-	owners    [2]leaseOwner
-	leases    [2]core.Lease
-	paused    bool // the entry
-	late      bool // work was sent to the endpoint too late
+	rules        *LeaseRules
+	now          int
+	faults       int
+	published    int
+	leavingSince int // when the platform showed the endpoint as leaving, -1 before
+	owners       [2]leaseOwner
+	leases       [2]core.Lease
+	paused       bool // the entry
+	sentLate     bool // work was sent to the endpoint too late
 }
 
 // Leases gives the first state of the specification of leases.
 func Leases(rules LeaseRules) State {
 	s := &leaseState{
-		rules:     &rules,
-		faults:    rules.Faults,
-		published: 1,
-		leftAt:    -1,
+		rules:        &rules,
+		faults:       rules.Faults,
+		published:    1,
+		leavingSince: -1,
 	}
 	for i := range s.owners {
 		s.owners[i] = leaseOwner{
-			hold: core.NewOwnership("engine", leaseTimes(), rules.Options...),
-			list: 1,
+			ownership: core.NewOwnership("engine", leaseTimes(), rules.Options...),
+			list:      1,
 		}
-		s.owners[i].hold.Step(at(0), core.ListConfirmed{At: at(0)})
-		s.owners[i].hold.Step(at(0), core.HoldTicked{})
+		s.owners[i].ownership.Step(at(0), core.ListConfirmed{At: at(0)})
+		s.owners[i].ownership.Step(at(0), core.HoldTicked{})
 	}
-	s.owners[0].hold.Step(at(0), core.HoldTaken{Fresh: true})
+	s.owners[0].ownership.Step(at(0), core.HoldTaken{Fresh: true})
 	return s
 }
 
 func (s *leaseState) clone() *leaseState {
 	copied := *s
 	for i := range copied.owners {
-		copied.owners[i].hold = s.owners[i].hold.Clone()
+		copied.owners[i].ownership = s.owners[i].ownership.Clone()
 	}
 	return &copied
 }
 
 // Key writes what decides the later states.
 func (s *leaseState) Key() string {
-	b := fmt.Appendf(nil, "%d;%d;%d;%d;%v;%v;", s.now, s.faults, s.published, s.leftAt, s.paused, s.late)
+	b := fmt.Appendf(nil, "%d;%d;%d;%d;%v;%v;", s.now, s.faults, s.published, s.leavingSince, s.paused, s.sentLate)
 	for i := range s.owners {
 		o := &s.owners[i]
 		b = fmt.Appendf(b, "%d,%v,%v,%v,%v;", o.list, o.cut, o.paused, o.dead, o.leaving)
-		b = o.hold.Fingerprint(b, at(s.now))
+		b = o.ownership.Fingerprint(b, at(s.now))
 		b = fmt.Appendf(b, "%d,%d;", s.leases[i].Tokens, s.leases[i].Until.Unix())
 	}
 	return string(b)
@@ -90,16 +90,16 @@
 
 // Next gives every step of platform, owners, entry, time and faults.
 func (s *leaseState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *leaseState) steps(add func(string, func(*leaseState))) {
+// addSteps adds each of them.
+func (s *leaseState) addSteps(add func(string, func(*leaseState))) {
 	if s.published == 1 {
 		add("the platform publishes list 2", func(n *leaseState) { n.publish() })
 	}
 	for i := range s.owners {
-		s.nextOwner(i, add)
+		s.addOwnerSteps(i, add)
 	}
 	if !s.paused {
 		add("the entry sends work on its leases", func(n *leaseState) { n.send() })
@@ -111,18 +111,18 @@
 		add("the entry wakes", func(n *leaseState) { n.paused = false })
 	}
 	if s.faults > 0 {
-		s.nextFault(add)
+		s.addFaults(add)
 	}
 }
 
 func (s *leaseState) publish() {
 	s.published = 2
 	if s.rules.Leaving {
-		s.leftAt = s.now
+		s.leavingSince = s.now
 	}
 }
 
-func (s *leaseState) nextOwner(i int, add func(string, func(*leaseState))) {
+func (s *leaseState) addOwnerSteps(i int, add func(string, func(*leaseState))) {
 	o := &s.owners[i]
 	name := boxNames[i]
 	if o.paused {
@@ -138,10 +138,10 @@
 	if !s.paused {
 		add("the entry asks "+name+" for a lease", func(n *leaseState) { n.ask(i) })
 	}
-	told := s.owners[0].list == 2 || s.owners[0].dead
-	if i == 1 && o.list == 2 && !o.cut && told && !s.rules.Leaving {
+	predecessorStopped := s.owners[0].list == 2 || s.owners[0].dead
+	if i == 1 && o.list == 2 && !o.cut && predecessorStopped && !s.rules.Leaving {
 		add(name+" learns that the owner before has stopped", func(n *leaseState) {
-			n.owners[1].hold.Step(at(n.now), core.PredecessorGone{})
+			n.owners[1].ownership.Step(at(n.now), core.PredecessorGone{})
 		})
 	}
 }
@@ -151,36 +151,36 @@
 	o := &s.owners[i]
 	o.list = 2
 	now := at(s.now)
-	o.hold.Step(now, core.ListConfirmed{At: now})
+	o.ownership.Step(now, core.ListConfirmed{At: now})
 	if s.rules.Leaving {
-		o.hold.Step(now, core.EndpointLeaving{Leaving: true})
+		o.ownership.Step(now, core.EndpointLeaving{Leaving: true})
 		return
 	}
 	if i == 0 {
-		o.hold.Step(now, core.HoldLost{})
+		o.ownership.Step(now, core.HoldLost{})
 		return
 	}
-	o.hold.Step(now, core.HoldTaken{})
+	o.ownership.Step(now, core.HoldTaken{})
 }
 
 func (s *leaseState) ask(i int) {
-	tokens, ttl := s.owners[i].hold.Grantable(at(s.now), leaseCapacity)
+	tokens, ttl := s.owners[i].ownership.Grantable(at(s.now), leaseCapacity)
 	s.leases[i] = core.NewLease("engine", at(s.now), ttl, tokens, tokens, s.rules.Options...)
 }
 
-// leavingBound is how long after the platform showed it an endpoint that leaves
+// maxLeavingDelay is how long after the platform showed it an endpoint that leaves
 // may get work: an owner that runs follows within a step of time, one that was
 // paused without notice within the time for which a reading is fresh, and the
 // last lease ends after the time of a lease.
-const leavingBound = 1 + 2 + 1
+const maxLeavingDelay = 1 + 2 + 1
 
 func (s *leaseState) send() {
 	for i := range s.leases {
 		if !s.leases[i].Usable(at(s.now)) {
 			continue
 		}
-		if s.leftAt >= 0 && s.now > s.leftAt+leavingBound {
-			s.late = true
+		if s.leavingSince >= 0 && s.now > s.leavingSince+maxLeavingDelay {
+			s.sentLate = true
 		}
 	}
 }
@@ -194,18 +194,18 @@
 		if o.dead || o.paused {
 			continue
 		}
-		o.hold.Step(at(s.now), core.HoldTicked{})
+		o.ownership.Step(at(s.now), core.HoldTicked{})
 		if o.cut {
 			continue
 		}
 		if o.list < s.published {
 			s.adopt(i)
 		}
-		o.hold.Step(at(s.now), core.ListConfirmed{At: at(s.now)})
+		o.ownership.Step(at(s.now), core.ListConfirmed{At: at(s.now)})
 	}
 }
 
-func (s *leaseState) nextFault(add func(string, func(*leaseState))) {
+func (s *leaseState) addFaults(add func(string, func(*leaseState))) {
 	fault := func(label string, change func(*leaseState)) {
 		add("fault: "+label, func(n *leaseState) {
 			n.faults--
@@ -229,9 +229,9 @@
 	}
 }
 
-// Broken checks what leases promise.
-func (s *leaseState) Broken() (string, bool) {
-	if s.late {
+// FindViolation checks what leases promise.
+func (s *leaseState) FindViolation() (string, bool) {
+	if s.sentLate {
 		return "an endpoint that was leaving got new work too late", true
 	}
 	sum := 0
--- a/model/stream.go
+++ b/model/stream.go
@@ -26,11 +26,11 @@
 type frameKind string
 
 const (
-	frameToken   frameKind = "token"
-	frameFinal   frameKind = "final"
-	frameRefused frameKind = "refused"
-	frameLost    frameKind = "lost"
-	frameGone    frameKind = "gone"
+	frameToken          frameKind = "token"
+	frameFinal          frameKind = "final"
+	frameRefused        frameKind = "refused"
+	frameLinkLost       frameKind = "lost"
+	frameGenerationGone frameKind = "gone"
 )
 
 // streamFrame is a message on its way to a caller's entry.
@@ -56,7 +56,7 @@
 	place     bool
 	send      *core.SendAttempt
 	resume    *core.Resume
-	net       []streamFrame
+	inFlight  []streamFrame
 	readers   []streamReader
 	delivered []streamFrame
 	started   []core.Origin
@@ -64,7 +64,7 @@
 
 type streamEngine struct {
 	incarnation core.Incarnation
-	holds       []string // generations that can be read
+	retained    []string // generations that can be read
 }
 
 // streamState is one state of callers, entries, links and engines.
@@ -97,7 +97,7 @@
 func generationRules() core.GenerationRules {
 	return core.GenerationRules{
 		Attempts:     2,
-		ResumeWindow: streamWindow * unit,
+		ResumeWindow: streamWindow * timeStep,
 	}
 }
 
@@ -105,12 +105,12 @@
 	copied := *s
 	copied.callers = slices.Clone(s.callers)
 	for i := range copied.engines {
-		copied.engines[i].holds = slices.Clone(s.engines[i].holds)
+		copied.engines[i].retained = slices.Clone(s.engines[i].retained)
 	}
 	for i := range copied.callers {
 		c := &copied.callers[i]
 		c.gen = c.gen.Clone()
-		c.net = slices.Clone(c.net)
+		c.inFlight = slices.Clone(c.inFlight)
 		c.readers = slices.Clone(c.readers)
 		c.delivered = slices.Clone(c.delivered)
 		c.started = slices.Clone(c.started)
@@ -124,7 +124,7 @@
 	for i := range s.callers {
 		c := &s.callers[i]
 		b = c.gen.Fingerprint(b, at(s.now))
-		b = fmt.Appendf(b, "%d,%v,%v,%v,%v,%v,%v,%v;", c.box, c.place, c.send != nil, c.resume, c.net, c.readers, c.delivered, c.started)
+		b = fmt.Appendf(b, "%d,%v,%v,%v,%v,%v,%v,%v;", c.box, c.place, c.send != nil, c.resume, c.inFlight, c.readers, c.delivered, c.started)
 	}
 	return string(b)
 }
@@ -151,45 +151,45 @@
 // Next gives every step that callers, entries, engines, links and faults can
 // take.
 func (s *streamState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *streamState) steps(add func(string, func(*streamState))) {
+// addSteps adds each of them.
+func (s *streamState) addSteps(add func(string, func(*streamState))) {
 	for i := range s.callers {
-		s.nextOf(i, add)
+		s.addCallerSteps(i, add)
 	}
 	if s.faults > 0 {
-		s.nextFaults(add)
+		s.addFaults(add)
 	}
 }
 
-type adder func(label string, change func(*streamState))
+type streamAdder func(label string, change func(*streamState))
 
-func (s *streamState) nextOf(i int, add adder) {
+func (s *streamState) addCallerSteps(i int, add streamAdder) {
 	c := &s.callers[i]
-	who := "caller " + strconv.Itoa(i)
+	prefix := "caller " + strconv.Itoa(i)
 	if c.gen.State == core.GenerationEnded {
 		return
 	}
 	if c.place {
 		for e := range s.engines {
-			add(fmt.Sprintf("%s: placed on engine %d", who, e), func(n *streamState) { n.place(i, e) })
+			add(fmt.Sprintf("%s: placed on engine %d", prefix, e), func(n *streamState) { n.place(i, e) })
 		}
 	}
 	if c.send != nil {
-		add(who+": request reaches its engine", func(n *streamState) { n.send(i) })
+		add(prefix+": request reaches its engine", func(n *streamState) { n.send(i) })
 	}
 	if c.resume != nil {
-		add(who+": resume reaches its engine", func(n *streamState) { n.resume(i) })
+		add(prefix+": resume reaches its engine", func(n *streamState) { n.resume(i) })
 	}
 	for r := range c.readers {
 		if !c.readers[r].ended {
-			add(fmt.Sprintf("%s: engine sends frame %d of attempt %d", who, c.readers[r].sent, c.readers[r].attempt), func(n *streamState) { n.emit(i, r) })
+			add(fmt.Sprintf("%s: engine sends frame %d of attempt %d", prefix, c.readers[r].sent, c.readers[r].attempt), func(n *streamState) { n.sendFrame(i, r) })
 		}
 	}
-	if len(c.net) > 0 {
-		add(fmt.Sprintf("%s: %s %d of attempt %d arrives", who, c.net[0].kind, c.net[0].offset, c.net[0].attempt), func(n *streamState) { n.deliver(i, 0, true) })
+	if len(c.inFlight) > 0 {
+		add(fmt.Sprintf("%s: %s %d of attempt %d arrives", prefix, c.inFlight[0].kind, c.inFlight[0].offset, c.inFlight[0].attempt), func(n *streamState) { n.deliverFrame(i, 0, true) })
 	}
 }
 
@@ -213,13 +213,13 @@
 	attempt, origin := c.send.Attempt, c.send.Origin
 	c.send = nil
 	s.step(c, core.Sending{Attempt: attempt})
-	s.start(c, attempt, origin, true)
+	s.startGeneration(c, attempt, origin, true)
 }
 
-func (s *streamState) start(c *streamCaller, attempt int, origin core.Origin, reading bool) {
+func (s *streamState) startGeneration(c *streamCaller, attempt int, origin core.Origin, reading bool) {
 	e := s.engineOf(origin)
 	origin.Incarnation = s.engines[e].incarnation
-	s.engines[e].holds = append(s.engines[e].holds, origin.Generation)
+	s.engines[e].retained = append(s.engines[e].retained, origin.Generation)
 	c.started = append(c.started, origin)
 	if reading {
 		c.readers = append(c.readers, streamReader{
@@ -237,9 +237,9 @@
 	r := *c.resume
 	c.resume = nil
 	e := s.engineOf(r.Origin)
-	if !slices.Contains(s.engines[e].holds, r.Origin.Generation) {
-		c.net = append(c.net, streamFrame{
-			kind:    frameGone,
+	if !slices.Contains(s.engines[e].retained, r.Origin.Generation) {
+		c.inFlight = append(c.inFlight, streamFrame{
+			kind:    frameGenerationGone,
 			attempt: r.Attempt,
 		})
 		return
@@ -254,7 +254,7 @@
 	})
 }
 
-func (s *streamState) emit(i, r int) {
+func (s *streamState) sendFrame(i, r int) {
 	c := &s.callers[i]
 	reader := &c.readers[r]
 	kind := frameToken
@@ -263,7 +263,7 @@
 		reader.ended = true
 	}
 	offset := min(reader.sent, uint64(s.rules.Tokens))
-	c.net = append(c.net, streamFrame{
+	c.inFlight = append(c.inFlight, streamFrame{
 		kind:    kind,
 		attempt: reader.attempt,
 		origin:  reader.origin,
@@ -272,22 +272,22 @@
 	reader.sent++
 }
 
-func (s *streamState) deliver(i, at int, remove bool) {
+func (s *streamState) deliverFrame(i, at int, remove bool) {
 	c := &s.callers[i]
-	f := c.net[at]
+	f := c.inFlight[at]
 	if remove {
-		c.net = slices.Delete(c.net, at, at+1)
+		c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	}
-	s.arrive(c, f)
+	s.handleFrame(c, f)
 }
 
-func (s *streamState) arrive(c *streamCaller, f streamFrame) {
+func (s *streamState) handleFrame(c *streamCaller, f streamFrame) {
 	switch f.kind {
 	case frameRefused:
 		s.step(c, core.Refused{Attempt: f.attempt})
-	case frameLost:
+	case frameLinkLost:
 		s.step(c, core.LinkLost{Attempt: f.attempt})
-	case frameGone:
+	case frameGenerationGone:
 		s.step(c, core.GenerationGone{Attempt: f.attempt})
 	default:
 		s.step(c, core.FrameArrived{
@@ -299,17 +299,17 @@
 	}
 }
 
-// Broken checks what streams promise.
-func (s *streamState) Broken() (string, bool) {
+// FindViolation checks what streams promise.
+func (s *streamState) FindViolation() (string, bool) {
 	for i := range s.callers {
-		if what := s.callers[i].broken(s.rules); what != "" {
+		if what := s.callers[i].findViolation(s.rules); what != "" {
 			return what, true
 		}
 	}
 	return "", false
 }
 
-func (c *streamCaller) broken(rules *StreamRules) string {
+func (c *streamCaller) findViolation(rules *StreamRules) string {
 	for n, f := range c.delivered {
 		if f.offset != uint64(n) {
 			return fmt.Sprintf("token %d was delivered in place of token %d", f.offset, n)
--- a/model/version.go
+++ b/model/version.go
@@ -16,34 +16,34 @@
 type publication struct {
 	version uint64
 	digest  uint64
-	good    bool
+	valid   bool
 }
 
 // publications come in this order: a bad document between two good ones, and two
 // operators who race with one version.
 var publications = []publication{
-	{version: 1, digest: 10, good: true},
-	{version: 2, digest: 20, good: false},
-	{version: 3, digest: 31, good: true},
-	{version: 3, digest: 30, good: true},
+	{version: 1, digest: 10, valid: true},
+	{version: 2, digest: 20, valid: false},
+	{version: 3, digest: 31, valid: true},
+	{version: 3, digest: 30, valid: true},
 }
 
 type versionBox struct {
-	versions *core.Versions
-	join     *core.Join
-	highest  publication // that was in force in this life
-	life     int
-	asked    [len(boxNames)]askedPeer
-	cut      bool
-	fell     bool
-	faulty   bool
+	versions         *core.Versions
+	join             *core.Join
+	highest          publication // that was in force in this life
+	incarnation      int
+	askedPeers       [len(boxNames)]askedPeer
+	cut              bool
+	regressed        bool
+	activatedInvalid bool
 }
 
 // askedPeer is a peer that a box could ask when it started: in which life, and
 // what it had in force.
 type askedPeer struct {
-	life    int
-	version uint64
+	incarnation int
+	version     uint64
 }
 
 type versionState struct {
@@ -62,9 +62,9 @@
 	}
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		b.life = 1
+		b.incarnation = 1
 		b.versions = core.NewVersions(rules.Options...)
-		b.join = core.NewJoin(at(0), core.JoinRules{Timeout: unit}, rules.Options...)
+		b.join = core.NewJoin(at(0), core.JoinRules{Timeout: timeStep}, rules.Options...)
 		b.join.Step(at(0), core.PeersListed{})
 		b.offer(publications[0])
 	}
@@ -74,14 +74,14 @@
 func (b *versionBox) offer(p publication) {
 	for _, command := range b.versions.Step(core.VersionOffered{
 		Version:  p.version,
-		Accepted: p.good,
+		Accepted: p.valid,
 		Digest:   p.digest,
 	}) {
 		if _, ok := command.(core.PutInForce); !ok {
 			continue
 		}
-		b.faulty = b.faulty || !p.good
-		b.fell = b.fell || p.version < b.highest.version
+		b.activatedInvalid = b.activatedInvalid || !p.valid
+		b.regressed = b.regressed || p.version < b.highest.version
 		b.highest = p
 	}
 }
@@ -101,30 +101,30 @@
 	for i := range s.boxes {
 		box := &s.boxes[i]
 		b = fmt.Appendf(b, "%d/%d/%d/%s,%s,%d,%v,%v,%v,%v;", box.versions.Active, box.versions.Digest, box.versions.Rejected,
-			box.versions.State, box.join.State, s.floor(i), box.cut, box.fell, box.faulty, box.highest)
+			box.versions.State, box.join.State, s.minPeerVersion(i), box.cut, box.regressed, box.activatedInvalid, box.highest)
 	}
 	return string(b)
 }
 
 // Next gives every step of operators, the platform, boxes and faults.
 func (s *versionState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *versionState) steps(add func(string, func(*versionState))) {
+// addSteps adds each of them.
+func (s *versionState) addSteps(add func(string, func(*versionState))) {
 	if s.published+1 < len(publications) {
 		add(fmt.Sprintf("operators publish document %d", s.published+2), func(n *versionState) { n.published++ })
 	}
 	for i := range s.boxes {
-		s.nextBox(i, add)
+		s.addBoxSteps(i, add)
 	}
 	if s.faults > 0 {
-		s.nextFault(add)
+		s.addFaults(add)
 	}
 }
 
-func (s *versionState) nextBox(i int, add func(string, func(*versionState))) {
+func (s *versionState) addBoxSteps(i int, add func(string, func(*versionState))) {
 	b := &s.boxes[i]
 	if b.cut {
 		add(boxNames[i]+" is reached again", func(n *versionState) { n.boxes[i].cut = false })
@@ -133,13 +133,13 @@
 	add(boxNames[i]+" reads the platform", func(n *versionState) { n.boxes[i].offer(publications[n.published]) })
 	for j := range s.boxes {
 		if i != j && !s.boxes[j].cut {
-			add(fmt.Sprintf("%s hears from %s", boxNames[i], boxNames[j]), func(n *versionState) { n.hear(i, j) })
+			add(fmt.Sprintf("%s hears from %s", boxNames[i], boxNames[j]), func(n *versionState) { n.receiveVersion(i, j) })
 		}
 	}
 }
 
-// hear takes a peer's message, and fetches from it what is newer there.
-func (s *versionState) hear(i, j int) {
+// receiveVersion takes a peer's message, and fetches from it what is newer there.
+func (s *versionState) receiveVersion(i, j int) {
 	b, peer := &s.boxes[i], &s.boxes[j]
 	for _, command := range b.versions.Step(core.VersionHeard{
 		Version: peer.versions.Active,
@@ -153,7 +153,7 @@
 	b.join.Step(at(0), core.PeerAnswered{Box: boxNames[j]})
 }
 
-func (s *versionState) nextFault(add func(string, func(*versionState))) {
+func (s *versionState) addFaults(add func(string, func(*versionState))) {
 	fault := func(label string, change func(*versionState)) {
 		add("fault: "+label, func(n *versionState) {
 			n.faults--
@@ -175,29 +175,29 @@
 func (s *versionState) restart(i int) {
 	b := &s.boxes[i]
 	b.versions = core.NewVersions(s.rules.Options...)
-	b.join = core.NewJoin(at(0), core.JoinRules{Timeout: unit}, s.rules.Options...)
+	b.join = core.NewJoin(at(0), core.JoinRules{Timeout: timeStep}, s.rules.Options...)
 	b.highest = publication{}
-	b.life++
-	b.asked = [len(boxNames)]askedPeer{}
+	b.incarnation++
+	b.askedPeers = [len(boxNames)]askedPeer{}
 	var peers []string
 	for j := range s.boxes {
 		if i != j && !s.boxes[j].cut && !b.cut {
 			peers = append(peers, boxNames[j])
-			b.asked[j] = askedPeer{
-				life:    s.boxes[j].life,
-				version: s.boxes[j].versions.Active,
+			b.askedPeers[j] = askedPeer{
+				incarnation: s.boxes[j].incarnation,
+				version:     s.boxes[j].versions.Active,
 			}
 		}
 	}
 	b.join.Step(at(0), core.PeersListed{Boxes: peers})
 }
 
-// floor is the lowest that a box's peers had in force when it started, of those
+// minPeerVersion is the lowest that a box's peers had in force when it started, of those
 // that still know it: one that died since has lost it too.
-func (s *versionState) floor(i int) uint64 {
+func (s *versionState) minPeerVersion(i int) uint64 {
 	lowest, found := uint64(0), false
-	for j, p := range s.boxes[i].asked {
-		if p.life == 0 || p.life != s.boxes[j].life {
+	for j, p := range s.boxes[i].askedPeers {
+		if p.incarnation == 0 || p.incarnation != s.boxes[j].incarnation {
 			continue
 		}
 		if !found || p.version < lowest {
@@ -207,16 +207,16 @@
 	return lowest
 }
 
-// Broken checks what is promised of configurations.
-func (s *versionState) Broken() (string, bool) {
+// FindViolation checks what is promised of configurations.
+func (s *versionState) FindViolation() (string, bool) {
 	for i := range s.boxes {
 		b := &s.boxes[i]
 		switch {
-		case b.faulty:
+		case b.activatedInvalid:
 			return boxNames[i] + " put a faulty document in force", true
-		case b.fell:
+		case b.regressed:
 			return boxNames[i] + " went back to an older configuration", true
-		case b.join.State == core.JoinServing && b.versions.Active < s.floor(i):
+		case b.join.State == core.JoinServing && b.versions.Active < s.minPeerVersion(i):
 			return boxNames[i] + " serves an older configuration than every peer that it could ask", true
 		}
 	}
--- a/model/walk_test.go
+++ b/model/walk_test.go
@@ -32,7 +32,7 @@
 		},
 		"claims": func() model.State {
 			return model.Claims(model.ClaimRules{
-				Scenario: model.HomeReturns,
+				Scenario: model.OwnerReturns,
 				Boxes:    []int{0, 1, 2, 1, 0, 2},
 				Keys:     2,
 				Faults:   5,
@@ -45,7 +45,7 @@
 			return model.ConfigVersions(model.VersionRules{Faults: 10})
 		},
 		"orders": func() model.State {
-			return model.Fences(model.FenceRules{Checks: true, Faults: 8, Time: 12})
+			return model.Fences(model.FenceRules{EndpointChecks: true, Faults: 8, Time: 12})
 		},
 	}
 	for name, first := range firsts {
