--- a/proof/calls.go
+++ b/proof/calls.go
@@ -39,9 +39,9 @@
 	if err := f.http.DoTimeout(ctx, req, resp, callTimeout); err != nil {
 		return 0, nil, nil, err
 	}
-	answered := make(map[string]string)
-	resp.Header.VisitAll(func(name, value []byte) { answered[string(name)] = string(value) })
-	return resp.StatusCode(), answered, bytes.Clone(resp.Body()), nil
+	respHeaders := make(map[string]string)
+	resp.Header.VisitAll(func(name, value []byte) { respHeaders[string(name)] = string(value) })
+	return resp.StatusCode(), respHeaders, bytes.Clone(resp.Body()), nil
 }
 
 // SetFaults tells a stand-in what to do wrong from now on.
@@ -66,7 +66,7 @@
 		return f.servers[n-1]
 	}
 	if _, err := fmt.Sscanf(name, "platform-%d", &n); err == nil {
-		return f.boxes[n-1].Plat
+		return f.boxes[n-1].Platform
 	}
 	_, _ = fmt.Sscanf(name, "engine-%d", &n)
 	return f.engines[n-1]
--- a/proof/claims.go
+++ b/proof/claims.go
@@ -21,17 +21,17 @@
 		{
 			Name:     "record writes are repeated through every box at once",
 			Promises: promises,
-			Run:      writesRepeated,
+			Run:      writesRepeatedAtOnce,
 		},
 		{
 			Name:     "a key's home is killed, restarts, and the write is repeated",
 			Promises: promises,
-			Run:      homeKilled,
+			Run:      ownerKilled,
 		},
 		{
 			Name:     "a key's home is paused past every time-out, leaves the list, and wakes",
 			Promises: promises,
-			Run:      homePaused,
+			Run:      ownerPaused,
 		},
 		{
 			Name:     "the service acts and answers late, crossed or not at all",
@@ -41,8 +41,8 @@
 	}
 }
 
-// write is what a caller was told of one record write.
-type write struct {
+// writeResult is what a caller was told of one record write.
+type writeResult struct {
 	key     string
 	body    string
 	status  int
@@ -50,12 +50,12 @@
 	answer  string
 }
 
-func (f *Fleet) writeRecord(boxIndex int, key, body string) write {
+func (f *Fleet) writeRecord(boxIndex int, key, body string) writeResult {
 	headers := map[string]string{"Authorization": "Bearer " + Key}
 	if key != "" {
 		headers["Idempotency-Key"] = key
 	}
-	w := write{
+	w := writeResult{
 		key:  key,
 		body: body,
 	}
@@ -77,22 +77,22 @@
 	return id.String()
 }
 
-// judgeWrites checks the service's own record: each body at most once; once if
+// verifyWrites checks the service's own record: each body at most once; once if
 // any caller was told that it ran; not at all if all were told that it didn't.
-func (f *Fleet) judgeWrites(writes []write) (string, error) {
+func (f *Fleet) verifyWrites(writes []writeResult) (string, error) {
 	counted, err := f.ServiceEffects()
 	if err != nil {
 		return "", err
 	}
-	told := make(map[string]map[string]int)
+	reported := make(map[string]map[string]int)
 	for _, w := range writes {
-		if told[w.body] == nil {
-			told[w.body] = make(map[string]int)
+		if reported[w.body] == nil {
+			reported[w.body] = make(map[string]int)
 		}
-		told[w.body][w.outcome]++
+		reported[w.body][w.outcome]++
 	}
 	ran := 0
-	for body, outcomes := range told {
+	for body, outcomes := range reported {
 		effects := counted["POST /records "+body]
 		ran += effects
 		switch {
@@ -104,12 +104,12 @@
 			return "", errors.Errorf("%q ran and every caller was told that it did not", body)
 		}
 	}
-	return fmt.Sprintf("%d writes of %d bodies, %d ran", len(writes), len(told), ran), nil
+	return fmt.Sprintf("%d writes of %d bodies, %d ran", len(writes), len(reported), ran), nil
 }
 
-// writesRepeated sends each write through every box at once, on a fleet that has
+// writesRepeatedAtOnce sends each write through every box at once, on a fleet that has
 // just started, until all have run: its boxes can vouch for every key.
-func writesRepeated(f *Fleet) (string, error) {
+func writesRepeatedAtOnce(f *Fleet) (string, error) {
 	keys := make([]string, 30)
 	for n := range keys {
 		keys[n] = newKey()
@@ -117,10 +117,10 @@
 			keys[n] = fmt.Sprintf("plain-key-%d", n)
 		}
 	}
-	var all []write
-	done := until(startLimit, func() bool {
-		all = append(all, f.writesThroughAll(keys)...)
-		return len(ranKeys(all)) == len(keys)
+	var all []writeResult
+	done := waitUntil(startLimit, func() bool {
+		all = append(all, f.writeThroughAll(keys)...)
+		return len(keysRan(all)) == len(keys)
 	})
 	for _, w := range all {
 		if strings.Contains(w.answer, "claim_unknown") {
@@ -128,17 +128,17 @@
 		}
 	}
 	if !done {
-		return "", errors.Errorf("%d of %d writes ran within %s", len(ranKeys(all)), len(keys), startLimit)
+		return "", errors.Errorf("%d of %d writes ran within %s", len(keysRan(all)), len(keys), startLimit)
 	}
-	return f.judgeWrites(all)
+	return f.verifyWrites(all)
 }
 
 // startLimit is the time within which every claims' home of a starting fleet must
 // grant.
 const startLimit = 20 * time.Second
 
-// ranKeys gives the keys of the writes that a caller was told to have run.
-func ranKeys(all []write) map[string]bool {
+// keysRan gives the keys of the writes that a caller was told to have run.
+func keysRan(all []writeResult) map[string]bool {
 	ran := make(map[string]bool)
 	for _, w := range all {
 		if w.outcome == "ran" {
@@ -148,9 +148,9 @@
 	return ran
 }
 
-// writesThroughAll sends the write of each key through every box at once.
-func (f *Fleet) writesThroughAll(keys []string) []write {
-	all := make([]write, len(keys)*len(f.boxes))
+// writeThroughAll sends the write of each key through every box at once.
+func (f *Fleet) writeThroughAll(keys []string) []writeResult {
+	all := make([]writeResult, len(keys)*len(f.boxes))
 	var wait sync.WaitGroup
 	for n, key := range keys {
 		for i := range f.boxes {
@@ -161,29 +161,29 @@
 	return all
 }
 
-// homeOf gives the index of the box that keeps a key.
-func (f *Fleet) homeOf(key string) int {
-	home := f.list.ClaimOwner(core.ClaimScope(core.ClaimKey{
+// ownerOf gives the index of the box that keeps a key.
+func (f *Fleet) ownerOf(key string) int {
+	owner := f.list.ClaimOwner(core.ClaimScope(core.ClaimKey{
 		Customer: "customer-1",
 		Key:      key,
 	}), nil)
 	for i := range f.boxes {
-		if f.boxes[i].Name == home {
+		if f.boxes[i].Name == owner {
 			return i
 		}
 	}
 	return -1
 }
 
-func homeKilled(f *Fleet) (string, error) {
-	var all []write
-	homes := make(map[int]bool)
+func ownerKilled(f *Fleet) (string, error) {
+	var all []writeResult
+	owners := make(map[int]bool)
 	for n := range 20 {
 		key := newKey()
 		if n%2 == 0 {
 			key = fmt.Sprintf("plain-key-%d", n)
 		}
-		homes[f.homeOf(key)] = true
+		owners[f.ownerOf(key)] = true
 		all = append(all, f.writeRecord(n%len(f.boxes), key, fmt.Sprintf("reading-%d", n)))
 	}
 	f.Signal("box-1-scheduler", syscall.SIGKILL)
@@ -200,21 +200,21 @@
 			unknown++
 		}
 	}
-	said, err := f.judgeWrites(all)
+	summary, err := f.verifyWrites(all)
 	if err == nil && unknown == 0 {
 		err = errors.New("no repeat was told unknown though a home lost its records")
 	}
-	return fmt.Sprintf("%s, %d repeats told unknown", said, unknown), err
+	return fmt.Sprintf("%s, %d repeats told unknown", summary, unknown), err
 }
 
-func homePaused(f *Fleet) (string, error) {
+func ownerPaused(f *Fleet) (string, error) {
 	var keys []string
 	for len(keys) < 10 {
-		if key := newKey(); f.homeOf(key) == 0 {
+		if key := newKey(); f.ownerOf(key) == 0 {
 			keys = append(keys, key)
 		}
 	}
-	var all []write
+	var all []writeResult
 	for n, key := range keys[:5] {
 		all = append(all, f.writeRecord(1+n%2, key, "reading-"+key))
 	}
@@ -237,11 +237,11 @@
 	for n, key := range keys {
 		all = append(all, f.writeRecord(n%3, key, "reading-"+key))
 	}
-	return f.judgeWrites(all)
+	return f.verifyWrites(all)
 }
 
 func serviceFails(f *Fleet) (string, error) {
-	var all []write
+	var all []writeResult
 	for n, faults := range []standin.Faults{{LateAfter: true}, {Cross: true}, {Stall: true}, {Refuse: true}} {
 		if err := f.SetFaults("service", faults); err != nil {
 			return "", err
@@ -263,5 +263,5 @@
 			return "", errors.Errorf("the caller of %q got no final answer", w.body)
 		}
 	}
-	return f.judgeWrites(all)
+	return f.verifyWrites(all)
 }
--- a/proof/configs.go
+++ b/proof/configs.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// versionAt gives the configuration version that a box's entry has in force.
-func (f *Fleet) versionAt(i int) uint64 {
+// activeVersion gives the configuration version that a box's entry has in force.
+func (f *Fleet) activeVersion(i int) uint64 {
 	var s struct {
 		Version uint64 `json:"config_version"`
 	}
@@ -44,21 +44,21 @@
 	return s.Version
 }
 
-// versions gives the versions in force by box.
-func (f *Fleet) versions() []uint64 {
+// activeVersions gives the versions in force by box.
+func (f *Fleet) activeVersions() []uint64 {
 	all := make([]uint64, 0, len(f.boxes))
 	for i := range f.boxes {
-		all = append(all, f.versionAt(i))
+		all = append(all, f.activeVersion(i))
 	}
 	return all
 }
 
-// everywhere waits until every box has a version in force, and gives the time.
-func (f *Fleet) everywhere(version uint64, within time.Duration) (time.Duration, error) {
+// waitForVersion waits until every box has a version in force, and gives the time.
+func (f *Fleet) waitForVersion(version uint64, within time.Duration) (time.Duration, error) {
 	began := time.Now()
-	reached := until(within, func() bool {
+	reached := waitUntil(within, func() bool {
 		for i := range f.boxes {
-			if f.versionAt(i) != version {
+			if f.activeVersion(i) != version {
 				return false
 			}
 		}
@@ -78,21 +78,21 @@
 // platform shows what came last, and a version that nobody read is gone. All boxes
 // must agree on one, go back at no moment, and never take the faulty one.
 func operatorsRace(f *Fleet) (string, error) {
-	seen := f.observe()
+	seen := f.monitorVersions()
 	var wait sync.WaitGroup
 	for _, version := range []uint64{2, 4, 3} {
 		wait.Go(func() { _ = f.PublishConfig(version, nil) })
 	}
 	wait.Wait()
-	won, err := f.agreed(configLimit)
+	won, err := f.waitForAgreement(configLimit)
 	if err != nil {
 		return "", err
 	}
 	if err := f.PublishConfig(5, func(c map[string]any) { c["tiers"] = []any{} }); err != nil {
 		return "", err
 	}
-	time.Sleep(settle)
-	if _, err := f.everywhere(won, configLimit); err != nil {
+	time.Sleep(configSettleTime)
+	if _, err := f.waitForVersion(won, configLimit); err != nil {
 		return "", errors.Wrap(err, "after the faulty document")
 	}
 	calls, err := f.PlatformCalls()
@@ -102,7 +102,7 @@
 	if err := f.PublishConfig(6, nil); err != nil {
 		return "", err
 	}
-	took, err := f.everywhere(6, configLimit)
+	took, err := f.waitForVersion(6, configLimit)
 	if err != nil {
 		return "", err
 	}
@@ -114,13 +114,13 @@
 		won, len(f.boxes), took.Round(time.Millisecond), after-calls), seen()
 }
 
-// agreed waits until all boxes have the same version above the first in force.
-func (f *Fleet) agreed(within time.Duration) (uint64, error) {
+// waitForAgreement waits until all boxes have the same version above the first in force.
+func (f *Fleet) waitForAgreement(within time.Duration) (uint64, error) {
 	var version uint64
-	reached := until(within, func() bool {
-		version = f.versionAt(0)
+	reached := waitUntil(within, func() bool {
+		version = f.activeVersion(0)
 		for i := range f.boxes {
-			if f.versionAt(i) != version {
+			if f.activeVersion(i) != version {
 				return false
 			}
 		}
@@ -132,15 +132,15 @@
 	return version, nil
 }
 
-// observe looks at every box's version until the returned function is called,
+// monitorVersions looks at every box's version until the returned function is called,
 // which tells whether one went back.
-func (f *Fleet) observe() func() error {
+func (f *Fleet) monitorVersions() func() error {
 	stop, done := make(chan struct{}), make(chan error, 1)
 	go func() {
 		highest := make([]uint64, len(f.boxes))
 		for {
 			for i := range f.boxes {
-				v := f.versionAt(i)
+				v := f.activeVersion(i)
 				if v > 0 && v < highest[i] {
 					done <- errors.Errorf("%s went back from version %d to %d", f.boxes[i].Name, highest[i], v)
 					return
@@ -165,33 +165,33 @@
 	if err := f.PublishConfig(2, nil); err != nil {
 		return "", err
 	}
-	if _, err := f.everywhere(2, configLimit); err != nil {
+	if _, err := f.waitForVersion(2, configLimit); err != nil {
 		return "", err
 	}
 	if err := f.SetFaults("platform", standin.Faults{Stale: true, StaleBy: 1}); err != nil {
 		return "", err
 	}
-	f.replace(0)
-	if err := f.Ready(30 * time.Second); err != nil {
+	f.replaceBox(0)
+	if err := f.WaitReady(30 * time.Second); err != nil {
 		return "", err
 	}
-	if v := f.versionAt(0); v != 2 {
+	if v := f.activeVersion(0); v != 2 {
 		return "", errors.Errorf("the replaced box serves version %d while its peers have 2", v)
 	}
 	if err := f.SetFaults("platform", standin.Faults{Down: true}); err != nil {
 		return "", err
 	}
 	time.Sleep(6 * time.Second)
-	streams := f.Many(6, func() {})
-	whole, err := f.judge(streams, f.Records())
-	if err == nil && whole != len(streams) {
-		err = errors.Errorf("%d of %d streams came whole while the platform was down", whole, len(streams))
+	streams := f.RunStreams(6, func() {})
+	complete, err := f.verify(streams, f.Records())
+	if err == nil && complete != len(streams) {
+		err = errors.Errorf("%d of %d streams came whole while the platform was down", complete, len(streams))
 	}
-	return fmt.Sprintf("the replaced box took version 2 from its peers; %d streams whole while the platform was down", whole), err
+	return fmt.Sprintf("the replaced box took version 2 from its peers; %d streams whole while the platform was down", complete), err
 }
 
-// replace kills all processes of a box and starts them with empty memory.
-func (f *Fleet) replace(i int) {
+// replaceBox kills all processes of a box and starts them with empty memory.
+func (f *Fleet) replaceBox(i int) {
 	for _, part := range []string{"entry", "scheduler", "watch"} {
 		f.Signal(f.boxes[i].Name+"-"+part, syscall.SIGKILL)
 	}
--- a/proof/contract_test.go
+++ b/proof/contract_test.go
@@ -110,14 +110,14 @@
 	It("continues a stream on another box after its last event, and after its end", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		s, _ := fleet.ReadStream(proof.WithFirstToken(ctx, cancel), 0, nil)
-		Expect(s.Whole()).To(BeFalse())
+		Expect(s.IsComplete()).To(BeFalse())
 		Expect(len(s.Tokens)).To(BeNumerically(">", 0))
 		Expect(fleet.Continue(context.Background(), s, 1)).To(Succeed())
-		Expect(s.Whole()).To(BeTrue(), s.Body)
+		Expect(s.IsComplete()).To(BeTrue(), s.Body)
 		Expect(s.Check(fleet.Records())).To(Succeed())
 		again := *s
 		Expect(fleet.Continue(context.Background(), &again, 2)).To(Succeed())
-		Expect(again.Whole()).To(BeTrue(), again.Body)
+		Expect(again.IsComplete()).To(BeTrue(), again.Body)
 		Expect(again.Tokens).To(Equal(s.Tokens))
 	})
 
@@ -135,7 +135,7 @@
 		ended := make(chan *proof.Stream)
 		opened := make(chan string, 1)
 		go func() {
-			ctx := proof.WithID(context.Background(), opened)
+			ctx := proof.WithStreamID(context.Background(), opened)
 			s, _ := fleet.ReadStream(ctx, 0, nil)
 			ended <- s
 		}()
@@ -143,7 +143,7 @@
 		status, _, text := call("DELETE", "/v1/streams/"+id, proof.Key, "", nil)
 		Expect(status).To(Equal(200), text)
 		s := <-ended
-		Expect(s.Whole()).To(BeFalse())
+		Expect(s.IsComplete()).To(BeFalse())
 		Expect(s.Code).To(BeElementOf("cancelled", "generation_lost"))
 	})
 
@@ -158,7 +158,7 @@
 		headers := map[string]string{"Dillsaddle-Repeatable": "false", "Idempotency-Key": "summary-1"}
 		s, err := fleet.ReadStream(context.Background(), 0, headers)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(s.Whole()).To(BeTrue(), s.Body)
+		Expect(s.IsComplete()).To(BeTrue(), s.Body)
 		before := starts()
 		status, answered, text := call("POST", "/v1/completions", proof.Key, `{"model":"model-1","prompt":"x"}`, headers)
 		Expect(status).To(Equal(409), text)
--- a/proof/documents.go
+++ b/proof/documents.go
@@ -14,16 +14,16 @@
 )
 
 type box struct {
-	Name  string         `json:"box"`
-	Zone  string         `json:"zone"`
-	Entry netip.AddrPort `json:"entry"`
-	Sched netip.AddrPort `json:"scheduler"`
-	Watch netip.AddrPort `json:"watch"`
-	Admin netip.AddrPort `json:"entry-admin"`
-	SAdm  netip.AddrPort `json:"scheduler-admin"`
-	WAdm  netip.AddrPort `json:"watch-admin"`
-	Plat  netip.AddrPort `json:"platform"`
-	Fleet string         `json:"secret"`
+	Name           string         `json:"box"`
+	Zone           string         `json:"zone"`
+	Entry          netip.AddrPort `json:"entry"`
+	Sched          netip.AddrPort `json:"scheduler"`
+	Watch          netip.AddrPort `json:"watch"`
+	Admin          netip.AddrPort `json:"entry-admin"`
+	SchedulerAdmin netip.AddrPort `json:"scheduler-admin"`
+	WatchAdmin     netip.AddrPort `json:"watch-admin"`
+	Platform       netip.AddrPort `json:"platform"`
+	Fleet          string         `json:"secret"`
 }
 
 // The ports of fleets lie below those that the system gives to outgoing
@@ -52,8 +52,8 @@
 	}
 }
 
-// lay chooses addresses and documents.
-func (f *Fleet) lay() {
+// assign chooses addresses and documents.
+func (f *Fleet) assign() {
 	f.platform = freeAddress()
 	var servers []string
 	for range max(1, f.Shape.Servers) {
@@ -107,16 +107,16 @@
 
 func (f *Fleet) addBox(i int) {
 	b := box{
-		Name:  fmt.Sprintf("box-%d", i+1),
-		Zone:  fmt.Sprintf("zone-%d", i%3+1),
-		Entry: freeAddress(),
-		Sched: freeAddress(),
-		Watch: freeAddress(),
-		Admin: freeAddress(),
-		SAdm:  freeAddress(),
-		WAdm:  freeAddress(),
-		Plat:  f.platform,
-		Fleet: "the secret of a proof's fleet",
+		Name:           fmt.Sprintf("box-%d", i+1),
+		Zone:           fmt.Sprintf("zone-%d", i%3+1),
+		Entry:          freeAddress(),
+		Sched:          freeAddress(),
+		Watch:          freeAddress(),
+		Admin:          freeAddress(),
+		SchedulerAdmin: freeAddress(),
+		WatchAdmin:     freeAddress(),
+		Platform:       f.platform,
+		Fleet:          "the secret of a proof's fleet",
 	}
 	f.boxes = append(f.boxes, b)
 	f.list.Boxes = append(f.list.Boxes, core.Member{
@@ -129,7 +129,7 @@
 	})
 }
 
-func (f *Fleet) write(name string, value any) string {
+func (f *Fleet) writeJSON(name string, value any) string {
 	path := filepath.Join(f.dir, name)
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err == nil {
@@ -143,7 +143,7 @@
 
 // PublishConfig publishes a version of the configuration, changed by a function.
 func (f *Fleet) PublishConfig(version uint64, change func(map[string]any)) error {
-	body, err := f.configText(version, change)
+	body, err := f.configJSON(version, change)
 	if err != nil {
 		return err
 	}
@@ -154,16 +154,16 @@
 // publishTo publishes a version of the configuration to the platforms of some
 // boxes only.
 func (f *Fleet) publishTo(version uint64, boxes ...int) error {
-	body, err := f.configText(version, nil)
+	body, err := f.configJSON(version, nil)
 	for _, i := range boxes {
 		if err == nil {
-			_, _, err = f.call("POST", f.boxes[i].Plat, "/control/config", nil, body)
+			_, _, err = f.call("POST", f.boxes[i].Platform, "/control/config", nil, body)
 		}
 	}
 	return err
 }
 
-func (f *Fleet) configText(version uint64, change func(map[string]any)) ([]byte, error) {
+func (f *Fleet) configJSON(version uint64, change func(map[string]any)) ([]byte, error) {
 	copied := make(map[string]any, len(f.config))
 	for key, value := range f.config {
 		copied[key] = value
--- a/proof/fleet.go
+++ b/proof/fleet.go
@@ -28,7 +28,7 @@
 	BatchSlots      int
 	Servers         int  // of the service; one if left out
 	Hedge           bool // of the service
-	Ways            bool // boxes reach each other by ways that can be cut, each with its own platform
+	CuttableLinks   bool // boxes reach each other by ways that can be cut, each with its own platform
 }
 
 // DefaultShape is a small fleet whose streams take a few seconds.
@@ -57,7 +57,7 @@
 	programs  string
 	http      *client.Client
 	mu        sync.Mutex
-	processes map[string]*running
+	processes map[string]*process
 	platform  netip.AddrPort
 	engines   []netip.AddrPort
 	service   netip.AddrPort // the first of its servers
@@ -65,10 +65,10 @@
 	boxes     []box
 	config    map[string]any
 	list      core.List
-	ways      *ways
+	links     *links
 }
 
-type running struct {
+type process struct {
 	command *exec.Cmd
 	program string
 	file    string
@@ -96,32 +96,32 @@
 		dir:       dir,
 		programs:  programs,
 		http:      c,
-		processes: make(map[string]*running),
+		processes: make(map[string]*process),
 	}
-	f.lay()
-	if shape.Ways {
-		if err := f.layWays(); err != nil {
+	f.assign()
+	if shape.CuttableLinks {
+		if err := f.setUpLinks(); err != nil {
 			f.Close()
 			return nil, err
 		}
 	}
-	if err := f.launch(); err != nil {
+	if err := f.startAll(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) launch() error {
-	f.runPlatform("platform", f.platform, &f.list)
-	if f.ways != nil {
+func (f *Fleet) startAll() error {
+	f.startPlatform("platform", f.platform, &f.list)
+	if f.links != nil {
 		for i := range f.boxes {
-			f.runPlatform(fmt.Sprintf("platform-%d", i+1), f.boxes[i].Plat, &f.ways.lists[i])
+			f.startPlatform(fmt.Sprintf("platform-%d", i+1), f.boxes[i].Platform, &f.links.lists[i])
 		}
 	}
 	for i, address := range f.engines {
 		name := fmt.Sprintf("engine-%d", i+1)
-		f.run(name, "dillsaddle-standin", f.write(name+".json", map[string]any{
+		f.startProcess(name, "dillsaddle-standin", f.writeJSON(name+".json", map[string]any{
 			"role":          "engine",
 			"name":          name,
 			"address":       address.String(),
@@ -137,7 +137,7 @@
 	}
 	for i, address := range f.servers {
 		name := fmt.Sprintf("service-%d", i+1)
-		f.run(name, "dillsaddle-standin", f.write(name+".json", map[string]any{
+		f.startProcess(name, "dillsaddle-standin", f.writeJSON(name+".json", map[string]any{
 			"role":    "service",
 			"address": address.String(),
 		}))
@@ -145,33 +145,33 @@
 	for i := range f.boxes {
 		f.StartBox(i)
 	}
-	if f.ways != nil {
-		if err := f.listed(30 * time.Second); err != nil {
+	if f.links != nil {
+		if err := f.waitForLists(30 * time.Second); err != nil {
 			return err
 		}
 	}
-	return f.Ready(30 * time.Second)
+	return f.WaitReady(30 * time.Second)
 }
 
-func (f *Fleet) runPlatform(name string, address netip.AddrPort, list *core.List) {
-	f.run(name, "dillsaddle-standin", f.write(name+".json", map[string]any{
+func (f *Fleet) startPlatform(name string, address netip.AddrPort, list *core.List) {
+	f.startProcess(name, "dillsaddle-standin", f.writeJSON(name+".json", map[string]any{
 		"role":    "platform",
 		"address": address.String(),
-		"config":  f.write("config.json", f.config),
-		"list":    f.write(name+"-list.json", list),
+		"config":  f.writeJSON("config.json", f.config),
+		"list":    f.writeJSON(name+"-list.json", list),
 	}))
 }
 
 // StartBox starts the three processes of a box.
 func (f *Fleet) StartBox(i int) {
 	b := &f.boxes[i]
-	file := f.write(b.Name+".json", b)
+	file := f.writeJSON(b.Name+".json", b)
 	for _, part := range []string{"watch", "scheduler", "entry"} {
-		f.run(b.Name+"-"+part, "dillsaddle-"+part, file)
+		f.startProcess(b.Name+"-"+part, "dillsaddle-"+part, file)
 	}
 }
 
-func (f *Fleet) run(name, program, file string) {
+func (f *Fleet) startProcess(name, program, file string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := exec.Command(filepath.Join(f.programs, program), "-settings", file)
@@ -183,7 +183,7 @@
 	if err := c.Start(); err != nil {
 		panic(err)
 	}
-	r := &running{
+	r := &process{
 		command: c,
 		program: program,
 		file:    file,
@@ -206,8 +206,8 @@
 	}
 }
 
-// Ended waits until a process has ended.
-func (f *Fleet) Ended(name string, within time.Duration) bool {
+// WaitExit waits until a process has ended.
+func (f *Fleet) WaitExit(name string, within time.Duration) bool {
 	f.mu.Lock()
 	r := f.processes[name]
 	f.mu.Unlock()
@@ -225,11 +225,11 @@
 	r := f.processes[name]
 	f.mu.Unlock()
 	<-r.done
-	f.run(name, r.program, r.file)
+	f.startProcess(name, r.program, r.file)
 }
 
-// Ready waits until every box can serve a stream.
-func (f *Fleet) Ready(within time.Duration) error {
+// WaitReady waits until every box can serve a stream.
+func (f *Fleet) WaitReady(within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for i := range f.boxes {
 		for {
@@ -238,7 +238,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("%s is not ready: %s %v; ended by themselves: %s", f.boxes[i].Name, text, err, f.ended())
+				return errors.Errorf("%s is not ready: %s %v; ended by themselves: %s", f.boxes[i].Name, text, err, f.exitedLogs())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// ended gives the logs of the processes that have ended.
-func (f *Fleet) ended() string {
+// exitedLogs gives the logs of the processes that have ended.
+func (f *Fleet) exitedLogs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text := ""
@@ -266,8 +266,8 @@
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ways != nil {
-		f.ways.close()
+	if f.links != nil {
+		f.links.close()
 	}
 	for _, r := range f.processes {
 		_ = r.command.Process.Signal(syscall.SIGCONT)
--- a/proof/link.go
+++ b/proof/link.go
@@ -14,45 +14,45 @@
 	"dillsaddle.example/dillsaddle/watch"
 )
 
-// cut is the state of the way from one box to another. While it is closed
+// link is the state of the way from one box to another. While it is closed
 // nothing passes and nothing is said; what was on its way arrives afterwards.
-type cut struct {
-	mu     sync.Mutex
-	open   chan struct{} // it is closed while the way is open
-	closed bool
+type link struct {
+	mu      sync.Mutex
+	opened  chan struct{} // it is closed while the way is open
+	blocked bool
 }
 
-func newCut() *cut {
-	return &cut{
-		open:   make(chan struct{}),
-		closed: true,
+func newLink() *link {
+	return &link{
+		opened:  make(chan struct{}),
+		blocked: true,
 	}
 }
 
-func (c *cut) set(closed bool) {
+func (c *link) setBlocked(blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if closed == c.closed {
+	if blocked == c.blocked {
 		return
 	}
-	c.closed = closed
-	if closed {
-		c.open = make(chan struct{})
+	c.blocked = blocked
+	if blocked {
+		c.opened = make(chan struct{})
 		return
 	}
-	close(c.open)
+	close(c.opened)
 }
 
-func (c *cut) wait() {
+func (c *link) waitUntilOpen() {
 	c.mu.Lock()
-	open := c.open
+	opened := c.opened
 	c.mu.Unlock()
-	<-open
+	<-opened
 }
 
-// pass listens for connections of one box and takes them to another box's
+// listen listens for connections of one box and takes them to another box's
 // process while the way is open.
-func (c *cut) pass(target netip.AddrPort) (net.Listener, error) {
+func (c *link) listen(target netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", freeAddress().String())
 	if err != nil {
 		return nil, err
@@ -63,15 +63,15 @@
 			if err != nil {
 				return
 			}
-			go c.carry(from, target)
+			go c.forward(from, target)
 		}
 	}()
 	return l, nil
 }
 
-func (c *cut) carry(from net.Conn, target netip.AddrPort) {
+func (c *link) forward(from net.Conn, target netip.AddrPort) {
 	defer from.Close()
-	c.wait()
+	c.waitUntilOpen()
 	to, err := net.Dial("tcp", target.String())
 	if err != nil {
 		return
@@ -81,7 +81,7 @@
 	c.copy(to, from)
 }
 
-func (c *cut) copy(from, to net.Conn) {
+func (c *link) copy(from, to net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
 	for {
@@ -89,25 +89,25 @@
 		if err != nil {
 			return
 		}
-		c.wait()
+		c.waitUntilOpen()
 		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// ways are the cuts of a fleet whose boxes reach each other only through them:
+// links are the cuts of a fleet whose boxes reach each other only through them:
 // each box reads a platform of its own, which lists the others at the near ends.
-type ways struct {
-	between   map[[2]int]*cut
+type links struct {
+	between   map[[2]int]*link
 	listeners []net.Listener
 	lists     []core.List
 }
 
-// layWays gives each box its own list.
-func (f *Fleet) layWays() error {
-	w := &ways{between: make(map[[2]int]*cut)}
-	f.ways = w
+// setUpLinks gives each box its own list.
+func (f *Fleet) setUpLinks() error {
+	w := &links{between: make(map[[2]int]*link)}
+	f.links = w
 	for i := range f.boxes {
 		l := f.list
 		l.Boxes = slices.Clone(f.list.Boxes)
@@ -115,10 +115,10 @@
 			if j == i {
 				continue
 			}
-			c := newCut()
+			c := newLink()
 			w.between[[2]int{i, j}] = c
 			for _, address := range []*netip.AddrPort{&l.Boxes[j].Scheduler, &l.Boxes[j].Watch} {
-				near, err := c.pass(*address)
+				near, err := c.listen(*address)
 				if err != nil {
 					return err
 				}
@@ -127,48 +127,48 @@
 			}
 		}
 		w.lists = append(w.lists, l)
-		f.boxes[i].Plat = freeAddress()
+		f.boxes[i].Platform = freeAddress()
 	}
 	return nil
 }
 
-// listed waits until each box has its own platform's list, and opens the ways
+// waitForLists waits until each box has its own platform's list, and opens the ways
 // then: a list that came from another box would name that box's near ends.
-func (f *Fleet) listed(within time.Duration) error {
+func (f *Fleet) waitForLists(within time.Duration) error {
 	has := func() bool {
 		for i := range f.boxes {
 			var s watch.Status
-			_, body, err := f.get(f.boxes[i].WAdm, "/status")
+			_, body, err := f.get(f.boxes[i].WatchAdmin, "/status")
 			if err != nil || json.Unmarshal(body, &s) != nil || s.List == 0 {
 				return false
 			}
 		}
 		return true
 	}
-	if !until(within, has) {
-		return errors.Errorf("the boxes have no list within %s; ended by themselves: %s", within, f.ended())
+	if !waitUntil(within, has) {
+		return errors.Errorf("the boxes have no list within %s; ended by themselves: %s", within, f.exitedLogs())
 	}
-	for _, c := range f.ways.between {
-		c.set(false)
+	for _, c := range f.links.between {
+		c.setBlocked(false)
 	}
 	return nil
 }
 
-// Part cuts some boxes off from the others, in both directions, or lets them
+// Partition cuts some boxes off from the others, in both directions, or lets them
 // meet again.
-func (f *Fleet) Part(apart bool, some ...int) {
-	for pair, c := range f.ways.between {
-		if slices.Contains(some, pair[0]) != slices.Contains(some, pair[1]) {
-			c.set(apart)
+func (f *Fleet) Partition(blocked bool, group ...int) {
+	for pair, c := range f.links.between {
+		if slices.Contains(group, pair[0]) != slices.Contains(group, pair[1]) {
+			c.setBlocked(blocked)
 		}
 	}
 }
 
-func (w *ways) close() {
+func (w *links) close() {
 	for _, l := range w.listeners {
 		_ = l.Close()
 	}
 	for _, c := range w.between {
-		c.set(false)
+		c.setBlocked(false)
 	}
 }
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -52,10 +52,10 @@
 		wait.Go(func() {
 			for n := 0; time.Now().Before(end); n++ {
 				began := time.Now()
-				whole := f.lookup(i%len(f.boxes), fmt.Sprintf("/records/%d-%d", i, n))
+				ok := f.lookup(i%len(f.boxes), fmt.Sprintf("/records/%d-%d", i, n))
 				mu.Lock()
 				out.Latencies = append(out.Latencies, time.Since(began).Seconds())
-				if !whole {
+				if !ok {
 					out.Failed++
 				}
 				mu.Unlock()
@@ -78,16 +78,16 @@
 	return err == nil && status == 200 && answered["Dillsaddle-Outcome"] == "ran" && strings.Contains(string(text), path)
 }
 
-// hedgedAtMost bounds the servers' calls for each lookup: the budget of retries is
+// maxCallsPerRequest bounds the servers' calls for each lookup: the budget of retries is
 // a tenth, with a start of ten calls a customer and box.
-const hedgedAtMost = 1.15
+const maxCallsPerRequest = 1.15
 
 // lookupWrites are the record writes beside the lookups.
 const lookupWrites = 60
 
-// writeMany writes records, each under a key of its own.
-func (f *Fleet) writeMany(count int) []write {
-	var all []write
+// writeRecords writes records, each under a key of its own.
+func (f *Fleet) writeRecords(count int) []writeResult {
+	var all []writeResult
 	for n := range count {
 		all = append(all, f.writeRecord(n%len(f.boxes), newKey(), fmt.Sprintf("reading-%d", n)))
 	}
@@ -98,34 +98,34 @@
 	if err := f.SetServerFaults(standin.Faults{DelayMS: 300, DelayNth: 20}); err != nil {
 		return "", err
 	}
-	writes := make(chan []write, 1)
-	go func() { writes <- f.writeMany(lookupWrites) }()
+	writes := make(chan []writeResult, 1)
+	go func() { writes <- f.writeRecords(lookupWrites) }()
 	all, err := f.Lookups(12, 6*time.Second)
 	if err != nil {
 		return "", err
 	}
-	said, err := f.judgeWrites(<-writes)
+	summary, err := f.verifyWrites(<-writes)
 	if err != nil {
 		return "", err
 	}
-	hedges, err := f.hedges()
+	hedgeCount, err := f.hedgeCount()
 	if err != nil {
 		return "", err
 	}
 	looked := len(all.Latencies)
 	switch {
-	case hedges == 0:
+	case hedgeCount == 0:
 		return "", errors.New("no lookup went to a second server; the proof showed nothing")
 	case all.Failed > 0:
 		return "", errors.Errorf("%d of %d lookups did not get their own answer", all.Failed, looked)
-	case float64(all.Calls) > hedgedAtMost*float64(looked+lookupWrites):
+	case float64(all.Calls) > maxCallsPerRequest*float64(looked+lookupWrites):
 		return "", errors.Errorf("%d calls for %d lookups and %d writes", all.Calls, looked, lookupWrites)
 	}
-	return fmt.Sprintf("%d lookups whole, %.0f sent to a second server; %s", looked, hedges, said), nil
+	return fmt.Sprintf("%d lookups whole, %.0f sent to a second server; %s", looked, hedgeCount, summary), nil
 }
 
-// hedges counts the lookups that entries sent to a second server.
-func (f *Fleet) hedges() (float64, error) {
+// hedgeCount counts the lookups that entries sent to a second server.
+func (f *Fleet) hedgeCount() (float64, error) {
 	sum := 0.0
 	for i := range f.boxes {
 		m, err := f.Metrics(i, "entry")
--- a/proof/metrics.go
+++ b/proof/metrics.go
@@ -34,7 +34,7 @@
 
 // Quantile gives the upper bound of the bucket in which a part of a histogram's
 // values ends.
-func (m Metrics) Quantile(name string, part float64) float64 {
+func (m Metrics) Quantile(name string, fraction float64) float64 {
 	type bucket struct{ bound, count float64 }
 	var all []bucket
 	for key, count := range m {
@@ -49,7 +49,7 @@
 	}
 	slices.SortFunc(all, func(a, b bucket) int { return cmp.Compare(a.bound, b.bound) })
 	for _, b := range all {
-		if b.count >= part*all[len(all)-1].count {
+		if b.count >= fraction*all[len(all)-1].count {
 			return b.bound
 		}
 	}
@@ -57,12 +57,12 @@
 }
 
 // Metrics reads the metrics of a box's process.
-func (f *Fleet) Metrics(i int, part string) (Metrics, error) {
+func (f *Fleet) Metrics(i int, process string) (Metrics, error) {
 	address := map[string]netip.AddrPort{
 		"entry":     f.boxes[i].Admin,
-		"scheduler": f.boxes[i].SAdm,
-		"watch":     f.boxes[i].WAdm,
-	}[part]
+		"scheduler": f.boxes[i].SchedulerAdmin,
+		"watch":     f.boxes[i].WatchAdmin,
+	}[process]
 	_, body, err := f.get(address, "/metrics")
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	m := make(Metrics)
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	for lines.Scan() {
-		name, value, found := cutLast(lines.Text())
+		name, value, found := splitLast(lines.Text())
 		if number, err := strconv.ParseFloat(value, 64); found && err == nil {
 			m[name] = number
 		}
@@ -78,7 +78,7 @@
 	return m, lines.Err()
 }
 
-func cutLast(line string) (name, value string, found bool) {
+func splitLast(line string) (name, value string, found bool) {
 	at := strings.LastIndexByte(line, ' ')
 	if at < 0 {
 		return "", "", false
@@ -103,7 +103,7 @@
 
 // ReadDirect reads one stream from an engine, with no part of the system between.
 func (f *Fleet) ReadDirect(ctx context.Context, engine int) (*Stream, error) {
-	s := &Stream{began: time.Now()}
+	s := &Stream{startedAt: time.Now()}
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod("POST")
 	req.SetRequestURI("http://" + f.engines[engine].String() + "/v1/completions")
--- a/proof/scenario.go
+++ b/proof/scenario.go
@@ -21,7 +21,7 @@
 	all := append(streamScenarios(), slowScenario())
 	all = append(all, claimScenarios()...)
 	all = append(all, configScenarios()...)
-	all = append(all, partedScenarios()...)
+	all = append(all, partitionScenarios()...)
 	all = append(all, lookupScenarios()...)
 	return append(all, stopScenarios()...)
 }
@@ -40,8 +40,8 @@
 	return s.Run(f)
 }
 
-// until waits for a condition.
-func until(within time.Duration, condition func() bool) bool {
+// waitUntil waits for a condition.
+func waitUntil(within time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(within)
 	for time.Now().Before(deadline) {
 		if condition() {
--- a/proof/slow.go
+++ b/proof/slow.go
@@ -33,41 +33,41 @@
 		Name:     "a caller takes nothing of its stream",
 		Promises: []model.Promise{model.TokensOnce},
 		Shape:    slowShape(),
-		Run:      callerTakesNothing,
+		Run:      callerReadsNothing,
 	}
 }
 
-// slowLimit is the time in which an entry must have given such a caller up.
-const slowLimit = 40 * time.Second
+// disconnectLimit is the time in which an entry must have given such a caller up.
+const disconnectLimit = 40 * time.Second
 
-// mostUnread is what a stream may hold for a caller that reads nothing, in bytes:
+// maxUnreadBytes is what a stream may hold for a caller that reads nothing, in bytes:
 // the buffer that the entry allows, doubled by the system, and its last room.
-const mostUnread = 1 << 20
+const maxUnreadBytes = 1 << 20
 
-// mostMemory bounds the entry meanwhile, in bytes.
-const mostMemory = 200e6
+// maxEntryMemory bounds the entry meanwhile, in bytes.
+const maxEntryMemory = 200e6
 
-// callerTakesNothing opens a stream and reads none of it: the entry holds the
+// callerReadsNothing opens a stream and reads none of it: the entry holds the
 // engine's link up and, after its limit, gives the caller up with bounded memory.
 // The caller then finds a typed end behind what it left, and continues.
-func callerTakesNothing(f *Fleet) (string, error) {
-	conn, err := f.openUnread()
+func callerReadsNothing(f *Fleet) (string, error) {
+	conn, err := f.openUnreadStream()
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
-	memory, err := f.untilGivenUp()
+	memory, err := f.waitForDisconnect()
 	if err != nil {
 		return "", err
 	}
-	s, size, err := readLate(conn)
+	s, size, err := readBuffered(conn)
 	if err != nil {
 		return "", errors.Wrap(err, "read what was left")
 	}
 	if s.Code != "slow_caller" || s.Outcome != "ran" || !s.Done {
 		return "", errors.Errorf("the stream's last event says %q, outcome %q", s.Code, s.Outcome)
 	}
-	if size > mostUnread {
+	if size > maxUnreadBytes {
 		return "", errors.Errorf("%d bytes were held for a caller that reads nothing", size)
 	}
 	before := len(s.Tokens)
@@ -75,7 +75,7 @@
 	if err := f.Continue(context.Background(), s, 0); err != nil {
 		return "", errors.Wrap(err, "continue")
 	}
-	if !s.Whole() {
+	if !s.IsComplete() {
 		return "", errors.Errorf("the continued stream ended as %q %q", s.Code, s.Body)
 	}
 	if err := s.Check(f.Records()); err != nil {
@@ -85,8 +85,8 @@
 		size>>10, before, len(s.Tokens)-before, memory/1e6), nil
 }
 
-// openUnread begins a stream on a link whose caller reads nothing.
-func (f *Fleet) openUnread() (*net.TCPConn, error) {
+// openUnreadStream begins a stream on a link whose caller reads nothing.
+func (f *Fleet) openUnreadStream() (*net.TCPConn, error) {
 	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(f.boxes[0].Entry))
 	if err != nil {
 		return nil, err
@@ -105,11 +105,11 @@
 	return conn, err
 }
 
-// untilGivenUp waits until the entry has given a caller up, and gives the most
+// waitForDisconnect waits until the entry has given a caller up, and gives the most
 // memory that it had meanwhile.
-func (f *Fleet) untilGivenUp() (float64, error) {
+func (f *Fleet) waitForDisconnect() (float64, error) {
 	var memory float64
-	left := until(slowLimit, func() bool {
+	disconnected := waitUntil(disconnectLimit, func() bool {
 		m, err := f.Metrics(0, "entry")
 		if err != nil {
 			return false
@@ -117,18 +117,18 @@
 		memory = max(memory, m.Sum("process_resident_memory_bytes"))
 		return m.Sum("dillsaddle_callers_left_total") > 0
 	})
-	if !left {
-		return memory, errors.Errorf("the caller was not given up within %s", slowLimit)
+	if !disconnected {
+		return memory, errors.Errorf("the caller was not given up within %s", disconnectLimit)
 	}
-	if memory > mostMemory {
+	if memory > maxEntryMemory {
 		return memory, errors.Errorf("the entry grew to %.0f MB", memory/1e6)
 	}
 	return memory, nil
 }
 
-// readLate reads a stream from a link to its end, and gives its bytes.
-func readLate(conn *net.TCPConn) (*Stream, int, error) {
-	_ = conn.SetReadDeadline(time.Now().Add(slowLimit))
+// readBuffered reads a stream from a link to its end, and gives its bytes.
+func readBuffered(conn *net.TCPConn) (*Stream, int, error) {
+	_ = conn.SetReadDeadline(time.Now().Add(disconnectLimit))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return nil, 0, err
--- a/proof/stops.go
+++ b/proof/stops.go
@@ -23,7 +23,7 @@
 	return append(all, Scenario{
 		Name:     "a planned stop of a claims' home, and the writes are repeated",
 		Promises: []model.Promise{model.PlannedStopCutsNothing, model.AtMostOnce},
-		Run:      homeStopped,
+		Run:      ownerStopped,
 	})
 }
 
@@ -31,25 +31,25 @@
 const stopLimit = 30 * time.Second
 
 func plannedStop(f *Fleet, name string) (string, error) {
-	streams := f.Many(manyStreams, func() {
+	streams := f.RunStreams(streamCount, func() {
 		f.Signal(name, syscall.SIGTERM)
 		time.Sleep(100 * time.Millisecond)
 		f.Signal(name, syscall.SIGTERM)
 	})
-	whole, err := f.judge(streams, f.Records())
-	if err == nil && whole != manyStreams {
-		err = errors.Errorf("%d of %d streams came whole", whole, manyStreams)
+	complete, err := f.verify(streams, f.Records())
+	if err == nil && complete != streamCount {
+		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
 	}
-	if err == nil && !f.Ended(name, stopLimit) {
+	if err == nil && !f.WaitExit(name, stopLimit) {
 		err = errors.Errorf("%s had not left %s after the last stream", name, stopLimit)
 	}
-	return fmt.Sprintf("%d whole, then %s left", whole, name), err
+	return fmt.Sprintf("%d whole, then %s left", complete, name), err
 }
 
-func homeStopped(f *Fleet) (string, error) {
-	all := f.writeMany(20)
+func ownerStopped(f *Fleet) (string, error) {
+	all := f.writeRecords(20)
 	f.Signal("box-1-scheduler", syscall.SIGTERM)
-	if !f.Ended("box-1-scheduler", stopLimit) {
+	if !f.WaitExit("box-1-scheduler", stopLimit) {
 		return "", errors.New("the scheduler did not leave")
 	}
 	if err := f.PublishList(func(l *core.List) { l.Boxes = l.Boxes[1:] }); err != nil {
@@ -64,9 +64,9 @@
 		}
 		all = append(all, again)
 	}
-	said, err := f.judgeWrites(all)
+	summary, err := f.verifyWrites(all)
 	if err == nil && replayed != 20 {
 		err = errors.Errorf("%d of 20 repeats were answered with what had run", replayed)
 	}
-	return fmt.Sprintf("%s, %d repeats answered from the handed-over records", said, replayed), err
+	return fmt.Sprintf("%s, %d repeats answered from the handed-over records", summary, replayed), err
 }
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -31,9 +31,9 @@
 	Body             string
 	TimeToFirstToken time.Duration
 	Gaps             []float64 // seconds between tokens
-	began            time.Time
-	last             time.Time
-	sharedIDs        int   // events with the id of the one before
+	startedAt        time.Time
+	lastTokenAt      time.Time
+	repeatedIDs      int   // events with the id of the one before
 	progress         int32 // a streamProgress, read and written atomically
 }
 
@@ -42,8 +42,8 @@
 
 // A stream waits for its first token, is under way, and has ended.
 const (
-	streamWaits streamProgress = iota
-	streamUnderWay
+	streamWaiting streamProgress = iota
+	streamRunning
 	streamEnded
 )
 
@@ -60,32 +60,32 @@
 	Outcome string `json:"Dillsaddle-Outcome"`
 }
 
-// longestStream bounds a caller's patience.
-const longestStream = 2 * time.Minute
+// streamTimeout bounds a caller's patience.
+const streamTimeout = 2 * time.Minute
 
 // ReadStream begins a stream at a box and reads it to its end, or until the context
 // ends it.
 func (f *Fleet) ReadStream(ctx context.Context, boxIndex int, headers map[string]string) (*Stream, error) {
-	s := &Stream{began: time.Now()}
-	return s, f.open(ctx, s, boxIndex, headers)
+	s := &Stream{startedAt: time.Now()}
+	return s, f.readStream(ctx, s, boxIndex, headers)
 }
 
-func (f *Fleet) open(ctx context.Context, s *Stream, boxIndex int, headers map[string]string) error {
+func (f *Fleet) readStream(ctx context.Context, s *Stream, boxIndex int, headers map[string]string) error {
 	defer atomic.StoreInt32(&s.progress, streamEnded)
 	body := fmt.Sprintf(`{"model":%q,"prompt":"a prompt","stream":true}`, Model)
-	return f.read(ctx, s, boxIndex, "POST", "/v1/completions", headers, []byte(body))
+	return f.readEvents(ctx, s, boxIndex, "POST", "/v1/completions", headers, []byte(body))
 }
 
 // Continue goes on with a stream at a box after the caller's last event.
 func (f *Fleet) Continue(ctx context.Context, s *Stream, boxIndex int) error {
-	return f.read(ctx, s, boxIndex, "GET", "/v1/streams/"+s.ID, map[string]string{"Last-Event-ID": s.LastEvent}, nil)
+	return f.readEvents(ctx, s, boxIndex, "GET", "/v1/streams/"+s.ID, map[string]string{"Last-Event-ID": s.LastEvent}, nil)
 }
 
-type openedKey struct{}
+type streamIDKey struct{}
 
-// WithID has a stream's id sent to a channel as soon as it is known.
-func WithID(ctx context.Context, opened chan string) context.Context {
-	return context.WithValue(ctx, openedKey{}, opened)
+// WithStreamID has a stream's id sent to a channel as soon as it is known.
+func WithStreamID(ctx context.Context, opened chan string) context.Context {
+	return context.WithValue(ctx, streamIDKey{}, opened)
 }
 
 type firstTokenKey struct{}
@@ -95,8 +95,8 @@
 	return context.WithValue(ctx, firstTokenKey{}, first)
 }
 
-func (f *Fleet) read(ctx context.Context, s *Stream, boxIndex int, method, path string, headers map[string]string, body []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, longestStream)
+func (f *Fleet) readEvents(ctx context.Context, s *Stream, boxIndex int, method, path string, headers map[string]string, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(method)
@@ -118,7 +118,7 @@
 		return nil
 	}
 	s.ID = resp.Header.Get("Dillsaddle-Request")
-	if opened, ok := ctx.Value(openedKey{}).(chan string); ok {
+	if opened, ok := ctx.Value(streamIDKey{}).(chan string); ok {
 		opened <- s.ID
 	}
 	first, _ := ctx.Value(firstTokenKey{}).(func())
@@ -134,7 +134,7 @@
 
 func (s *Stream) event(e *sse.Event) error {
 	if e.ID == s.LastEvent {
-		s.sharedIDs++
+		s.repeatedIDs++
 	}
 	s.LastEvent = strings.Clone(e.ID)
 	if string(e.Data) == "[DONE]" {
@@ -156,20 +156,20 @@
 		s.Generation = c.ID
 	}
 	if len(c.Choices) > 0 && c.Choices[0].Text != "" {
-		s.token(c.Choices[0].Text)
+		s.addToken(c.Choices[0].Text)
 	}
 	return nil
 }
 
-func (s *Stream) token(text string) {
+func (s *Stream) addToken(text string) {
 	now := time.Now()
 	if len(s.Tokens) == 0 {
-		atomic.StoreInt32(&s.progress, streamUnderWay)
-		s.TimeToFirstToken = now.Sub(s.began)
+		atomic.StoreInt32(&s.progress, streamRunning)
+		s.TimeToFirstToken = now.Sub(s.startedAt)
 	} else {
-		s.Gaps = append(s.Gaps, now.Sub(s.last).Seconds())
+		s.Gaps = append(s.Gaps, now.Sub(s.lastTokenAt).Seconds())
 	}
-	s.last = now
+	s.lastTokenAt = now
 	s.Tokens = append(s.Tokens, strings.TrimSpace(text))
 }
 
@@ -183,14 +183,14 @@
 			return errors.Errorf("token %d of %s is %q", n, s.Generation, token)
 		}
 	}
-	if s.sharedIDs > 0 {
-		return errors.Errorf("%d events of %s had the id of the one before", s.sharedIDs, s.Generation)
+	if s.repeatedIDs > 0 {
+		return errors.Errorf("%d events of %s had the id of the one before", s.repeatedIDs, s.Generation)
 	}
 	if s.Code != "" || s.Outcome != "ran" {
 		return nil
 	}
 	for _, r := range records {
-		if made, here := r.Tokens[s.Generation]; here {
+		if made, found := r.Tokens[s.Generation]; found {
 			if made != len(s.Tokens) {
 				return errors.Errorf("%d of %d tokens were given as the whole answer", len(s.Tokens), made)
 			}
@@ -200,8 +200,8 @@
 	return errors.Errorf("no engine's record has the generation %s", s.Generation)
 }
 
-// Whole reports whether the stream came to its end without an error.
-func (s *Stream) Whole() bool { return s.Done && s.Code == "" && s.Outcome == "ran" }
+// IsComplete reports whether the stream came to its end without an error.
+func (s *Stream) IsComplete() bool { return s.Done && s.Code == "" && s.Outcome == "ran" }
 
 // Records gives the records of the engines that answer.
 func (f *Fleet) Records() []standin.Record {
@@ -214,26 +214,26 @@
 	return all
 }
 
-// Many opens streams side by side over the boxes and calls a function when all
+// RunStreams opens streams side by side over the boxes and calls a function when all
 // have begun, as their callers see it; it gives the streams when all have ended.
-func (f *Fleet) Many(count int, begun func()) []*Stream {
-	streams, wait := f.openAll(count, func(i int) int { return i % len(f.boxes) })
-	until(longestStream, func() bool { return countProgress(streams, streamWaits) == 0 })
+func (f *Fleet) RunStreams(count int, begun func()) []*Stream {
+	streams, wait := f.startStreams(count, func(i int) int { return i % len(f.boxes) })
+	waitUntil(streamTimeout, func() bool { return countInState(streams, streamWaiting) == 0 })
 	begun()
 	wait()
 	return streams
 }
 
-// openAll opens streams side by side and gives them with a function that waits
+// startStreams opens streams side by side and gives them with a function that waits
 // for their ends.
-func (f *Fleet) openAll(count int, box func(int) int) ([]*Stream, func()) {
+func (f *Fleet) startStreams(count int, box func(int) int) ([]*Stream, func()) {
 	streams := make([]*Stream, count)
 	var wait sync.WaitGroup
 	for i := range streams {
-		s := &Stream{began: time.Now()}
+		s := &Stream{startedAt: time.Now()}
 		streams[i] = s
 		wait.Go(func() {
-			if err := f.open(context.Background(), s, box(i), nil); err != nil && s.Code == "" {
+			if err := f.readStream(context.Background(), s, box(i), nil); err != nil && s.Code == "" {
 				s.Code = "link: " + err.Error()
 			}
 		})
@@ -241,7 +241,7 @@
 	return streams, wait.Wait
 }
 
-func countProgress(streams []*Stream, p streamProgress) int {
+func countInState(streams []*Stream, p streamProgress) int {
 	n := 0
 	for _, s := range streams {
 		if atomic.LoadInt32(&s.progress) == p {
@@ -251,5 +251,5 @@
 	return n
 }
 
-// settle is the time in which a published document has been read and refused.
-const settle = 700 * time.Millisecond
+// configSettleTime is the time in which a published document has been read and refused.
+const configSettleTime = 700 * time.Millisecond
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -25,7 +25,7 @@
 		{
 			Name:     "engines double, swap and cut frames during 24 streams",
 			Promises: streamPromises,
-			Run:      framesSpoilt,
+			Run:      framesCorrupted,
 		},
 		{
 			Name:     "engines stall without closing during 24 streams",
@@ -40,7 +40,7 @@
 		{
 			Name:     "scheduler and watch are paused past every time-out during 24 streams",
 			Promises: streamPromises,
-			Run:      controlPaused,
+			Run:      controlProcessesPaused,
 		},
 		{
 			Name:     "an engine refuses everything",
@@ -55,19 +55,19 @@
 	}
 }
 
-const manyStreams = 24
+const streamCount = 24
 
-// judge checks every stream against the engines' records and counts the whole.
-func (f *Fleet) judge(streams []*Stream, records []standin.Record) (whole int, err error) {
+// verify checks every stream against the engines' records and counts the whole.
+func (f *Fleet) verify(streams []*Stream, records []standin.Record) (complete int, err error) {
 	for i, s := range streams {
 		if err := s.Check(records); err != nil {
-			return whole, errors.Wrapf(err, "stream %d", i)
+			return complete, errors.Wrapf(err, "stream %d", i)
 		}
-		if s.Whole() {
-			whole++
+		if s.IsComplete() {
+			complete++
 		}
 	}
-	return whole, nil
+	return complete, nil
 }
 
 func engineKilled(f *Fleet) (string, error) {
@@ -75,44 +75,44 @@
 	if err != nil {
 		return "", err
 	}
-	streams := f.Many(manyStreams, func() {
+	streams := f.RunStreams(streamCount, func() {
 		before, _ = f.EngineRecord(0)
 		f.Signal("engine-1", syscall.SIGKILL)
 	})
-	whole, err := f.judge(streams, f.Records())
+	complete, err := f.verify(streams, f.Records())
 	lost := 0
 	for i, s := range streams {
-		_, there := before.Tokens[s.Generation]
-		if s.Whole() {
+		_, existed := before.Tokens[s.Generation]
+		if s.IsComplete() {
 			continue
 		}
 		lost++
-		if !there {
+		if !existed {
 			return "", errors.Errorf("stream %d ended as %q though its engine lived", i, s.Code)
 		}
 		if s.Code != "generation_lost" {
 			return "", errors.Errorf("stream %d of the dead engine ended as %q", i, s.Code)
 		}
 	}
-	return fmt.Sprintf("%d whole, %d ended with the typed error", whole, lost), err
+	return fmt.Sprintf("%d whole, %d ended with the typed error", complete, lost), err
 }
 
-func framesSpoilt(f *Fleet) (string, error) {
+func framesCorrupted(f *Fleet) (string, error) {
 	for i := range f.engines {
 		if err := f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{Duplicate: 3, Reorder: 7, Cut: 40}); err != nil {
 			return "", err
 		}
 	}
-	streams := f.Many(manyStreams, func() {})
-	whole, err := f.judge(streams, f.Records())
-	if err == nil && whole != manyStreams {
-		err = errors.Errorf("%d of %d streams came whole", whole, manyStreams)
+	streams := f.RunStreams(streamCount, func() {})
+	complete, err := f.verify(streams, f.Records())
+	if err == nil && complete != streamCount {
+		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
 	}
-	return fmt.Sprintf("%d whole", whole), err
+	return fmt.Sprintf("%d whole", complete), err
 }
 
 func enginesStall(f *Fleet) (string, error) {
-	streams := f.Many(manyStreams, func() {
+	streams := f.RunStreams(streamCount, func() {
 		for i := range f.engines {
 			_ = f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{Stall: true})
 		}
@@ -121,52 +121,52 @@
 			_ = f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{})
 		}
 	})
-	whole, err := f.judge(streams, f.Records())
-	if err == nil && whole != manyStreams {
-		err = errors.Errorf("%d of %d streams came whole", whole, manyStreams)
+	complete, err := f.verify(streams, f.Records())
+	if err == nil && complete != streamCount {
+		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
 	}
-	return fmt.Sprintf("%d whole", whole), err
+	return fmt.Sprintf("%d whole", complete), err
 }
 
-// cutWaves bounds the tries to have streams under way on one box at once: on a
+// maxWaves bounds the tries to have streams under way on one box at once: on a
 // busy machine short streams may end before the others begin.
-const cutWaves = 10
+const maxWaves = 10
 
-// cutLeast is how many streams are to be under way when their box is killed.
-const cutLeast = 4
+// minRunning is how many streams are to be under way when their box is killed.
+const minRunning = 4
 
 func entryKilled(f *Fleet) (string, error) {
 	var streams []*Stream
-	for range cutWaves {
-		wave, wait := f.openAll(8, func(int) int { return 0 })
+	for range maxWaves {
+		wave, wait := f.startStreams(8, func(int) int { return 0 })
 		streams = append(streams, wave...)
-		until(longestStream, func() bool {
-			return countProgress(wave, streamUnderWay) >= cutLeast || countProgress(wave, streamWaits) == 0
+		waitUntil(streamTimeout, func() bool {
+			return countInState(wave, streamRunning) >= minRunning || countInState(wave, streamWaiting) == 0
 		})
-		underWay := countProgress(wave, streamUnderWay) >= cutLeast
+		underWay := countInState(wave, streamRunning) >= minRunning
 		if underWay {
 			f.Signal("box-1-entry", syscall.SIGKILL)
 		}
 		wait()
 		if underWay {
-			return f.comeBack(streams)
+			return f.reconnect(streams)
 		}
 	}
-	return "", errors.Errorf("in %d waves of streams, no %d were under way at once; the proof showed nothing", cutWaves, cutLeast)
+	return "", errors.Errorf("in %d waves of streams, no %d were under way at once; the proof showed nothing", maxWaves, minRunning)
 }
 
-// comeBack continues streams that were cut at box 0 through the other boxes.
-func (f *Fleet) comeBack(streams []*Stream) (string, error) {
+// reconnect continues streams that were cut at box 0 through the other boxes.
+func (f *Fleet) reconnect(streams []*Stream) (string, error) {
 	back := 0
 	for i, s := range streams {
-		if s.ID == "" || s.Whole() {
+		if s.ID == "" || s.IsComplete() {
 			continue
 		}
 		s.Code = "" // the broken link's
 		if err := f.Continue(context.Background(), s, 1+i%2); err != nil {
 			return "", errors.Wrapf(err, "continue stream %d", i)
 		}
-		if !s.Whole() {
+		if !s.IsComplete() {
 			return "", errors.Errorf("stream %d ended as %q %q after it came back", i, s.Code, s.Body)
 		}
 		back++
@@ -174,13 +174,13 @@
 	if back == 0 {
 		return "", errors.New("no stream was cut by the kill; the proof showed nothing")
 	}
-	_, err := f.judge(streams, f.Records())
+	_, err := f.verify(streams, f.Records())
 	return fmt.Sprintf("%d of %d came back and were whole", back, len(streams)), err
 }
 
-func controlPaused(f *Fleet) (string, error) {
+func controlProcessesPaused(f *Fleet) (string, error) {
 	parts := []string{"box-1-scheduler", "box-2-watch", "box-3-scheduler"}
-	streams := f.Many(manyStreams, func() {
+	streams := f.RunStreams(streamCount, func() {
 		for _, name := range parts {
 			f.Signal(name, syscall.SIGSTOP)
 		}
@@ -189,11 +189,11 @@
 			f.Signal(name, syscall.SIGCONT)
 		}
 	})
-	whole, err := f.judge(streams, f.Records())
-	if err == nil && whole != manyStreams {
-		err = errors.Errorf("%d of %d streams came whole", whole, manyStreams)
+	complete, err := f.verify(streams, f.Records())
+	if err == nil && complete != streamCount {
+		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
 	}
-	return fmt.Sprintf("%d whole", whole), err
+	return fmt.Sprintf("%d whole", complete), err
 }
 
 func engineRefuses(f *Fleet) (string, error) {
