--- a/model/call.go
+++ b/model/call.go
@@ -6,27 +6,29 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// CallRules are the bounds of the specification of one caller's request.
+// CallRules are the bounds of the specification of a single call: one caller's
+// request on the operators' platform.
 type CallRules struct {
 	Rules     core.CallRules
-	HasBudget bool // whether the retry budget has room
-	Events    int  // of a stream
+	HasBudget bool // the retry budget allows another attempt
+	Events    int  // events of each stream
 	Faults    int
 	Options   []core.Option
 }
 
-// callState is a call with what is true of its runs, which the call can't see.
+// callState is a call together with the state of its runs, which the call itself
+// can't observe.
 type callState struct {
 	rules     *CallRules
 	call      *core.Call
-	pending   core.Command // what the shell is to do next
-	runs      int          // that an endpoint began
-	delivered int          // events of the stream that the caller has
+	pending   core.Command // the next command to carry out, nil once the call has ended
+	runs      int          // runs that an endpoint has started
+	delivered int          // stream events that the caller has received
 	faults    int
 	violation string
 }
 
-// Calls gives the first state of the specification of requests.
+// Calls returns the first state of the specification of calls.
 func Calls(rules CallRules) State {
 	return &callState{
 		rules:   &rules,
@@ -36,7 +38,7 @@
 	}
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *callState) Key() string {
 	return fmt.Sprintf("%T %s %d %t %d %d %d %s", s.pending, s.call.State(), s.call.Sends(), s.call.MayHaveRun(), s.runs, s.delivered, s.faults, s.violation)
 }
@@ -47,7 +49,7 @@
 	return &copied
 }
 
-// Next gives every step of callers, endpoints and links.
+// Next returns the steps of the caller, endpoints and links.
 func (s *callState) Next() []Transition {
 	if s.violation != "" {
 		return nil
@@ -61,13 +63,13 @@
 	if s.pending == nil {
 		return
 	}
-	s.addStep(add, "the caller leaves", 0, core.CallAbandoned{})
-	s.addStep(add, "its time ends", 0, core.CallExpired{})
+	s.addStep(add, "the caller disconnects", 0, core.CallAbandoned{})
+	s.addStep(add, "its deadline passes", 0, core.CallExpired{})
 	switch s.pending.(type) {
 	case core.PlaceCall:
 		s.addStep(add, "an endpoint is chosen", 0, core.CallPlaced{})
-		s.addStep(add, "no endpoint is there", 0, core.CallUnplaced{})
-		s.addFault(add, "endpoints end under it", 0, core.CallQuarantined{})
+		s.addStep(add, "no endpoint is available", 0, core.CallUnplaced{})
+		s.addFault(add, "it is quarantined after endpoint crashes", 0, core.CallQuarantined{})
 	case core.SendCall, core.ContinueCall, core.ResumeCall:
 		s.addSendSteps(add)
 	default:
@@ -75,20 +77,20 @@
 	}
 }
 
-// addSendSteps gives what can become of a request that goes out.
+// addSendSteps adds the possible outcomes of sending the request to an endpoint.
 func (s *callState) addSendSteps(add callAdder) {
 	run := 1
 	if _, goesOn := s.pending.(core.ContinueCall); goesOn {
 		run = 0
 	}
 	if _, first := s.pending.(core.SendCall); !first {
-		s.addFault(add, "endpoints end under it", 0, core.CallQuarantined{})
+		s.addFault(add, "it is quarantined after endpoint crashes", 0, core.CallQuarantined{})
 	}
-	s.addFault(add, "no byte left", 0, core.CallUnsent{})
+	s.addFault(add, "no byte is sent", 0, core.CallUnsent{})
 	s.addFault(add, "the endpoint refuses it", 0, core.CallRefused{})
 	s.addFault(add, "its connection breaks before it is read", 0, core.CallBroken{})
 	s.addFault(add, "it runs and its answer is lost", run, core.CallBroken{})
-	s.addFault(add, "it runs and its time ends", run, core.CallExpired{})
+	s.addFault(add, "it runs and its deadline passes", run, core.CallExpired{})
 	s.addStep(add, "it runs and is answered", run, core.CallAnswered{})
 	s.addFault(add, "it runs and fails", run, core.CallAnswered{Failed: true})
 	if s.rules.Events > 0 {
@@ -99,14 +101,14 @@
 	}
 }
 
-// addStreamSteps gives what can become of a stream under way.
+// addStreamSteps adds the possible outcomes of a stream in progress.
 func (s *callState) addStreamSteps(add callAdder) {
 	if s.delivered < s.rules.Events {
-		add("an event comes", func(n *callState) { n.deliverEvent() })
+		add("an event arrives", func(n *callState) { n.deliverEvent() })
 	} else {
 		s.addStep(add, "the stream completes", 0, core.CallCompleted{})
 	}
-	s.addFault(add, "the stream breaks, and a copy is there", 0, core.CallBroken{Copy: true})
+	s.addFault(add, "the stream breaks, and a copy of its state exists", 0, core.CallBroken{Copy: true})
 	s.addFault(add, "the stream breaks", 0, core.CallBroken{})
 }
 
@@ -116,7 +118,8 @@
 	s.pending = readingStream{}
 }
 
-// readingStream stands for the reading of a stream, which the shell goes on with.
+// readingStream is the pending command while a stream is being read. The core has
+// no command for this.
 type readingStream struct{ core.CommandBase }
 
 func (s *callState) addFault(add callAdder, label string, runs int, ev core.Event) {
@@ -141,27 +144,28 @@
 		s.handleCommand(commands[0])
 	}
 	if s.runs > 1 && !s.rules.Rules.Repeatable {
-		s.violation = "a request that may run once ran twice"
+		s.violation = "a request that must run at most once ran twice"
 	}
 }
 
-// handleCommand takes a command, or checks the end that it gives the caller.
+// handleCommand keeps a command as pending, or checks the final answer that it
+// gives the caller.
 func (s *callState) handleCommand(command core.Command) {
 	switch c := command.(type) {
 	case core.PlaceCall, core.SendCall, core.ContinueCall, core.ResumeCall:
 		s.pending = command
 		if _, resumed := command.(core.ResumeCall); resumed && !s.rules.Rules.Resumable {
-			s.violation = "a stream that may not be resumed goes on in another run"
+			s.violation = "a stream that may not be resumed was continued by another run"
 		}
 		if _, again := command.(core.PlaceCall); again && s.delivered > 0 {
-			s.violation = "a stream of which the caller has a part is sent anew"
+			s.violation = "a partly delivered stream was sent again from the start"
 		}
 	case core.RefuseCall:
 		if s.delivered > 0 {
 			s.violation = "a refusal was written into a stream"
 		}
 		if c.Outcome == core.NotRun && s.runs > 0 {
-			s.violation = "a request that ran was told not run"
+			s.violation = "a request that ran was reported as not run"
 		}
 	case core.PassAnswer:
 		if s.delivered > 0 {
@@ -170,5 +174,5 @@
 	}
 }
 
-// FindViolation checks what a request is promised.
+// FindViolation reports a broken promise about calls.
 func (s *callState) FindViolation() (string, bool) { return s.violation, s.violation != "" }
--- a/model/check.go
+++ b/model/check.go
@@ -7,11 +7,10 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Promise numbers the points that must always hold, in the order of the users'
-// brief.
+// Promise identifies a guarantee to callers and operators that must always hold.
 type Promise int
 
-// The promises.
+// The promises, in the order of the users' requirements.
 const (
 	TokensOnce Promise = iota + 1
 	CompleteAnswer
@@ -22,7 +21,7 @@
 	NeverOlderConfig
 )
 
-// Promises are the points in words of our own.
+// Promises describe each promise in one line.
 var Promises = map[Promise]string{
 	TokensOnce:             "each token once, in order, of one generation",
 	CompleteAnswer:         "the whole answer to one's own request",
@@ -33,26 +32,27 @@
 	NeverOlderConfig:       "the accepted configuration, never an older one",
 }
 
-// Check is one exploration that bears on some promises. Each of its guards,
-// switched off, must make it find a break.
+// Check is an exploration that tests some promises. It must find a violation when
+// any one of its guards is switched off.
 type Check struct {
 	Name     string
 	Promises []Promise
 	Guards   []core.Guard
 	Initial  func(deep bool, options ...core.Option) State
-	States   int // bound of the quick run; the deep one has deepStates
+	States   int // the most states that the quick run explores; the deep run uses maxDeepStates
 }
 
-// maxDeepStates bounds the deep runs.
+// maxDeepStates bounds deep explorations.
 const maxDeepStates = 700000
 
-// maxGuardStates bounds the runs with a guard off, which end at the break.
+// maxGuardStates bounds explorations with a guard switched off.
 const maxGuardStates = 400000
 
-// maxDepth is beyond the depth of every specification here.
+// maxDepth exceeds the depth of every specification.
 const maxDepth = 100
 
-// Run explores a check.
+// Run explores the check's specification, to the deep bounds if deep is true. Options
+// switch guards off.
 func (c *Check) Run(deep bool, options ...core.Option) Result {
 	states := c.States
 	switch {
@@ -67,7 +67,7 @@
 	})
 }
 
-// pick gives the quick or the deep bound.
+// pick returns more if deep is true, and quick otherwise.
 func pick(deep bool, quick, more int) int {
 	if deep {
 		return more
@@ -75,7 +75,7 @@
 	return quick
 }
 
-// Checks are all explorations.
+// Checks returns all explorations.
 func Checks() []Check {
 	all := []Check{
 		streamCheck("streams of repeatable requests", true),
@@ -136,7 +136,7 @@
 	}
 }
 
-// callChecks are for requests on the operators' platform.
+// callChecks returns the checks of calls on the operators' platform.
 func callChecks() []Check {
 	check := func(name string, repeatable bool, events int, guards ...core.Guard) Check {
 		resumable := repeatable && events > 0
@@ -169,8 +169,8 @@
 	}
 }
 
-// evacuationChecks are for moves off an engine that leaves: a run that two boxes
-// moved, or that was moved twice, would go on from two copies.
+// evacuationChecks returns the checks of moves off a leaving engine. A run that is
+// moved twice would continue in two copies.
 func evacuationChecks() []Check {
 	check := func(boxes, runs int) Check {
 		return Check{
@@ -202,8 +202,8 @@
 		for _, timed := range []bool{true, false} {
 			needed := guards[scenario]
 			if scenario == OwnerLeaves && timed {
-				// Without its time, a key is unknown to the successor for as long
-				// as an old home may still grant: freshness is not needed there.
+				// A key without a creation time stays unknown to the successor for as
+				// long as the old owner may still grant, so freshness isn't needed.
 				needed = append(slices.Clone(needed), core.GuardClaimFresh)
 			}
 			all = append(all, claimCheck(scenario, timed, needed))
--- a/model/check_test.go
+++ b/model/check_test.go
@@ -10,14 +10,14 @@
 	"dillsaddle.example/dillsaddle/model"
 )
 
-// exploration is one exploration of a check, with a guard off or with all on.
+// exploration is one run of a check, with all guards on or with one off.
 type exploration struct {
 	check  model.Check
 	guard  core.Guard
 	result model.Result
 }
 
-// exploreAll runs every check with all guards on and with each off, side by side.
+// exploreAll runs every check concurrently, with all guards on and with each guard off.
 var exploreAll = sync.OnceValue(func() []exploration {
 	all := explorations()
 	var wait sync.WaitGroup
@@ -33,7 +33,7 @@
 	return all
 })
 
-// maxConcurrent bounds the explorations side by side, for their memory.
+// maxConcurrent bounds the concurrent explorations, because of their memory use.
 const maxConcurrent = 4
 
 func (o *exploration) run() {
@@ -62,7 +62,7 @@
 	}
 })
 
-// explorations lists what explored runs, in the same order.
+// explorations returns everything that exploreAll runs, in the same order.
 func explorations() []exploration {
 	var all []exploration
 	for _, c := range model.Checks() {
--- a/model/claim.go
+++ b/model/claim.go
@@ -8,30 +8,32 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// ClaimScenario says which lists the platform publishes, one after another.
+// ClaimScenario names the sequence of lists that the platform publishes.
 type ClaimScenario string
 
 // The scenarios of the specification of claims.
 const (
-	OwnerLeaves  ClaimScenario = "home-leaves"  // the home of the key goes off the list
-	OwnerReturns ClaimScenario = "home-returns" // and comes back on it
-	OwnerJoins   ClaimScenario = "home-joins"   // a new box becomes the key's home
-	OwnerStops   ClaimScenario = "home-stops"   // the home is stopped as planned, then goes off the list
-	SameList     ClaimScenario = "same-list"
+	OwnerLeaves  ClaimScenario = "home-leaves"  // the key's owner is removed from the list
+	OwnerReturns ClaimScenario = "home-returns" // the owner is removed from the list, then added back
+	OwnerJoins   ClaimScenario = "home-joins"   // a new box becomes the key's owner
+	OwnerStops   ClaimScenario = "home-stops"   // the owner makes a planned stop, then is removed from the list
+	SameList     ClaimScenario = "same-list"    // the list stays the same
 )
 
-// ClaimRules are the bounds of the specification of claims.
+// ClaimRules are the bounds of the specification of claims. A claim is a box's
+// exclusive permission to run the request with a given idempotency key; the key's
+// owner grants it.
 type ClaimRules struct {
 	Scenario ClaimScenario
-	Boxes    []int // at which callers send requests; keys come in turn
+	Boxes    []int // the box that each request is sent to; the keys are assigned round-robin
 	Keys     int
 	Faults   int
 	Time     int
-	Timed    bool // keys carry their time; if not, repeats come within the guard time
+	Timed    bool // keys carry their creation time; if not, repeats arrive within the guard time
 	Options  []core.Option
 }
 
-// claimTimes are the core's bounds in units of the specification's time.
+// claimTimes returns the core's durations in time steps.
 func claimTimes() core.ClaimRules {
 	return core.ClaimRules{
 		Guard:     3 * timeStep,
@@ -52,7 +54,7 @@
 	requestUnknown requestState = "told-unknown"
 )
 
-// claimRequest is one caller's request through one box's entry.
+// claimRequest is one caller's request to the entry of one box.
 type claimRequest struct {
 	key          core.ClaimKey
 	box          int
@@ -71,7 +73,7 @@
 	messageAnswer claimMessageKind = "answer"
 )
 
-// claimMessage is a message between an entry and a home.
+// claimMessage is a message between an entry and a claim owner.
 type claimMessage struct {
 	kind             claimMessageKind
 	request          int
@@ -83,38 +85,38 @@
 }
 
 type claimBox struct {
-	owner            *core.ClaimOwner // nil while the process is dead
+	owner            *core.ClaimOwner // nil while the process is not running
 	incarnation      core.Incarnation
-	list             int // index of the list in use, -1 for none
-	cut              bool
+	list             int  // index of the adopted list, -1 for none
+	cut              bool // cut off from the platform and the other boxes
 	paused           bool
 	stopping         bool
-	knownIncarnation [len(boxNames)]core.Incarnation // homes' lives that its entry met
+	knownIncarnation [len(boxNames)]core.Incarnation // the newest incarnation of each owner that answered this box's entry
 }
 
 type claimState struct {
 	rules     *ClaimRules
 	lists     []*core.List
-	published int
+	published int // index of the newest published list
 	now       int
 	faults    int
 	boxes     [len(boxNames)]claimBox
 	requests  []claimRequest
 	inFlight  []claimMessage
-	effects   []int
-	firstUsed []int // when each key was first used, -1 before
+	effects   []int // how often the request of each key ran
+	firstUsed []int // the step at which each key was first used, -1 if it wasn't
 }
 
-// The boxes of the specification: the first is the keys' home, the second its
-// successor; the third only vouches and carries callers, and follows the list
-// at each step of time.
+// The boxes of the specification. The first owns the keys, and the second is its
+// successor. The third only vouches for the others and accepts requests; it adopts
+// a new list at each time step.
 const (
 	boxOwner = iota
 	boxSuccessor
 	boxThird
 )
 
-// Claims gives the first state of the specification of requests that may run at
+// Claims returns the first state of the specification of requests that may run at
 // most once.
 func Claims(rules ClaimRules) State {
 	s := &claimState{
@@ -138,17 +140,17 @@
 			s.startBox(i)
 		}
 	}
-	s.requestHandovers() // all tell what they met
-	s.requestHandovers() // all are settled now and say so
+	s.requestHandovers() // each box reports the incarnations that it has contacted
+	s.requestHandovers() // each box reports that its peer discovery has finished
 	s.now = bootTime
 	s.tick()
 	return s
 }
 
-// bootTime is when the fleet is no longer young.
+// bootTime is the step at which the fleet's startup phase has ended.
 const bootTime = 1
 
-// claimKeys gives keys whose home is box-a while it is listed.
+// claimKeys returns keys that box-a owns while it is listed.
 func claimKeys(n int) []core.ClaimKey {
 	all := newList(1, 0, boxNames[:]...)
 	var keys []core.ClaimKey
@@ -177,7 +179,7 @@
 	return []*core.List{all}
 }
 
-// startBox starts a life of a box with the newest published list.
+// startBox starts a new incarnation of a box with the newest published list.
 func (s *claimState) startBox(i int) {
 	b := &s.boxes[i]
 	b.incarnation++
@@ -209,7 +211,8 @@
 	return i == j || !a.cut && !b.cut
 }
 
-// requestHandovers lets each box that can reach another take what it hands over.
+// requestHandovers lets every running box request the handovers that it needs from
+// the boxes that it can reach.
 func (s *claimState) requestHandovers() {
 	for i := range s.boxes {
 		b := &s.boxes[i]
@@ -256,7 +259,8 @@
 	return &copied
 }
 
-// Key writes what decides the later states. Messages are a set.
+// Key encodes everything that the later states depend on. The order of messages
+// doesn't matter.
 func (s *claimState) Key() string {
 	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;", s.now, s.faults, s.published, s.requests, s.effects, s.firstUsed)
 	texts := make([]string, 0, len(s.inFlight))
@@ -275,13 +279,12 @@
 	return string(b)
 }
 
-// Next gives every step that callers, entries, homes, the platform, time and
-// faults can take.
+// Next returns the steps of callers, entries, owners, the platform, time and
+// faults.
 func (s *claimState) Next() []Transition {
 	return collectTransitions(s, s.addSteps)
 }
 
-// addSteps adds each of them.
 func (s *claimState) addSteps(add func(string, func(*claimState))) {
 	for i := range s.requests {
 		s.addRequestSteps(i, add)
@@ -298,7 +301,7 @@
 
 type claimAdder func(label string, change func(*claimState))
 
-// FindViolation checks what is promised of requests that may run at most once.
+// FindViolation reports a broken promise about requests that may run at most once.
 func (s *claimState) FindViolation() (string, bool) {
 	for key, n := range s.effects {
 		if n > 1 {
@@ -307,7 +310,7 @@
 	}
 	for i := range s.requests {
 		if s.requests[i].state == requestNotRun && s.requests[i].ran {
-			return "a request that was run was told not to have been run", true
+			return "a request that ran was reported as not run", true
 		}
 	}
 	return "", false
--- a/model/claim_fault.go
+++ b/model/claim_fault.go
@@ -6,7 +6,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// addPlatformSteps gives the platform's and time's own steps.
+// addPlatformSteps adds the steps of the platform and of time.
 func (s *claimState) addPlatformSteps(add claimAdder) {
 	if s.published+1 < len(s.lists) {
 		add(fmt.Sprintf("the platform publishes list %d", s.published+2), func(n *claimState) { n.published++ })
@@ -26,8 +26,8 @@
 	}
 }
 
-// tick lets time pass: boxes that reach the platform with its newest list have
-// it confirmed, and handovers are asked for.
+// tick advances time by one step. Boxes that reach the platform and have its newest
+// list get the list confirmed, and every box requests its handovers.
 func (s *claimState) tick() {
 	s.now++
 	for i := range s.boxes {
@@ -49,8 +49,8 @@
 	s.requestHandovers()
 }
 
-// addFaults gives what can go wrong. A cut or paused box comes back without
-// another fault, and the process of a dead one is started anew.
+// addFaults adds the faults of boxes. A box that is cut off or paused recovers, and
+// a crashed process restarts, without using up another fault.
 func (s *claimState) addFaults(add claimAdder) {
 	fault := func(label string, change func(*claimState)) {
 		add("fault: "+label, func(n *claimState) {
@@ -61,10 +61,10 @@
 	for i := range s.boxes {
 		b := &s.boxes[i]
 		if b.owner != nil && i != boxThird {
-			fault(boxNames[i]+" dies and restarts with empty memory", func(n *claimState) { n.startBox(i) })
+			fault(boxNames[i]+" crashes and restarts with empty memory", func(n *claimState) { n.startBox(i) })
 		}
 		if b.owner != nil && i == boxOwner {
-			fault(boxNames[i]+" dies for good", func(n *claimState) { n.boxes[i].owner = nil })
+			fault(boxNames[i]+" crashes and stays down", func(n *claimState) { n.boxes[i].owner = nil })
 		}
 		if b.owner != nil && !b.paused && i != boxThird {
 			fault(boxNames[i]+" is paused", func(n *claimState) { n.boxes[i].paused = true })
@@ -78,30 +78,30 @@
 func (s *claimState) addRecoverySteps(add claimAdder) {
 	for i := range s.boxes {
 		if s.boxes[i].paused {
-			add(boxNames[i]+" wakes", func(n *claimState) { n.boxes[i].paused = false })
+			add(boxNames[i]+" resumes", func(n *claimState) { n.boxes[i].paused = false })
 		}
 		if s.boxes[i].cut {
-			add(boxNames[i]+" is reached again", func(n *claimState) { n.boxes[i].cut = false })
+			add(boxNames[i]+" is reachable again", func(n *claimState) { n.boxes[i].cut = false })
 		}
 	}
 }
 
-// addStopSteps gives the steps of a planned stop of the home: it hands over what it
-// has, and leaves when no granted claim is open.
+// addStopSteps adds the steps of a planned stop of the owner: it hands over its
+// records, and exits when no granted claim is open.
 func (s *claimState) addStopSteps(add claimAdder) {
 	b := &s.boxes[boxOwner]
 	if s.rules.Scenario != OwnerStops || b.owner == nil || b.paused {
 		return
 	}
 	if !b.stopping {
-		add(boxNames[boxOwner]+" is stopped as planned", func(n *claimState) {
+		add(boxNames[boxOwner]+" begins a planned stop", func(n *claimState) {
 			n.boxes[boxOwner].stopping = true
 			n.retire()
 		})
 		return
 	}
 	if b.owner.Open() == 0 {
-		add(boxNames[boxOwner]+" hands over once more and leaves", func(n *claimState) {
+		add(boxNames[boxOwner]+" hands over once more and exits", func(n *claimState) {
 			n.retire()
 			n.boxes[boxOwner].owner = nil
 		})
--- a/model/claim_request.go
+++ b/model/claim_request.go
@@ -17,16 +17,16 @@
 	prefix := fmt.Sprintf("request %d at %s", i, boxNames[r.box])
 	switch r.state {
 	case requestIdle:
-		add(prefix+" asks the key's home", func(n *claimState) { n.ask(i) })
+		add(prefix+" asks the key's owner", func(n *claimState) { n.ask(i) })
 		if s.faults > 0 && s.reachable(r.box, s.ownerOf(i)) {
 			s.addAskFaults(i, prefix, add)
 		}
 	case requestAsking:
-		add(prefix+" gives up waiting and tells not-run", func(n *claimState) { n.requests[i].state = requestNotRun })
+		add(prefix+" times out and reports not-run", func(n *claimState) { n.requests[i].state = requestNotRun })
 	case requestGranted:
 		add(prefix+" is sent", func(n *claimState) { n.send(i, true) })
 		if s.faults > 0 {
-			add("fault: "+prefix+" is sent and the home never hears how it ended", func(n *claimState) {
+			add("fault: "+prefix+" is sent and its outcome never reaches the owner", func(n *claimState) {
 				n.faults--
 				n.send(i, false)
 			})
@@ -34,7 +34,7 @@
 	}
 }
 
-// addAskFaults gives what can go wrong with a question and its answer.
+// addAskFaults adds the faults of a query to the owner and of its answer.
 func (s *claimState) addAskFaults(i int, prefix string, add claimAdder) {
 	fault := func(label string, question, answer, twice bool) {
 		add("fault: "+prefix+" asks and "+label, func(n *claimState) {
@@ -42,9 +42,9 @@
 			n.askWithFault(i, question, answer, twice)
 		})
 	}
-	fault("the question is late", true, false, false)
-	fault("the answer is late", false, true, false)
-	fault("the question comes twice, once late", false, false, true)
+	fault("the query is delayed", true, false, false)
+	fault("the answer is delayed", false, true, false)
+	fault("the query arrives twice, once delayed", false, false, true)
 }
 
 func (s *claimState) ownerOf(i int) int {
@@ -71,8 +71,8 @@
 	}
 }
 
-// ask asks the home and takes its answer; without a home to reach, the caller
-// is told that the request was not run.
+// ask queries the owner and handles its answer. If the owner is unreachable, the
+// caller gets not-run.
 func (s *claimState) ask(i int) {
 	m := s.newQuestion(i)
 	if !s.reachable(s.requests[i].box, m.owner) {
@@ -98,8 +98,8 @@
 	s.handleAnswer(answer)
 }
 
-// send writes the request, if the grant is still good; the service acts, and
-// the home is told unless the word is lost.
+// send runs the request if the grant is still valid. The owner is informed of the
+// outcome if settle is true and it can be reached.
 func (s *claimState) send(i int, settle bool) {
 	r := &s.requests[i]
 	if s.now >= r.grantedUntil {
@@ -131,7 +131,7 @@
 	if message.kind != messageAnswer {
 		label += " at " + boxNames[message.owner]
 	}
-	add("late "+label, func(n *claimState) { n.deliverMessage(m) })
+	add("delayed "+label, func(n *claimState) { n.deliverMessage(m) })
 }
 
 func (s *claimState) deliverMessage(m int) {
@@ -143,7 +143,7 @@
 	s.handleAnswer(message)
 }
 
-// answerAsk gives the home's answer to a question.
+// answerAsk returns the owner's answer to a query.
 func (s *claimState) answerAsk(m claimMessage) claimMessage {
 	r := &s.requests[m.request]
 	asker := &s.boxes[r.box]
--- a/model/clock.go
+++ b/model/clock.go
@@ -6,18 +6,18 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// startTime is the moment at which every specification begins.
+// startTime is the time at which every specification begins.
 var startTime = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// timeStep is one step of a specification's time.
+// timeStep is the duration of one step of a specification.
 const timeStep = time.Second
 
 func at(step int) time.Time { return startTime.Add(time.Duration(step) * timeStep) }
 
-// boxNames are the boxes of every specification.
+// boxNames are the names of the boxes in every specification.
 var boxNames = [3]string{"box-a", "box-b", "box-c"}
 
-// newList builds a list version from the boxes that are live in it.
+// newList returns a version of the list with the given live boxes.
 func newList(version uint64, age time.Duration, live ...string) *core.List {
 	l := &core.List{
 		Version: version,
--- a/model/collect.go
+++ b/model/collect.go
@@ -1,13 +1,13 @@
 package model
 
-// cloneable is a state that can be copied before it is changed.
+// cloneable is a state that can be cloned before it is changed.
 type cloneable[S any] interface {
 	State
 	clone() S
 }
 
-// collectTransitions gathers the transitions from a state: fill is given a function that
-// changes a copy of the state and keeps it under a label.
+// collectTransitions returns the transitions from a state. It passes fill a function
+// that clones the state, applies a change to the clone and records it under a label.
 func collectTransitions[S cloneable[S]](from S, fill func(add func(label string, change func(S)))) []Transition {
 	var all []Transition
 	fill(func(label string, change func(S)) {
--- a/model/doc.go
+++ b/model/doc.go
@@ -1,11 +1,13 @@
-// Package model is a small specification of the core protocol and its checker.
+// Package model is an executable specification of the core protocol and a
+// checker for it.
 //
-// Each specification is a set of states whose transitions call the real core,
-// and faults are transitions like any other. The checker explores all states up
-// to stated bounds breadth first, so that the first break found is a shortest
-// one, and prints it as a trace.
+// A specification is a set of states whose transitions call the core's own code.
+// Faults are transitions like any other. The checker explores all states up to
+// given bounds breadth first, so that the first violation that it finds has a
+// shortest trace, which it prints.
 //
-// What is abstracted away: bytes, codecs and sockets; time moves in whole steps
-// of the specification's own; an endpoint makes at most a few tokens; a message
-// is lost, doubled, late or crossed as a whole. docs/PROOFS.md lists the bounds.
+// The specifications leave out bytes, codecs and sockets. Time advances in whole
+// steps, a generation has at most a few tokens, and a message is lost, duplicated,
+// delayed or delivered to the wrong request as a whole. docs/PROOFS.md lists the
+// bounds.
 package model
--- a/model/drain.go
+++ b/model/drain.go
@@ -6,7 +6,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// DrainRules are the bounds of the specification of planned stops.
+// DrainRules are the bounds of the specification of planned stops, in which a
+// process drains its streams and claims before it exits.
 type DrainRules struct {
 	Streams int
 	Options []core.Option
@@ -16,17 +17,17 @@
 	rules          *DrainRules
 	drain          *core.Drain
 	streams        int
-	pendingClaims  int // claims that the next home has not taken
+	pendingClaims  int // claims that their next owner has not received
 	startedStreams int
 	stopRequests   int
-	lostWork       bool // a stream was cut, or a claim lost, by the leaving
-	acceptedLate   bool // a stream was taken after the stop
+	lostWork       bool // the process exited with open streams or unsent claims
+	acceptedLate   bool // a stream was accepted after the stop
 }
 
-// maxStops is how often the stop is asked for.
+// maxStops is how many times the stop is requested.
 const maxStops = 3
 
-// PlannedStops gives the first state of the specification of planned stops.
+// PlannedStops returns the first state of the specification of planned stops.
 func PlannedStops(rules DrainRules) State {
 	return &drainState{
 		rules:         &rules,
@@ -35,7 +36,7 @@
 	}
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *drainState) Key() string {
 	return fmt.Sprint(s.drain.State, s.streams, s.pendingClaims, s.startedStreams, s.stopRequests, s.lostWork, s.acceptedLate)
 }
@@ -55,7 +56,7 @@
 	})
 }
 
-// Next gives every step of callers, operators and the handover.
+// Next returns the steps of callers, operators and the handover.
 func (s *drainState) Next() []Transition {
 	return collectTransitions(s, s.addSteps)
 }
@@ -66,7 +67,6 @@
 	return &copied
 }
 
-// addSteps adds each of them.
 func (s *drainState) addSteps(add func(string, func(*drainState))) {
 	if s.drain.Accepting() && s.startedStreams < s.rules.Streams {
 		add("a stream begins", func(n *drainState) {
@@ -83,13 +83,13 @@
 		})
 	}
 	if s.pendingClaims > 0 && !s.drain.Accepting() {
-		add("the next home takes the claims", func(n *drainState) {
+		add("the next owner receives the claims", func(n *drainState) {
 			n.pendingClaims--
 			n.reportWork()
 		})
 	}
 	if s.stopRequests < maxStops {
-		add("a planned stop is asked for", func(n *drainState) {
+		add("a planned stop is requested", func(n *drainState) {
 			n.stopRequests++
 			n.reportWork()
 			n.step(core.StopRequested{})
@@ -97,10 +97,10 @@
 	}
 }
 
-// FindViolation checks what planned stops promise.
+// FindViolation reports a broken promise about planned stops.
 func (s *drainState) FindViolation() (string, bool) {
 	if s.lostWork {
-		return "a planned stop cut a request in progress", true
+		return "a planned stop interrupted a request in progress", true
 	}
-	return "a stream was taken after the stop", s.acceptedLate
+	return "a stream was accepted after the stop", s.acceptedLate
 }
--- a/model/evacuation.go
+++ b/model/evacuation.go
@@ -9,24 +9,24 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// EvacuationRules are the bounds of the specification of moves off one engine that
-// leaves.
+// EvacuationRules are the bounds of the specification of evacuations: moves of runs
+// off an engine that is leaving.
 type EvacuationRules struct {
 	Boxes  int
-	Runs   int // of each box
-	Faults int // messages that are lost, or that come after time has passed
+	Runs   int // runs of each box
+	Faults int // messages lost, and messages delayed by a time step
 }
 
-// copyUnit is what the shortest copy takes here; the others take multiples.
+// copyUnit is the shortest time that a copy takes; other copies take multiples of it.
 const copyUnit = 100 * time.Millisecond
 
-// evacuationState is every box's plan, what is on its way between them, and the
-// moves under way.
+// evacuationState holds every box's evacuation plan, the messages in flight between
+// the boxes, and the moves in progress.
 type evacuationState struct {
 	rules      EvacuationRules
 	now        time.Time
-	plans      [][]planInput // what each box's plan took; it is made anew from that
-	wakeTimes  []time.Time   // when each asked to be woken; zero for not
+	plans      [][]planInput // the inputs of each box's plan, from which it is rebuilt at each step
+	wakeTimes  []time.Time   // the wake time that each plan requested, zero for none
 	inFlight   []runMessage
 	moves      []runningMove
 	moveCounts map[string]int
@@ -41,7 +41,7 @@
 
 type runMessage struct {
 	to   int
-	text string // of the event, for the state's key
+	text string // the event as text, for the state's key
 	ev   core.Event
 }
 
@@ -51,8 +51,8 @@
 	endsAt time.Time
 }
 
-// Evacuations gives the first state: each box knows its own runs, and its word of
-// them is on its way to the others.
+// Evacuations returns the first state of the specification of evacuations: each box
+// has its own runs, and its messages about them are in flight to the others.
 func Evacuations(rules EvacuationRules) State {
 	s := &evacuationState{
 		rules:      rules,
@@ -81,7 +81,7 @@
 	return s
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *evacuationState) Key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v %d %v %v %s;", s.now, s.faults, s.moveCounts, s.moves, s.violation)
@@ -110,19 +110,19 @@
 	return &n
 }
 
-// Next gives every step: a message arrives or is lost, or time passes.
+// Next returns the steps of messages, which arrive or are lost, and of time.
 func (s *evacuationState) Next() []Transition {
 	if s.violation != "" {
 		return nil
 	}
 	return collectTransitions(s, func(add func(string, func(*evacuationState))) {
 		for i, l := range s.inFlight {
-			add("box "+fmt.Sprint(l.to)+" hears "+l.text, func(n *evacuationState) {
+			add("box "+fmt.Sprint(l.to)+" receives "+l.text, func(n *evacuationState) {
 				n.inFlight = slices.Delete(n.inFlight, i, i+1)
 				n.step(l.to, l.ev)
 			})
 			if s.faults > 0 {
-				add("fault: lost on its way to box "+fmt.Sprint(l.to)+": "+l.text, func(n *evacuationState) {
+				add("fault: message lost on its way to box "+fmt.Sprint(l.to)+": "+l.text, func(n *evacuationState) {
 					n.faults--
 					n.inFlight = slices.Delete(n.inFlight, i, i+1)
 				})
@@ -131,7 +131,7 @@
 		if len(s.inFlight) == 0 {
 			add("time passes", func(n *evacuationState) { n.advanceTime() })
 		} else if s.faults > 0 {
-			add("fault: time passes before the messages come", func(n *evacuationState) {
+			add("fault: time passes before the messages arrive", func(n *evacuationState) {
 				n.faults--
 				n.advanceTime()
 			})
@@ -139,7 +139,7 @@
 	})
 }
 
-// step gives a box's plan an event and carries out what it asks for.
+// step passes an event to a box's plan and carries out the plan's commands.
 func (s *evacuationState) step(box int, ev core.Event) {
 	s.plans[box] = append(s.plans[box], planInput{
 		at: s.now,
@@ -161,17 +161,17 @@
 	}
 }
 
-// startMove starts a move and checks what must hold of it.
+// startMove starts a move and checks that it is allowed.
 func (s *evacuationState) startMove(box int, id string) {
 	if !strings.HasPrefix(id, fmt.Sprintf("%d-", box)) {
-		s.violation = "a box moves another one's run"
+		s.violation = "a box moved another box's run"
 	}
 	s.moveCounts[id]++
 	if s.moveCounts[id] > 1 {
-		s.violation = "a run is moved twice"
+		s.violation = "a run was moved twice"
 	}
 	if len(s.moves) > 0 && s.faults == s.rules.Faults {
-		s.violation = "two moves share the engine's link though every message came"
+		s.violation = "two moves shared the engine's link although no message was lost or late"
 	}
 	var number int
 	_, _ = fmt.Sscanf(id[strings.Index(id, "-")+1:], "%d", &number)
@@ -182,7 +182,7 @@
 	})
 }
 
-// broadcast sends a box's word to all others.
+// broadcast sends a box's event to all other boxes.
 func (s *evacuationState) broadcast(from int, ev core.Event) {
 	for box := range s.rules.Boxes {
 		if box != from {
@@ -195,8 +195,8 @@
 	}
 }
 
-// advanceTime lets time go on to the next move's end or the next time at which a plan asked
-// to be woken.
+// advanceTime advances time to the end of the next move or to the next wake time,
+// whichever is earlier.
 func (s *evacuationState) advanceTime() {
 	var next time.Time
 	for _, at := range s.wakeTimes {
@@ -229,12 +229,12 @@
 	}
 }
 
-// checkAllMoved checks that nobody was forgotten once nothing is left to come.
+// checkAllMoved checks that every run has been moved once nothing remains to happen.
 func (s *evacuationState) checkAllMoved() {
 	if len(s.moveCounts) != s.rules.Boxes*s.rules.Runs {
-		s.violation = "a run is never moved"
+		s.violation = "a run was never moved"
 	}
 }
 
-// FindViolation tells what a state breaks.
+// FindViolation reports a broken promise about evacuations.
 func (s *evacuationState) FindViolation() (string, bool) { return s.violation, s.violation != "" }
--- a/model/explore.go
+++ b/model/explore.go
@@ -13,8 +13,8 @@
 // State is one state of a specification.
 type State interface {
 	Key() string                   // equal for states that behave alike
-	Next() []Transition            // in an order that doesn't change between runs
-	FindViolation() (string, bool) // what promise the state breaks
+	Next() []Transition            // in the same order in every run
+	FindViolation() (string, bool) // the promise that the state breaks, if any
 }
 
 // Transition is one step to another state.
@@ -23,13 +23,14 @@
 	To    State
 }
 
-// Bounds limit an exploration; one of them ends it if the states don't.
+// Bounds limit an exploration, which ends at the first bound that it reaches.
 type Bounds struct {
 	Depth  int
 	States int
 }
 
-// Result is what an exploration found.
+// Result is the outcome of an exploration or a walk. If a promise was broken,
+// Violation describes it and Trace holds the labels of the steps that led there.
 type Result struct {
 	States    int
 	Depth     int
@@ -39,7 +40,7 @@
 	Trace     []string
 }
 
-// String gives the result in one line.
+// String formats the result as one line.
 func (r Result) String() string {
 	coverage := "all states"
 	if !r.Complete {
@@ -52,7 +53,7 @@
 	return text
 }
 
-// node is one state in the implicit graph that the library walks.
+// node is one state in the implicit graph that the library traverses.
 type node struct {
 	id     int64
 	parent int64
@@ -60,7 +61,7 @@
 	state  State
 }
 
-// ID names the node for the library.
+// ID returns the node's number, as the library requires.
 func (n *node) ID() int64 { return n.id }
 
 type edge struct{ from, to graph.Node }
@@ -69,7 +70,7 @@
 func (e edge) To() graph.Node           { return e.to }
 func (e edge) ReversedEdge() graph.Edge { return edge{from: e.to, to: e.from} }
 
-// stateGraph is the graph of a specification's states, made as it is walked.
+// stateGraph is the graph of a specification's states, built during the traversal.
 type stateGraph struct {
 	nodes        []*node
 	byKey        map[fingerprint]int64
@@ -77,8 +78,9 @@
 	limitReached bool
 }
 
-// fingerprint stands for a state's key, which would fill the memory: two keys of
-// ten million states share one with a chance under 1e-24.
+// fingerprint is a truncated hash of a state's key; keeping the keys themselves would
+// take too much memory. Among ten million states, the probability that two keys
+// share a fingerprint is below 1e-24.
 type fingerprint [16]byte
 
 func fingerprintOf(key string) fingerprint {
@@ -86,8 +88,8 @@
 	return fingerprint(sum[:16])
 }
 
-// From gives the states after one; the library asks once for each, and then the
-// state itself is let go.
+// From returns the successors of a state that were not reached before. The library
+// calls it once for each state, which is released afterwards to save memory.
 func (s *stateGraph) From(id int64) graph.Nodes {
 	from := s.nodes[id]
 	if from.state == nil || s.limitReached {
@@ -107,7 +109,7 @@
 	return &nodeList{nodes: next}
 }
 
-// Edge gives the edge between two states.
+// Edge returns the edge between two states.
 func (s *stateGraph) Edge(u, v int64) graph.Edge {
 	return edge{
 		from: s.nodes[u],
@@ -145,7 +147,8 @@
 func (l *nodeList) Reset()           { l.at = 0 }
 func (l *nodeList) Node() graph.Node { return l.nodes[l.at-1] }
 
-// Explore walks all states from a first one, breadth first.
+// Explore visits all states that can be reached from a first one, breadth first, until it
+// finds a violation or reaches a bound.
 func Explore(first State, bounds Bounds) Result {
 	began := time.Now()
 	s := &stateGraph{
@@ -185,8 +188,9 @@
 	return steps
 }
 
-// Walk takes one walk whose choices a function makes, and gives the first
-// break. It is for seeded walks beyond what can be explored.
+// Walk takes a single path of at most the given number of steps, each selected by
+// choose, and returns the first violation. Seeded walks reach deeper than an
+// exploration can.
 func Walk(first State, steps int, choose func(n int) int) Result {
 	began := time.Now()
 	var out Result
@@ -209,7 +213,7 @@
 	return out
 }
 
-// FormatTrace gives a trace as numbered lines.
+// FormatTrace formats a trace as numbered lines.
 func FormatTrace(trace []string) string {
 	var b strings.Builder
 	for i, step := range trace {
--- a/model/fence.go
+++ b/model/fence.go
@@ -6,16 +6,18 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// FenceRules are the bounds of the specification of fenced orders.
+// FenceRules are the bounds of the specification of fenced orders. A fence is the
+// number that an owner attaches to its orders to an endpoint, so that the endpoint
+// can reject those of an earlier owner.
 type FenceRules struct {
-	EndpointChecks bool // the endpoint checks fences
+	EndpointChecks bool // the endpoint rejects orders with a fence older than the highest it has seen
 	Faults         int
 	Time           int
 	Options        []core.Option
 }
 
-// maxListAge is how old a reading may be for orders to an endpoint that doesn't
-// check.
+// maxListAge is the maximum age in time steps of an owner's list snapshot at which
+// it may send orders to an endpoint that doesn't check fences.
 const maxListAge = 1
 
 type fenceOwner struct {
@@ -31,14 +33,14 @@
 	faults       int
 	published    int
 	owners       [2]fenceOwner
-	delayed      []core.Fence // orders on their way, late
+	delayed      []core.Fence // fences of orders that are delayed on their way
 	fenceCheck   *core.FenceCheck
 	applied      core.Fence
 	appliedOlder bool
 }
 
-// Fences gives the first state of the specification of fenced orders: an owner
-// before a list change, the one after it, and an endpoint.
+// Fences returns the first state of the specification of fenced orders: the owner
+// before a list change, the owner after it, and an endpoint.
 func Fences(rules FenceRules) State {
 	s := &fenceState{
 		rules:      &rules,
@@ -70,7 +72,7 @@
 	return &copied
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *fenceState) Key() string {
 	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;%v;", s.now, s.faults, s.published, s.delayed, s.fenceCheck.Highest, s.applied, s.appliedOlder)
 	for i := range s.owners {
@@ -81,12 +83,11 @@
 	return string(b)
 }
 
-// Next gives every step of the platform, owners, time and faults.
+// Next returns the steps of the platform, owners, time and faults.
 func (s *fenceState) Next() []Transition {
 	return collectTransitions(s, s.addSteps)
 }
 
-// addSteps adds each of them.
 func (s *fenceState) addSteps(add func(string, func(*fenceState))) {
 	if s.published == 1 {
 		add("the platform publishes list 2", func(n *fenceState) { n.published = 2 })
@@ -95,7 +96,7 @@
 		s.addOwnerSteps(i, add)
 	}
 	for h := range s.delayed {
-		add("a late order arrives", func(n *fenceState) { n.deliverDelayed(h) })
+		add("a delayed order arrives", func(n *fenceState) { n.deliverDelayed(h) })
 	}
 	if s.now < s.rules.Time {
 		add("time passes", func(n *fenceState) { n.tick() })
@@ -105,7 +106,7 @@
 func (s *fenceState) addOwnerSteps(i int, add func(string, func(*fenceState))) {
 	o := &s.owners[i]
 	if o.paused {
-		add(boxNames[i]+" wakes", func(n *fenceState) { n.owners[i].paused = false })
+		add(boxNames[i]+" resumes", func(n *fenceState) { n.owners[i].paused = false })
 		return
 	}
 	if !o.cut && o.list < s.published {
@@ -114,7 +115,7 @@
 	if o.orders.Permitted(at(s.now), s.rules.EndpointChecks) {
 		add(boxNames[i]+" sends an order", func(n *fenceState) { n.deliver(n.fence(i)) })
 		if s.faults > 0 && s.rules.EndpointChecks {
-			add("fault: "+boxNames[i]+" sends an order that is late", func(n *fenceState) {
+			add("fault: "+boxNames[i]+" sends an order that is delayed", func(n *fenceState) {
 				n.faults--
 				n.delayed = append(n.delayed, n.fence(i))
 			})
@@ -178,7 +179,7 @@
 	}
 }
 
-// FindViolation checks what fences promise.
+// FindViolation reports a broken promise about fences.
 func (s *fenceState) FindViolation() (string, bool) {
 	return "an older owner's order was applied after a newer owner's", s.appliedOlder
 }
--- a/model/lease.go
+++ b/model/lease.go
@@ -6,15 +6,16 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// LeaseRules are the bounds of the specification of leases.
+// LeaseRules are the bounds of the specification of leases. A lease is the right to
+// use part of an endpoint's memory for a short time; the endpoint's owner grants it.
 type LeaseRules struct {
 	Faults  int
 	Time    int
-	Leaving bool // the endpoint leaves, in place of a change of its owner
+	Leaving bool // list 2 marks the endpoint as leaving; otherwise it changes the owner
 	Options []core.Option
 }
 
-// leaseCapacity is what may be leased of one half of an endpoint.
+// leaseCapacity is how many tokens of one owner slot of an endpoint may be leased.
 const leaseCapacity = 2
 
 func leaseTimes() core.LeaseRules {
@@ -24,31 +25,31 @@
 	}
 }
 
-// leaseOwner is one box that is, or takes itself for, the owner.
+// leaseOwner is a box that owns the endpoint or still acts as its owner.
 type leaseOwner struct {
 	ownership *core.Ownership
-	list      int // version in use
+	list      int // the adopted version of the list
 	cut       bool
 	paused    bool
 	dead      bool
-	leaving   bool // what its list says of the endpoint
+	leaving   bool // its list marks the endpoint as leaving
 }
 
-// leaseState is one state of two owners, before and after a list change, an
-// entry that asks both, and an endpoint.
+// leaseState holds the owners before and after a list change, an entry that requests
+// leases from both, and an endpoint.
 type leaseState struct {
 	rules        *LeaseRules
 	now          int
 	faults       int
 	published    int
-	leavingSince int // when the platform showed the endpoint as leaving, -1 before
+	leavingSince int // the step at which list 2 marked the endpoint as leaving, -1 if it hasn't
 	owners       [2]leaseOwner
 	leases       [2]core.Lease
-	paused       bool // the entry
-	sentLate     bool // work was sent to the endpoint too late
+	paused       bool // the entry is paused
+	sentLate     bool // work was sent to the endpoint after maxLeavingDelay
 }
 
-// Leases gives the first state of the specification of leases.
+// Leases returns the first state of the specification of leases.
 func Leases(rules LeaseRules) State {
 	s := &leaseState{
 		rules:        &rules,
@@ -76,7 +77,7 @@
 	return &copied
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *leaseState) Key() string {
 	b := fmt.Appendf(nil, "%d;%d;%d;%d;%v;%v;", s.now, s.faults, s.published, s.leavingSince, s.paused, s.sentLate)
 	for i := range s.owners {
@@ -88,12 +89,11 @@
 	return string(b)
 }
 
-// Next gives every step of platform, owners, entry, time and faults.
+// Next returns the steps of the platform, owners, the entry, time and faults.
 func (s *leaseState) Next() []Transition {
 	return collectTransitions(s, s.addSteps)
 }
 
-// addSteps adds each of them.
 func (s *leaseState) addSteps(add func(string, func(*leaseState))) {
 	if s.published == 1 {
 		add("the platform publishes list 2", func(n *leaseState) { n.publish() })
@@ -108,7 +108,7 @@
 		add("time passes", func(n *leaseState) { n.tick() })
 	}
 	if s.paused {
-		add("the entry wakes", func(n *leaseState) { n.paused = false })
+		add("the entry resumes", func(n *leaseState) { n.paused = false })
 	}
 	if s.faults > 0 {
 		s.addFaults(add)
@@ -126,7 +126,7 @@
 	o := &s.owners[i]
 	name := boxNames[i]
 	if o.paused {
-		add(name+" wakes", func(n *leaseState) { n.owners[i].paused = false })
+		add(name+" resumes", func(n *leaseState) { n.owners[i].paused = false })
 		return
 	}
 	if o.dead {
@@ -140,13 +140,13 @@
 	}
 	predecessorStopped := s.owners[0].list == 2 || s.owners[0].dead
 	if i == 1 && o.list == 2 && !o.cut && predecessorStopped && !s.rules.Leaving {
-		add(name+" learns that the owner before has stopped", func(n *leaseState) {
+		add(name+" learns that the previous owner has stopped", func(n *leaseState) {
 			n.owners[1].ownership.Step(at(n.now), core.PredecessorGone{})
 		})
 	}
 }
 
-// adopt follows list 2: the owner changes, or the endpoint is leaving.
+// adopt adopts list 2, in which the owner changes or the endpoint is leaving.
 func (s *leaseState) adopt(i int) {
 	o := &s.owners[i]
 	o.list = 2
@@ -168,10 +168,10 @@
 	s.leases[i] = core.NewLease("engine", at(s.now), ttl, tokens, tokens, s.rules.Options...)
 }
 
-// maxLeavingDelay is how long after the platform showed it an endpoint that leaves
-// may get work: an owner that runs follows within a step of time, one that was
-// paused without notice within the time for which a reading is fresh, and the
-// last lease ends after the time of a lease.
+// maxLeavingDelay is how many time steps after list 2 was published a leaving
+// endpoint may still get work: a running owner adopts the list within one step, an
+// owner that was paused grants until its list snapshot expires after two, and the
+// last lease expires one step later.
 const maxLeavingDelay = 1 + 2 + 1
 
 func (s *leaseState) send() {
@@ -185,8 +185,8 @@
 	}
 }
 
-// tick lets time pass: an owner that runs and reaches the platform follows its
-// list at least once in a step of time.
+// tick advances time by one step, in which a running owner that reaches the platform
+// adopts its newest list.
 func (s *leaseState) tick() {
 	s.now++
 	for i := range s.owners {
@@ -222,17 +222,17 @@
 		}
 	}
 	if !s.owners[0].dead {
-		fault(boxNames[0]+" dies", func(n *leaseState) { n.owners[0].dead = true })
+		fault(boxNames[0]+" crashes", func(n *leaseState) { n.owners[0].dead = true })
 	}
 	if !s.paused {
 		fault("the entry is paused", func(n *leaseState) { n.paused = true })
 	}
 }
 
-// FindViolation checks what leases promise.
+// FindViolation reports a broken promise about leases.
 func (s *leaseState) FindViolation() (string, bool) {
 	if s.sentLate {
-		return "an endpoint that was leaving got new work too late", true
+		return "an endpoint that was leaving got new work after the limit", true
 	}
 	sum := 0
 	for i := range s.leases {
--- a/model/stream.go
+++ b/model/stream.go
@@ -17,7 +17,7 @@
 	Options    []core.Option
 }
 
-// streamEngines is the number of engines; three boxes may carry a stream.
+// The number of engines, and the resume window in time steps.
 const (
 	streamEngines = 2
 	streamWindow  = 2
@@ -33,7 +33,7 @@
 	frameGenerationGone frameKind = "gone"
 )
 
-// streamFrame is a message on its way to a caller's entry.
+// streamFrame is a message in flight to a caller's entry.
 type streamFrame struct {
 	kind    frameKind
 	attempt int
@@ -41,7 +41,7 @@
 	offset  uint64
 }
 
-// streamReader is a link over which an engine sends a generation's frames.
+// streamReader is a connection on which an engine sends the frames of a generation.
 type streamReader struct {
 	engine  int
 	origin  core.Origin
@@ -53,7 +53,7 @@
 type streamCaller struct {
 	gen       *core.Generation
 	box       int
-	place     bool
+	place     bool // the generation needs an endpoint
 	send      *core.SendAttempt
 	resume    *core.Resume
 	inFlight  []streamFrame
@@ -64,10 +64,10 @@
 
 type streamEngine struct {
 	incarnation core.Incarnation
-	retained    []string // generations that can be read
+	retained    []string // generations that can still be read
 }
 
-// streamState is one state of callers, entries, links and engines.
+// streamState holds callers with their entries and links, and the engines.
 type streamState struct {
 	rules   *StreamRules
 	now     int
@@ -76,7 +76,7 @@
 	callers []streamCaller
 }
 
-// Streams gives the first state of the specification of streams.
+// Streams returns the first state of the specification of streams.
 func Streams(rules StreamRules) State {
 	s := &streamState{
 		rules:  &rules,
@@ -118,7 +118,7 @@
 	return &copied
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *streamState) Key() string {
 	b := fmt.Appendf(nil, "%d;%d;%v;", s.now, s.faults, s.engines)
 	for i := range s.callers {
@@ -129,7 +129,7 @@
 	return string(b)
 }
 
-// step gives the caller's generation an event and notes what it asks.
+// step passes an event to the caller's generation and records its commands.
 func (s *streamState) step(c *streamCaller, ev core.Event) {
 	for _, command := range c.gen.Step(at(s.now), ev) {
 		switch t := command.(type) {
@@ -148,13 +148,11 @@
 	}
 }
 
-// Next gives every step that callers, entries, engines, links and faults can
-// take.
+// Next returns the steps of callers, entries, engines, links and faults.
 func (s *streamState) Next() []Transition {
 	return collectTransitions(s, s.addSteps)
 }
 
-// addSteps adds each of them.
 func (s *streamState) addSteps(add func(string, func(*streamState))) {
 	for i := range s.callers {
 		s.addCallerSteps(i, add)
@@ -207,7 +205,7 @@
 	return e
 }
 
-// send lets the engine start the generation and read it to the caller.
+// send starts the generation on the engine, with a reader for the caller.
 func (s *streamState) send(i int) {
 	c := &s.callers[i]
 	attempt, origin := c.send.Attempt, c.send.Origin
@@ -230,8 +228,8 @@
 	}
 }
 
-// resume reads a generation again. An engine that restarted answers that it
-// knows none, or has begun another under the same number.
+// resume reads a generation again. An engine that has restarted reports that the
+// generation is gone, or has started another with the same id.
 func (s *streamState) resume(i int) {
 	c := &s.callers[i]
 	r := *c.resume
@@ -299,7 +297,7 @@
 	}
 }
 
-// FindViolation checks what streams promise.
+// FindViolation reports a broken promise about streams.
 func (s *streamState) FindViolation() (string, bool) {
 	for i := range s.callers {
 		if what := s.callers[i].findViolation(s.rules); what != "" {
@@ -328,10 +326,10 @@
 		return ""
 	}
 	if c.gen.Code == core.EndDone && len(c.delivered) != rules.Tokens {
-		return fmt.Sprintf("%d of %d tokens were given as the whole answer", len(c.delivered), rules.Tokens)
+		return fmt.Sprintf("%d of %d tokens were delivered as the complete answer", len(c.delivered), rules.Tokens)
 	}
 	if c.gen.Outcome == core.NotRun && len(c.started) > 0 {
-		return "a request that was run was told not to have been run"
+		return "a request that ran was reported as not run"
 	}
 	return ""
 }
--- a/model/stream_fault.go
+++ b/model/stream_fault.go
@@ -8,7 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// addFaults gives what can go wrong, each for one fault of the bound.
+// addFaults adds the faults that are possible while the bound allows another.
 func (s *streamState) addFaults(add streamAdder) {
 	fault := func(label string, change func(*streamState)) {
 		add("fault: "+label, func(n *streamState) {
@@ -17,8 +17,8 @@
 		})
 	}
 	for e := range s.engines {
-		fault(fmt.Sprintf("engine %d dies and restarts", e), func(n *streamState) { n.restart(e, false) })
-		fault(fmt.Sprintf("engine %d restarts and uses its numbers again", e), func(n *streamState) { n.restart(e, true) })
+		fault(fmt.Sprintf("engine %d crashes and restarts", e), func(n *streamState) { n.restart(e, false) })
+		fault(fmt.Sprintf("engine %d restarts and reuses its generation ids", e), func(n *streamState) { n.restart(e, true) })
 	}
 	if s.now == 0 {
 		fault("time passes beyond the resume window", func(n *streamState) { n.now += streamWindow + 1 })
@@ -34,27 +34,27 @@
 	c := &s.callers[i]
 	prefix := "caller " + strconv.Itoa(i)
 	if c.send != nil {
-		fault(prefix+": the write breaks before the engine has all", func(n *streamState) { n.breakWrite(i, false) })
-		fault(prefix+": the write breaks after the engine has all", func(n *streamState) { n.breakWrite(i, true) })
+		fault(prefix+": the write fails before the engine has received all", func(n *streamState) { n.breakWrite(i, false) })
+		fault(prefix+": the write fails after the engine has received all", func(n *streamState) { n.breakWrite(i, true) })
 		fault(prefix+": the engine refuses", func(n *streamState) { n.refuse(i) })
 	}
 	if len(c.readers) > 0 {
 		fault(prefix+": the link breaks", func(n *streamState) { n.breakLinks(i) })
-		fault(prefix+": the link stalls past the time-out", func(n *streamState) { n.stallLink(i) })
+		fault(prefix+": the link stalls past the timeout", func(n *streamState) { n.stallLink(i) })
 	}
 	if len(c.inFlight) > 0 {
-		fault(prefix+": a frame comes twice", func(n *streamState) { n.deliverFrame(i, 0, false) })
+		fault(prefix+": a frame arrives twice", func(n *streamState) { n.deliverFrame(i, 0, false) })
 		fault(prefix+": a frame is lost", func(n *streamState) { n.callers[i].inFlight = n.callers[i].inFlight[1:] })
 	}
 	if len(c.inFlight) > 1 {
-		fault(prefix+": a later frame comes first", func(n *streamState) { n.deliverFrame(i, 1, true) })
+		fault(prefix+": a later frame arrives first", func(n *streamState) { n.deliverFrame(i, 1, true) })
 	}
 	if c.gen.Attempt > 0 {
-		fault(prefix+": a frame of another request comes crossed", func(n *streamState) { n.deliverForeignFrame(i) })
+		fault(prefix+": a frame of another request arrives", func(n *streamState) { n.deliverForeignFrame(i) })
 		fault(prefix+": the caller cancels", func(n *streamState) { n.step(&n.callers[i], core.CallerGone{}) })
 	}
 	if len(c.delivered) > 0 && c.box < len(boxNames)-1 {
-		fault(prefix+": its entry box dies and it comes back through another", func(n *streamState) { n.moveToNextBox(i) })
+		fault(prefix+": its entry box crashes and it reconnects through another", func(n *streamState) { n.moveToNextBox(i) })
 	}
 }
 
@@ -102,14 +102,15 @@
 	})
 }
 
-// breakLinks ends every link; what was on its way may still come, late.
+// breakLinks closes every link. Frames in flight may still arrive.
 func (s *streamState) breakLinks(i int) {
 	c := &s.callers[i]
 	c.readers = nil
 	s.step(c, core.LinkLost{Attempt: c.gen.Attempt})
 }
 
-// stallLink leaves the link open: the old attempt's frames go on to come.
+// stallLink times out the link but leaves it open, so that frames of the old attempt
+// keep arriving.
 func (s *streamState) stallLink(i int) {
 	c := &s.callers[i]
 	s.step(c, core.LinkLost{Attempt: c.gen.Attempt})
@@ -129,7 +130,7 @@
 	})
 }
 
-// moveToNextBox carries the caller to another box with the last event that it had.
+// moveToNextBox reconnects the caller through another box after its last event.
 func (s *streamState) moveToNextBox(i int) {
 	c := &s.callers[i]
 	c.box++
--- a/model/suite_test.go
+++ b/model/suite_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// init fixes what the properties draw, so that a run's verdict is the same each time; more
-// is drawn by hand with -rapid.seed and -rapid.checks.
+// init fixes the seed of the property tests. Other runs can be made with -rapid.seed and
+// -rapid.checks.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/model/version.go
+++ b/model/version.go
@@ -12,15 +12,15 @@
 	Options []core.Option
 }
 
-// publication is one document that operators publish.
+// publication is one configuration document that operators publish.
 type publication struct {
 	version uint64
 	digest  uint64
 	valid   bool
 }
 
-// publications come in this order: a bad document between two good ones, and two
-// operators who race with one version.
+// publications are the documents in the order of their publication: an invalid one
+// between two valid ones, then a second document with the same version.
 var publications = []publication{
 	{version: 1, digest: 10, valid: true},
 	{version: 2, digest: 20, valid: false},
@@ -31,7 +31,7 @@
 type versionBox struct {
 	versions         *core.Versions
 	join             *core.Join
-	highest          publication // that was in force in this life
+	highest          publication // the last publication that became active in this incarnation
 	incarnation      int
 	askedPeers       [len(boxNames)]askedPeer
 	cut              bool
@@ -39,8 +39,8 @@
 	activatedInvalid bool
 }
 
-// askedPeer is a peer that a box could ask when it started: in which life, and
-// what it had in force.
+// askedPeer is a peer that a starting box can query: its incarnation and active
+// version at that time.
 type askedPeer struct {
 	incarnation int
 	version     uint64
@@ -53,7 +53,7 @@
 	boxes     [len(boxNames)]versionBox
 }
 
-// ConfigVersions gives the first state of the specification of configuration
+// ConfigVersions returns the first state of the specification of configuration
 // versions.
 func ConfigVersions(rules VersionRules) State {
 	s := &versionState{
@@ -95,7 +95,7 @@
 	return &copied
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *versionState) Key() string {
 	b := fmt.Appendf(nil, "%d;%d;", s.faults, s.published)
 	for i := range s.boxes {
@@ -106,12 +106,11 @@
 	return string(b)
 }
 
-// Next gives every step of operators, the platform, boxes and faults.
+// Next returns the steps of operators, the platform, boxes and faults.
 func (s *versionState) Next() []Transition {
 	return collectTransitions(s, s.addSteps)
 }
 
-// addSteps adds each of them.
 func (s *versionState) addSteps(add func(string, func(*versionState))) {
 	if s.published+1 < len(publications) {
 		add(fmt.Sprintf("operators publish document %d", s.published+2), func(n *versionState) { n.published++ })
@@ -127,18 +126,18 @@
 func (s *versionState) addBoxSteps(i int, add func(string, func(*versionState))) {
 	b := &s.boxes[i]
 	if b.cut {
-		add(boxNames[i]+" is reached again", func(n *versionState) { n.boxes[i].cut = false })
+		add(boxNames[i]+" is reachable again", func(n *versionState) { n.boxes[i].cut = false })
 		return
 	}
 	add(boxNames[i]+" reads the platform", func(n *versionState) { n.boxes[i].offer(publications[n.published]) })
 	for j := range s.boxes {
 		if i != j && !s.boxes[j].cut {
-			add(fmt.Sprintf("%s hears from %s", boxNames[i], boxNames[j]), func(n *versionState) { n.receiveVersion(i, j) })
+			add(fmt.Sprintf("%s receives a message from %s", boxNames[i], boxNames[j]), func(n *versionState) { n.receiveVersion(i, j) })
 		}
 	}
 }
 
-// receiveVersion takes a peer's message, and fetches from it what is newer there.
+// receiveVersion handles a peer's message and fetches a newer version from the peer.
 func (s *versionState) receiveVersion(i, j int) {
 	b, peer := &s.boxes[i], &s.boxes[j]
 	for _, command := range b.versions.Step(core.VersionHeard{
@@ -164,14 +163,14 @@
 		if !s.boxes[i].cut {
 			fault(boxNames[i]+" is cut off", func(n *versionState) { n.boxes[i].cut = true })
 		}
-		fault(boxNames[i]+" dies and restarts with empty memory", func(n *versionState) { n.restart(i) })
+		fault(boxNames[i]+" crashes and restarts with empty memory", func(n *versionState) { n.restart(i) })
 		for p := range s.published {
 			fault(fmt.Sprintf("%s reads document %d from a stale platform", boxNames[i], p+1), func(n *versionState) { n.boxes[i].offer(publications[p]) })
 		}
 	}
 }
 
-// restart starts a box anew: it asks the peers that it can reach.
+// restart restarts a box with empty memory. It queries the peers that it can reach.
 func (s *versionState) restart(i int) {
 	b := &s.boxes[i]
 	b.versions = core.NewVersions(s.rules.Options...)
@@ -192,8 +191,8 @@
 	b.join.Step(at(0), core.PeersListed{Boxes: peers})
 }
 
-// minPeerVersion is the lowest that a box's peers had in force when it started, of those
-// that still know it: one that died since has lost it too.
+// minPeerVersion returns the lowest version that was active on a box's peers when it
+// started. Peers that have restarted since don't count, because they have lost it too.
 func (s *versionState) minPeerVersion(i int) uint64 {
 	lowest, found := uint64(0), false
 	for j, p := range s.boxes[i].askedPeers {
@@ -207,13 +206,13 @@
 	return lowest
 }
 
-// FindViolation checks what is promised of configurations.
+// FindViolation reports a broken promise about configuration versions.
 func (s *versionState) FindViolation() (string, bool) {
 	for i := range s.boxes {
 		b := &s.boxes[i]
 		switch {
 		case b.activatedInvalid:
-			return boxNames[i] + " put a faulty document in force", true
+			return boxNames[i] + " activated an invalid document", true
 		case b.regressed:
 			return boxNames[i] + " went back to an older configuration", true
 		case b.join.State == core.JoinServing && b.versions.Active < s.minPeerVersion(i):
--- a/model/walk_test.go
+++ b/model/walk_test.go
@@ -9,17 +9,17 @@
 	"dillsaddle.example/dillsaddle/model"
 )
 
-// walkSeed fixes the walks, so that each run gives the same verdict.
+// walkSeed fixes the seed, so that every run takes the same walks.
 const walkSeed = "20261202"
 
-// walkCount is how many walks each specification takes.
+// walkCount is the number of walks through each specification.
 const walkCount = "40"
 
-// walkSteps is beyond the depth that is explored in full.
+// walkSteps is more than the depth of the exhaustive explorations.
 const walkSteps = 90
 
-// TestWalks takes seeded walks with more faults, time and callers than can be
-// explored in full.
+// TestWalks takes seeded walks with more faults, time steps and callers than can be
+// explored exhaustively.
 func TestWalks(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": walkSeed, "rapid.checks": walkCount} {
 		if err := flag.Set(name, value); err != nil {
