--- a/proof/configs.go
+++ b/proof/configs.go
@@ -78,7 +78,7 @@
 // platform shows what came last, and a version that nobody read is gone. All boxes
 // must agree on one, go back at no moment, and never take the faulty one.
 func operatorsRace(f *Fleet) (string, error) {
-	seen := f.monitorVersions()
+	stopMonitor := f.monitorVersions()
 	var wait sync.WaitGroup
 	for _, version := range []uint64{2, 4, 3} {
 		wait.Go(func() { _ = f.PublishConfig(version, nil) })
@@ -111,7 +111,7 @@
 		return "", err
 	}
 	return fmt.Sprintf("version %d won the race everywhere, the faulty 5 nowhere; version 6 was in force on %d boxes after %s with %d platform calls",
-		won, len(f.boxes), took.Round(time.Millisecond), after-calls), seen()
+		won, len(f.boxes), took.Round(time.Millisecond), after-calls), stopMonitor()
 }
 
 // waitForAgreement waits until all boxes have the same version above the first in force.
--- a/proof/link.go
+++ b/proof/link.go
@@ -118,12 +118,12 @@
 			c := newLink()
 			w.between[[2]int{i, j}] = c
 			for _, address := range []*netip.AddrPort{&l.Boxes[j].Scheduler, &l.Boxes[j].Watch} {
-				near, err := c.listen(*address)
+				listener, err := c.listen(*address)
 				if err != nil {
 					return err
 				}
-				w.listeners = append(w.listeners, near)
-				*address = netip.MustParseAddrPort(near.Addr().String())
+				w.listeners = append(w.listeners, listener)
+				*address = netip.MustParseAddrPort(listener.Addr().String())
 			}
 		}
 		w.lists = append(w.lists, l)
@@ -135,7 +135,7 @@
 // waitForLists waits until each box has its own platform's list, and opens the ways
 // then: a list that came from another box would name that box's near ends.
 func (f *Fleet) waitForLists(within time.Duration) error {
-	has := func() bool {
+	allListed := func() bool {
 		for i := range f.boxes {
 			var s watch.Status
 			_, body, err := f.get(f.boxes[i].WatchAdmin, "/status")
@@ -145,7 +145,7 @@
 		}
 		return true
 	}
-	if !waitUntil(within, has) {
+	if !waitUntil(within, allListed) {
 		return errors.Errorf("the boxes have no list within %s; ended by themselves: %s", within, f.exitedLogs())
 	}
 	for _, c := range f.links.between {
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -112,16 +112,16 @@
 	if err != nil {
 		return "", err
 	}
-	looked := len(all.Latencies)
+	lookups := len(all.Latencies)
 	switch {
 	case hedgeCount == 0:
 		return "", errors.New("no lookup went to a second server; the proof showed nothing")
 	case all.Failed > 0:
-		return "", errors.Errorf("%d of %d lookups did not get their own answer", all.Failed, looked)
-	case float64(all.Calls) > maxCallsPerRequest*float64(looked+lookupWrites):
-		return "", errors.Errorf("%d calls for %d lookups and %d writes", all.Calls, looked, lookupWrites)
+		return "", errors.Errorf("%d of %d lookups did not get their own answer", all.Failed, lookups)
+	case float64(all.Calls) > maxCallsPerRequest*float64(lookups+lookupWrites):
+		return "", errors.Errorf("%d calls for %d lookups and %d writes", all.Calls, lookups, lookupWrites)
 	}
-	return fmt.Sprintf("%d lookups whole, %.0f sent to a second server; %s", looked, hedgeCount, summary), nil
+	return fmt.Sprintf("%d lookups whole, %.0f sent to a second server; %s", lookups, hedgeCount, summary), nil
 }
 
 // hedgeCount counts the lookups that entries sent to a second server.
--- a/proof/partition.go
+++ b/proof/partition.go
@@ -46,7 +46,7 @@
 // fleetPartitioned cuts boxes 3 and 4 off during streams and record writes. Their
 // platform is down meanwhile, and a configuration is published to the others'.
 func fleetPartitioned(f *Fleet) (string, error) {
-	seen := f.monitorVersions()
+	stopMonitor := f.monitorVersions()
 	p := &partitionTest{fleet: f}
 	for range 12 {
 		p.keys = append(p.keys, newKey())
@@ -64,7 +64,7 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s; version 2 everywhere %s after they met", summary, took.Round(10*time.Millisecond)), seen()
+	return fmt.Sprintf("%s; version 2 everywhere %s after they met", summary, took.Round(10*time.Millisecond)), stopMonitor()
 }
 
 // cutOffPlatforms are the platforms of the boxes that are cut off.
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -157,7 +157,7 @@
 
 // reconnect continues streams that were cut at box 0 through the other boxes.
 func (f *Fleet) reconnect(streams []*Stream) (string, error) {
-	back := 0
+	reconnected := 0
 	for i, s := range streams {
 		if s.ID == "" || s.IsComplete() {
 			continue
@@ -169,13 +169,13 @@
 		if !s.IsComplete() {
 			return "", errors.Errorf("stream %d ended as %q %q after it came back", i, s.Code, s.Body)
 		}
-		back++
+		reconnected++
 	}
-	if back == 0 {
+	if reconnected == 0 {
 		return "", errors.New("no stream was cut by the kill; the proof showed nothing")
 	}
 	_, err := f.verify(streams, f.Records())
-	return fmt.Sprintf("%d of %d came back and were whole", back, len(streams)), err
+	return fmt.Sprintf("%d of %d came back and were whole", reconnected, len(streams)), err
 }
 
 func controlProcessesPaused(f *Fleet) (string, error) {
