--- a/model/call.go
+++ b/model/call.go
@@ -57,6 +57,7 @@
 	return collectTransitions(s, s.addSteps)
 }
 
+// callAdder adds a transition that changes a copy of the state.
 type callAdder = func(label string, change func(*callState))
 
 func (s *callState) addSteps(add callAdder) {
@@ -122,6 +123,7 @@
 // no command for this.
 type readingStream struct{ core.CommandBase }
 
+// addFault adds an event as a fault. runs is the number of runs that it starts.
 func (s *callState) addFault(add callAdder, label string, runs int, ev core.Event) {
 	if s.faults == 0 {
 		return
@@ -132,10 +134,12 @@
 	})
 }
 
+// addStep adds an event that may always happen.
 func (s *callState) addStep(add callAdder, label string, runs int, ev core.Event) {
 	add(label, func(n *callState) { n.apply(runs, ev) })
 }
 
+// apply passes an event to the call and handles its first command.
 func (s *callState) apply(runs int, ev core.Event) {
 	s.runs += runs
 	commands := s.call.Step(at(0), ev)
--- a/model/claim.go
+++ b/model/claim.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// requestState is the progress of a request, as its entry sees it.
 type requestState string
 
 const (
@@ -50,8 +51,8 @@
 	requestAsking  requestState = "asking"
 	requestGranted requestState = "granted"
 	requestSent    requestState = "sent"
-	requestNotRun  requestState = "told-not-run"
-	requestUnknown requestState = "told-unknown"
+	requestNotRun  requestState = "not-run"
+	requestUnknown requestState = "unknown"
 )
 
 // claimRequest is one caller's request to the entry of one box.
@@ -84,6 +85,7 @@
 	ownerIncarnation core.Incarnation
 }
 
+// claimBox is a box with the claims that it owns and the state of its entry.
 type claimBox struct {
 	owner            *core.ClaimOwner // nil while the process is not running
 	incarnation      core.Incarnation
@@ -94,6 +96,8 @@
 	knownIncarnation [len(boxNames)]core.Incarnation // the newest incarnation of each owner that answered this box's entry
 }
 
+// claimState holds the published lists, the boxes, the callers' requests, the delayed
+// messages, and the runs of each request.
 type claimState struct {
 	rules     *ClaimRules
 	lists     []*core.List
@@ -166,6 +170,7 @@
 	return keys
 }
 
+// claimLists returns the lists that the platform publishes in a scenario.
 func claimLists(scenario ClaimScenario) []*core.List {
 	all := newList(1, 0, boxNames[:]...)
 	switch scenario {
@@ -192,6 +197,7 @@
 	s.adopt(i, s.published)
 }
 
+// adopt makes a box adopt a published list, given by its index.
 func (s *claimState) adopt(i, list int) {
 	b := &s.boxes[i]
 	b.list = list
@@ -203,6 +209,7 @@
 	})
 }
 
+// reachable reports whether messages pass between two boxes.
 func (s *claimState) reachable(i, j int) bool {
 	a, b := &s.boxes[i], &s.boxes[j]
 	if a.owner == nil || b.owner == nil || a.paused || b.paused {
@@ -227,6 +234,7 @@
 	}
 }
 
+// transferClaims sends the claims that one box hands over to another.
 func (s *claimState) transferClaims(from, to int, version uint64) {
 	if !s.reachable(from, to) {
 		return
@@ -299,6 +307,7 @@
 	}
 }
 
+// claimAdder adds a transition that changes a copy of the state.
 type claimAdder func(label string, change func(*claimState))
 
 // FindViolation reports a broken promise about requests that may run at most once.
--- a/model/claim_fault.go
+++ b/model/claim_fault.go
@@ -75,6 +75,7 @@
 	}
 }
 
+// addRecoverySteps adds the ends of pauses and cuts.
 func (s *claimState) addRecoverySteps(add claimAdder) {
 	for i := range s.boxes {
 		if s.boxes[i].paused {
@@ -108,6 +109,7 @@
 	}
 }
 
+// retire makes the owner hand over all its claims to the successors that it reaches.
 func (s *claimState) retire() {
 	for _, command := range s.boxes[boxOwner].owner.Step(at(s.now), core.Retire{}) {
 		sent, ok := command.(core.HandoverSent)
--- a/model/claim_request.go
+++ b/model/claim_request.go
@@ -8,6 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
+// addRequestSteps adds the steps of a request and the faults on its way.
 func (s *claimState) addRequestSteps(i int, add claimAdder) {
 	r := &s.requests[i]
 	b := &s.boxes[r.box]
@@ -47,12 +48,14 @@
 	fault("the query arrives twice, once delayed", false, false, true)
 }
 
+// ownerOf returns the box that owns a request's key, according to its entry's list.
 func (s *claimState) ownerOf(i int) int {
 	r := &s.requests[i]
 	list := s.lists[s.boxes[r.box].list]
 	return slices.Index(boxNames[:], list.ClaimOwner(core.ClaimScope(r.key), nil))
 }
 
+// newQuestion returns the query that a request's entry sends to the key's owner.
 func (s *claimState) newQuestion(i int) claimMessage {
 	r := &s.requests[i]
 	b := &s.boxes[r.box]
@@ -82,6 +85,8 @@
 	s.handleAnswer(s.answerAsk(m))
 }
 
+// askWithFault queries the owner, with the query or its answer delayed, or with the
+// query delivered a second time later.
 func (s *claimState) askWithFault(i int, lateQuestion, lateAnswer, twice bool) {
 	m := s.newQuestion(i)
 	if lateQuestion || twice {
@@ -122,6 +127,7 @@
 
 func (s *claimState) keyOf(i int) int { return i % s.rules.Keys }
 
+// addMessageSteps adds the arrival of a delayed message.
 func (s *claimState) addMessageSteps(m int, add claimAdder) {
 	message := s.inFlight[m]
 	if !s.reachable(s.requests[message.request].box, message.owner) {
@@ -169,6 +175,7 @@
 	return answer
 }
 
+// handleAnswer changes a request's state according to the owner's verdict.
 func (s *claimState) handleAnswer(m claimMessage) {
 	r := &s.requests[m.request]
 	b := &s.boxes[r.box]
--- a/model/clock.go
+++ b/model/clock.go
@@ -12,6 +12,7 @@
 // timeStep is the duration of one step of a specification.
 const timeStep = time.Second
 
+// at returns the time of a step.
 func at(step int) time.Time { return startTime.Add(time.Duration(step) * timeStep) }
 
 // boxNames are the names of the boxes in every specification.
--- a/model/drain.go
+++ b/model/drain.go
@@ -13,6 +13,7 @@
 	Options []core.Option
 }
 
+// drainState holds a process that can be stopped, with its streams and claims.
 type drainState struct {
 	rules          *DrainRules
 	drain          *core.Drain
@@ -49,6 +50,7 @@
 	}
 }
 
+// reportWork informs the drain of the remaining streams and claims.
 func (s *drainState) reportWork() {
 	s.step(core.WorkChanged{
 		Streams: s.streams,
--- a/model/evacuation.go
+++ b/model/evacuation.go
@@ -14,7 +14,7 @@
 type EvacuationRules struct {
 	Boxes  int
 	Runs   int // runs of each box
-	Faults int // messages lost, and messages delayed by a time step
+	Faults int // lost messages, and steps of time before the messages arrive
 }
 
 // copyUnit is the shortest time that a copy takes; other copies take multiples of it.
@@ -34,17 +34,20 @@
 	violation  string
 }
 
+// planInput is an event that a plan received, with its time.
 type planInput struct {
 	at time.Time
 	ev core.Event
 }
 
+// runMessage is a message in flight to a box, about runs to move or moved.
 type runMessage struct {
 	to   int
 	text string // the event as text, for the state's key
 	ev   core.Event
 }
 
+// runningMove is a move in progress.
 type runningMove struct {
 	id     string
 	box    int
--- a/model/explore.go
+++ b/model/explore.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// intern returns the node of a state and reports whether the state is new.
 func (s *stateGraph) intern(state State, parent int64, label string) (*node, bool) {
 	key := fingerprintOf(state.Key())
 	if id, known := s.byKey[key]; known {
@@ -180,6 +181,7 @@
 	return out
 }
 
+// trace returns the labels of the steps from the first state to another.
 func (s *stateGraph) trace(id int64) []string {
 	var steps []string
 	for ; id > 0; id = s.nodes[id].parent {
--- a/model/fence.go
+++ b/model/fence.go
@@ -7,8 +7,8 @@
 )
 
 // FenceRules are the bounds of the specification of fenced orders. A fence is the
-// number that an owner attaches to its orders to an endpoint, so that the endpoint
-// can reject those of an earlier owner.
+// version that an owner attaches to its orders to an endpoint, so that the endpoint can
+// reject those of an earlier owner.
 type FenceRules struct {
 	EndpointChecks bool // the endpoint rejects orders with a fence older than the highest it has seen
 	Faults         int
@@ -20,6 +20,7 @@
 // it may send orders to an endpoint that doesn't check fences.
 const maxListAge = 1
 
+// fenceOwner is a box that sends orders while it is permitted to.
 type fenceOwner struct {
 	orders *core.OrderPermission
 	list   int
@@ -27,6 +28,7 @@
 	paused bool
 }
 
+// fenceState holds the owners, the orders in flight, and the endpoint's fence check.
 type fenceState struct {
 	rules        *FenceRules
 	now          int
@@ -144,6 +146,7 @@
 	}
 }
 
+// adopt adopts list 2, which moves ownership from the first owner to the second.
 func (s *fenceState) adopt(i int) {
 	o := &s.owners[i]
 	o.list = 2
@@ -161,6 +164,7 @@
 	s.deliver(f)
 }
 
+// deliver passes an order to the endpoint, which applies it if its fence is admitted.
 func (s *fenceState) deliver(f core.Fence) {
 	if !s.fenceCheck.Admit(f) {
 		return
@@ -169,6 +173,7 @@
 	s.applied = f
 }
 
+// tick advances time by one step and confirms the owners' lists where possible.
 func (s *fenceState) tick() {
 	s.now++
 	for i := range s.owners {
--- a/model/lease.go
+++ b/model/lease.go
@@ -163,6 +163,7 @@
 	o.ownership.Step(now, core.HoldTaken{})
 }
 
+// ask requests a lease from an owner.
 func (s *leaseState) ask(i int) {
 	tokens, ttl := s.owners[i].ownership.Grantable(at(s.now), leaseCapacity)
 	s.leases[i] = core.NewLease("engine", at(s.now), ttl, tokens, tokens, s.rules.Options...)
@@ -174,6 +175,7 @@
 // last lease expires one step later.
 const maxLeavingDelay = 1 + 2 + 1
 
+// send sends work on every valid lease.
 func (s *leaseState) send() {
 	for i := range s.leases {
 		if !s.leases[i].Usable(at(s.now)) {
--- a/model/stream.go
+++ b/model/stream.go
@@ -23,6 +23,8 @@
 	streamWindow  = 2
 )
 
+// frameKind is the kind of a streamFrame; the last two are signs of a lost connection
+// and of a generation that the engine no longer has.
 type frameKind string
 
 const (
@@ -50,6 +52,8 @@
 	ended   bool
 }
 
+// streamCaller is a caller's stream at its entry: the generation, its next actions, the
+// frames in flight and the tokens delivered.
 type streamCaller struct {
 	gen       *core.Generation
 	box       int
@@ -62,6 +66,7 @@
 	started   []core.Origin
 }
 
+// streamEngine is an engine with the generations that it retains.
 type streamEngine struct {
 	incarnation core.Incarnation
 	retained    []string // generations that can still be read
@@ -162,8 +167,10 @@
 	}
 }
 
+// streamAdder adds a transition that changes a copy of the state.
 type streamAdder func(label string, change func(*streamState))
 
+// addCallerSteps adds the steps of a caller's stream.
 func (s *streamState) addCallerSteps(i int, add streamAdder) {
 	c := &s.callers[i]
 	prefix := "caller " + strconv.Itoa(i)
@@ -214,6 +221,7 @@
 	s.startGeneration(c, attempt, origin, true)
 }
 
+// startGeneration starts a generation on its engine, and reads it if reading is true.
 func (s *streamState) startGeneration(c *streamCaller, attempt int, origin core.Origin, reading bool) {
 	e := s.engineOf(origin)
 	origin.Incarnation = s.engines[e].incarnation
@@ -252,6 +260,7 @@
 	})
 }
 
+// sendFrame sends the next token, or the final frame after the last token.
 func (s *streamState) sendFrame(i, r int) {
 	c := &s.callers[i]
 	reader := &c.readers[r]
@@ -270,6 +279,8 @@
 	reader.sent++
 }
 
+// deliverFrame passes an in-flight frame to the caller's generation. A frame that isn't
+// removed arrives again later.
 func (s *streamState) deliverFrame(i, at int, remove bool) {
 	c := &s.callers[i]
 	f := c.inFlight[at]
--- a/model/stream_fault.go
+++ b/model/stream_fault.go
@@ -8,7 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// addFaults adds the faults that are possible while the bound allows another.
+// addFaults adds all faults, each of which counts against the bound.
 func (s *streamState) addFaults(add streamAdder) {
 	fault := func(label string, change func(*streamState)) {
 		add("fault: "+label, func(n *streamState) {
@@ -30,6 +30,7 @@
 	}
 }
 
+// addCallerFaults adds the faults of a caller's stream.
 func (s *streamState) addCallerFaults(i int, fault streamAdder) {
 	c := &s.callers[i]
 	prefix := "caller " + strconv.Itoa(i)
@@ -58,6 +59,8 @@
 	}
 }
 
+// restart restarts an engine and breaks its connections. With reuse, the engine starts
+// other generations under the ids of those that it lost.
 func (s *streamState) restart(e int, reuse bool) {
 	s.engines[e].incarnation++
 	if !reuse {
@@ -77,6 +80,8 @@
 	}
 }
 
+// breakWrite breaks the connection while the request is written. The generation starts
+// if the whole request arrived.
 func (s *streamState) breakWrite(i int, arrived bool) {
 	c := &s.callers[i]
 	attempt, origin := c.send.Attempt, c.send.Origin
@@ -116,6 +121,7 @@
 	s.step(c, core.LinkLost{Attempt: c.gen.Attempt})
 }
 
+// deliverForeignFrame passes a frame of another generation to the caller's stream.
 func (s *streamState) deliverForeignFrame(i int) {
 	c := &s.callers[i]
 	s.handleFrame(c, streamFrame{
--- a/model/version.go
+++ b/model/version.go
@@ -28,6 +28,7 @@
 	{version: 3, digest: 30, valid: true},
 }
 
+// versionBox is a box with its configuration versions and its join of the fleet.
 type versionBox struct {
 	versions         *core.Versions
 	join             *core.Join
@@ -46,6 +47,7 @@
 	version     uint64
 }
 
+// versionState holds the boxes and the index of the newest publication.
 type versionState struct {
 	rules     *VersionRules
 	faults    int
@@ -71,6 +73,7 @@
 	return s
 }
 
+// offer offers a document to the box and records whether it broke a promise.
 func (b *versionBox) offer(p publication) {
 	for _, command := range b.versions.Step(core.VersionOffered{
 		Version:  p.version,
--- a/proof/calls.go
+++ b/proof/calls.go
@@ -13,7 +13,7 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// callTimeout bounds a short call of the proof's own.
+// callTimeout bounds each short call that a scenario makes.
 const callTimeout = 10 * time.Second
 
 func (f *Fleet) get(address netip.AddrPort, path string) (int, []byte, error) {
@@ -25,6 +25,7 @@
 	return status, text, err
 }
 
+// exchange sends a request and returns the status, headers and body of the response.
 func (f *Fleet) exchange(method string, address netip.AddrPort, path string, headers map[string]string, body []byte) (int, map[string]string, []byte, error) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(method)
@@ -44,7 +45,7 @@
 	return resp.StatusCode(), respHeaders, bytes.Clone(resp.Body()), nil
 }
 
-// SetFaults tells a stand-in what to do wrong from now on.
+// SetFaults sets the faults of a stand-in, in place of those set before.
 func (f *Fleet) SetFaults(name string, faults standin.Faults) error {
 	body, err := json.Marshal(faults)
 	if err != nil {
@@ -54,6 +55,7 @@
 	return err
 }
 
+// address returns the address of a stand-in, given by its name.
 func (f *Fleet) address(name string) netip.AddrPort {
 	switch name {
 	case "platform":
@@ -72,7 +74,7 @@
 	return f.engines[n-1]
 }
 
-// EngineRecord gives an engine's own record.
+// EngineRecord returns the record that an engine keeps of its work.
 func (f *Fleet) EngineRecord(i int) (standin.Record, error) {
 	var r standin.Record
 	_, body, err := f.get(f.engines[i], "/control/record")
@@ -82,7 +84,7 @@
 	return r, json.Unmarshal(body, &r)
 }
 
-// ServerRecords gives the own records of the service's servers.
+// ServerRecords returns the records that the service's servers keep of their work.
 func (f *Fleet) ServerRecords() ([]standin.ServiceRecord, error) {
 	all := make([]standin.ServiceRecord, len(f.servers))
 	for i, address := range f.servers {
@@ -109,7 +111,7 @@
 	return effects, err
 }
 
-// PlatformCalls gives the platform's own count of calls.
+// PlatformCalls returns how many calls the platform has received.
 func (f *Fleet) PlatformCalls() (int, error) {
 	var calls struct {
 		Calls int `json:"calls"`
--- a/proof/claims.go
+++ b/proof/claims.go
@@ -24,12 +24,12 @@
 			Run:      writesRepeatedAtOnce,
 		},
 		{
-			Name:     "a key's home is killed, restarts, and the write is repeated",
+			Name:     "a key's owner is killed and restarts, and the write is repeated",
 			Promises: promises,
 			Run:      ownerKilled,
 		},
 		{
-			Name:     "a key's home is paused past every time-out, leaves the list, and wakes",
+			Name:     "a key's owner is paused past every timeout, leaves the list, and resumes",
 			Promises: promises,
 			Run:      ownerPaused,
 		},
@@ -41,7 +41,7 @@
 	}
 }
 
-// writeResult is what a caller was told of one record write.
+// writeResult is a record write together with the answer that its caller got.
 type writeResult struct {
 	key     string
 	body    string
@@ -50,6 +50,7 @@
 	answer  string
 }
 
+// writeRecord writes a record through a box. The outcome is empty if the call failed.
 func (f *Fleet) writeRecord(boxIndex int, key, body string) writeResult {
 	headers := map[string]string{"Authorization": "Bearer " + Key}
 	if key != "" {
@@ -77,8 +78,9 @@
 	return id.String()
 }
 
-// verifyWrites checks the service's own record: each body at most once; once if
-// any caller was told that it ran; not at all if all were told that it didn't.
+// verifyWrites checks the writes against the service's records. Each body ran at most
+// once, exactly once if any caller was told that it ran, and not at all if every
+// caller was told that it didn't.
 func (f *Fleet) verifyWrites(writes []writeResult) (string, error) {
 	counted, err := f.ServiceEffects()
 	if err != nil {
@@ -99,16 +101,17 @@
 		case effects > 1:
 			return "", errors.Errorf("%q ran %d times", body, effects)
 		case effects == 0 && outcomes["ran"] > 0:
-			return "", errors.Errorf("%q was told to have run and did not", body)
+			return "", errors.Errorf("%q was reported as run, but did not run", body)
 		case effects == 1 && outcomes["ran"]+outcomes["unknown"]+outcomes[""] == 0:
-			return "", errors.Errorf("%q ran and every caller was told that it did not", body)
+			return "", errors.Errorf("%q ran, but was reported to every caller as not run", body)
 		}
 	}
 	return fmt.Sprintf("%d writes of %d bodies, %d ran", len(writes), len(reported), ran), nil
 }
 
-// writesRepeatedAtOnce sends each write through every box at once, on a fleet that has
-// just started, until all have run: its boxes can vouch for every key.
+// writesRepeatedAtOnce sends each write through every box at once, on a fleet that
+// has just started, until every write has run. Since no records were lost, every key
+// must be grantable.
 func writesRepeatedAtOnce(f *Fleet) (string, error) {
 	keys := make([]string, 30)
 	for n := range keys {
@@ -124,7 +127,7 @@
 	})
 	for _, w := range all {
 		if strings.Contains(w.answer, "claim_unknown") {
-			return "", errors.New("a new key was told unknown on a fleet that lost nothing")
+			return "", errors.New("a new key got claim_unknown on a fleet that lost no records")
 		}
 	}
 	if !done {
@@ -133,11 +136,11 @@
 	return f.verifyWrites(all)
 }
 
-// startLimit is the time within which every claims' home of a starting fleet must
-// grant.
+// startLimit is the time within which every claim owner of a starting fleet must grant
+// claims.
 const startLimit = 20 * time.Second
 
-// keysRan gives the keys of the writes that a caller was told to have run.
+// keysRan returns the keys of the writes that were reported as run.
 func keysRan(all []writeResult) map[string]bool {
 	ran := make(map[string]bool)
 	for _, w := range all {
@@ -161,7 +164,7 @@
 	return all
 }
 
-// ownerOf gives the index of the box that keeps a key.
+// ownerOf returns the index of the box that owns a key, or -1.
 func (f *Fleet) ownerOf(key string) int {
 	owner := f.list.ClaimOwner(core.ClaimScope(core.ClaimKey{
 		Customer: "customer-1",
@@ -202,9 +205,9 @@
 	}
 	summary, err := f.verifyWrites(all)
 	if err == nil && unknown == 0 {
-		err = errors.New("no repeat was told unknown though a home lost its records")
+		err = errors.New("no repeat got the outcome unknown, although an owner lost its records")
 	}
-	return fmt.Sprintf("%s, %d repeats told unknown", summary, unknown), err
+	return fmt.Sprintf("%s, %d repeats with the outcome unknown", summary, unknown), err
 }
 
 func ownerPaused(f *Fleet) (string, error) {
--- a/proof/configs.go
+++ b/proof/configs.go
@@ -19,7 +19,7 @@
 	wide.Boxes = 8
 	return []Scenario{
 		{
-			Name:     "operators race, with a faulty document between two good ones, on 8 boxes",
+			Name:     "operators race, with an invalid document between two valid ones, on 8 boxes",
 			Promises: promises,
 			Shape:    wide,
 			Run:      operatorsRace,
@@ -32,7 +32,8 @@
 	}
 }
 
-// activeVersion gives the configuration version that a box's entry has in force.
+// activeVersion returns the configuration version that is active in a box's entry, or
+// 0 if the entry doesn't answer.
 func (f *Fleet) activeVersion(i int) uint64 {
 	var s struct {
 		Version uint64 `json:"config_version"`
@@ -44,7 +45,7 @@
 	return s.Version
 }
 
-// activeVersions gives the versions in force by box.
+// activeVersions returns the active version of each box.
 func (f *Fleet) activeVersions() []uint64 {
 	all := make([]uint64, 0, len(f.boxes))
 	for i := range f.boxes {
@@ -53,7 +54,8 @@
 	return all
 }
 
-// waitForVersion waits until every box has a version in force, and gives the time.
+// waitForVersion waits until a version is active on every box, and returns the time
+// that this took.
 func (f *Fleet) waitForVersion(version uint64, within time.Duration) (time.Duration, error) {
 	began := time.Now()
 	reached := waitUntil(within, func() bool {
@@ -65,18 +67,18 @@
 		return true
 	})
 	if !reached {
-		return 0, errors.Errorf("version %d was not in force everywhere within %s", version, within)
+		return 0, errors.Errorf("version %d was not active on every box within %s", version, within)
 	}
 	return time.Since(began), nil
 }
 
-// configLimit is the time within which a version must be in force everywhere.
+// configLimit is the time within which a version must be active on every box.
 const configLimit = 15 * time.Second
 
-// operatorsRace publishes three versions at once and in any order, a faulty one
-// after them, and a last one. Which of the three wins is the race's matter: the
-// platform shows what came last, and a version that nobody read is gone. All boxes
-// must agree on one, go back at no moment, and never take the faulty one.
+// operatorsRace publishes three versions concurrently, then an invalid one, then a
+// last one. Any of the three may win, as the platform keeps only the newest document.
+// All boxes must agree on one, never go back to an older version, and never activate
+// the invalid one.
 func operatorsRace(f *Fleet) (string, error) {
 	stopMonitor := f.monitorVersions()
 	var wait sync.WaitGroup
@@ -93,7 +95,7 @@
 	}
 	time.Sleep(configSettleTime)
 	if _, err := f.waitForVersion(won, configLimit); err != nil {
-		return "", errors.Wrap(err, "after the faulty document")
+		return "", errors.Wrap(err, "after the invalid document")
 	}
 	calls, err := f.PlatformCalls()
 	if err != nil {
@@ -110,11 +112,11 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("version %d won the race everywhere, the faulty 5 nowhere; version 6 was in force on %d boxes after %s with %d platform calls",
+	return fmt.Sprintf("version %d won the race on every box, the invalid version 5 was never active; version 6 was active on %d boxes after %s with %d platform calls",
 		won, len(f.boxes), took.Round(time.Millisecond), after-calls), stopMonitor()
 }
 
-// waitForAgreement waits until all boxes have the same version above the first in force.
+// waitForAgreement waits until the same version after the first is active on all boxes.
 func (f *Fleet) waitForAgreement(within time.Duration) (uint64, error) {
 	var version uint64
 	reached := waitUntil(within, func() bool {
@@ -132,8 +134,8 @@
 	return version, nil
 }
 
-// monitorVersions looks at every box's version until the returned function is called,
-// which tells whether one went back.
+// monitorVersions polls every box's version until the returned function is called,
+// which returns an error if a box went back to an older version.
 func (f *Fleet) monitorVersions() func() error {
 	stop, done := make(chan struct{}), make(chan error, 1)
 	go func() {
@@ -185,12 +187,12 @@
 	streams := f.RunStreams(6, func() {})
 	complete, err := f.verify(streams, f.Records())
 	if err == nil && complete != len(streams) {
-		err = errors.Errorf("%d of %d streams came whole while the platform was down", complete, len(streams))
+		err = errors.Errorf("%d of %d streams completed while the platform was down", complete, len(streams))
 	}
-	return fmt.Sprintf("the replaced box took version 2 from its peers; %d streams whole while the platform was down", complete), err
+	return fmt.Sprintf("the replaced box got version 2 from its peers; %d streams completed while the platform was down", complete), err
 }
 
-// replaceBox kills all processes of a box and starts them with empty memory.
+// replaceBox kills all processes of a box and restarts them with empty memory.
 func (f *Fleet) replaceBox(i int) {
 	for _, part := range []string{"entry", "scheduler", "watch"} {
 		f.Signal(f.boxes[i].Name+"-"+part, syscall.SIGKILL)
--- a/proof/contract_test.go
+++ b/proof/contract_test.go
@@ -45,7 +45,7 @@
 		return status, answered, string(text)
 	}
 
-	DescribeTable("refuses bad input, with nothing sent to an endpoint",
+	DescribeTable("refuses invalid input and sends nothing to an endpoint",
 		func(path, key, body string, status int, code string) {
 			before := starts()
 			got, headers, text := call("POST", path, key, body, nil)
@@ -56,7 +56,7 @@
 		},
 		Entry("bad JSON", "/v1/completions", proof.Key, `{"model":`, 400, "invalid_json"),
 		Entry("wrong type", "/v1/completions", proof.Key, `{"model":3,"prompt":"x"}`, 400, "invalid_type"),
-		Entry("wrong type inside", "/v1/chat/completions", proof.Key, `{"model":"model-1","messages":"x"}`, 400, "invalid_type"),
+		Entry("a nested field of the wrong type", "/v1/chat/completions", proof.Key, `{"model":"model-1","messages":"x"}`, 400, "invalid_type"),
 		Entry("a prompt of the wrong type", "/v1/completions", proof.Key, `{"model":"model-1","prompt":7}`, 400, "invalid_type"),
 		Entry("no prompt", "/v1/completions", proof.Key, `{"model":"model-1"}`, 400, "missing_prompt"),
 		Entry("no messages", "/v1/chat/completions", proof.Key, `{"model":"model-1"}`, 400, "missing_messages"),
@@ -67,12 +67,12 @@
 		Entry("wrong key", "/v1/completions", "wrong", `{"model":"model-1","prompt":"x"}`, 401, "invalid_api_key"),
 		Entry("no key", "/v1/completions", "", `{"model":"model-1","prompt":"x"}`, 401, "invalid_api_key"),
 		Entry("oversized body", "/v1/completions", proof.Key, `{"model":"model-1","prompt":"`+strings.Repeat("x", 2<<20)+`"}`, 413, "body_too_large"),
-		Entry("body beyond what the library reads", "/v1/completions", proof.Key, `{"model":"model-1","prompt":"`+strings.Repeat("x", 20<<20)+`"}`, 413, "body_too_large"),
+		Entry("body over the HTTP library's limit", "/v1/completions", proof.Key, `{"model":"model-1","prompt":"`+strings.Repeat("x", 20<<20)+`"}`, 413, "body_too_large"),
 		Entry("unknown path", "/v1/other", proof.Key, `{}`, 404, "unknown_path"),
 		Entry("unknown service", "/v1/services/none/x", proof.Key, `{}`, 404, "service_not_found"),
 	)
 
-	It("gives an OpenAI client its stream, every token once and in order", func() {
+	It("streams every token once and in order to an OpenAI client", func() {
 		c := openai.NewClient(option.WithAPIKey(proof.Key), option.WithBaseURL("http://"+fleet.Entry(1).String()+"/v1"))
 		stream := c.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{
 			Model:    proof.Model,
@@ -81,21 +81,21 @@
 				IncludeUsage: openai.Bool(true),
 			},
 		})
-		var whole openai.ChatCompletionAccumulator
+		var accumulated openai.ChatCompletionAccumulator
 		for stream.Next() {
-			whole.AddChunk(stream.Current())
+			accumulated.AddChunk(stream.Current())
 		}
 		Expect(stream.Err()).NotTo(HaveOccurred())
-		Expect(whole.Choices).To(HaveLen(1))
-		words := strings.Fields(whole.Choices[0].Message.Content)
-		Expect(words).To(HaveLen(int(whole.Usage.CompletionTokens)))
-		tag := standin.Tag(whole.ID)
+		Expect(accumulated.Choices).To(HaveLen(1))
+		words := strings.Fields(accumulated.Choices[0].Message.Content)
+		Expect(words).To(HaveLen(int(accumulated.Usage.CompletionTokens)))
+		tag := standin.Tag(accumulated.ID)
 		for n, word := range words {
 			Expect(word).To(Equal(fmt.Sprintf("%s.%d", tag, n)))
 		}
 	})
 
-	It("gives an OpenAI client a whole answer", func() {
+	It("returns a complete answer to an OpenAI client", func() {
 		c := openai.NewClient(option.WithAPIKey(proof.Key), option.WithBaseURL("http://"+fleet.Entry(2).String()+"/v1"))
 		answer, err := c.Completions.New(context.Background(), openai.CompletionNewParams{
 			Model:     proof.Model,
@@ -107,7 +107,7 @@
 		Expect(answer.Usage.CompletionTokens).To(BeEquivalentTo(7))
 	})
 
-	It("continues a stream on another box after its last event, and after its end", func() {
+	It("continues a stream on another box after the last event received, and after the end", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		s, _ := fleet.ReadStream(proof.WithFirstToken(ctx, cancel), 0, nil)
 		Expect(s.IsComplete()).To(BeFalse())
@@ -121,7 +121,7 @@
 		Expect(again.Tokens).To(Equal(s.Tokens))
 	})
 
-	It("refuses a stream id that this fleet didn't make, and a foreign event id", func() {
+	It("refuses an unknown stream id, and an event id of another stream", func() {
 		status, headers, _ := call("GET", "/v1/streams/AAAAAAAAAAAAAAAAAAAAAAAA", proof.Key, "", nil)
 		Expect(status).To(Equal(404))
 		Expect(headers["Dillsaddle-Outcome"]).To(Equal("not-run"))
@@ -131,7 +131,7 @@
 		Expect(status).To(Equal(400), text)
 	})
 
-	It("cancels a stream from another box at its engine", func() {
+	It("cancels a stream at its engine through another box", func() {
 		ended := make(chan *proof.Stream)
 		opened := make(chan string, 1)
 		go func() {
@@ -147,14 +147,14 @@
 		Expect(s.Code).To(BeElementOf("cancelled", "generation_lost"))
 	})
 
-	It("answers a service's call and hands its outcome on", func() {
+	It("forwards a service's answer with its outcome", func() {
 		status, headers, text := call("GET", "/v1/services/records/stations/17?year=2026", proof.Key, "", nil)
 		Expect(status).To(Equal(200))
 		Expect(headers["Dillsaddle-Outcome"]).To(Equal("ran"))
 		Expect(text).To(ContainSubstring("GET /stations/17"))
 	})
 
-	It("runs a keyed generation once and names its stream to a repeat", func() {
+	It("runs a generation with an idempotency key once and returns its stream id to a repeat", func() {
 		headers := map[string]string{"Dillsaddle-Repeatable": "false", "Idempotency-Key": "summary-1"}
 		s, err := fleet.ReadStream(context.Background(), 0, headers)
 		Expect(err).NotTo(HaveOccurred())
@@ -167,7 +167,7 @@
 		Expect(starts()).To(Equal(before))
 	})
 
-	It("shows operators metrics by customer and class, health and readiness", func() {
+	It("exposes metrics by customer and class, health and readiness", func() {
 		_, _, text, err := fleet.Exchange("GET", fleet.Admin(1), "/metrics", nil, nil)
 		Expect(err).NotTo(HaveOccurred())
 		for _, name := range []string{"first_token_seconds", "between_tokens_seconds", "stall_seconds", "waiting_seconds"} {
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,4 +1,4 @@
-// Package proof runs whole fleets of real processes on this machine, brings
-// about failures, and judges by the stand-ins' own records: tokens made against
-// tokens delivered, effects by request, orders and calls counted.
+// Package proof runs whole fleets of real processes on this machine, causes
+// failures, and checks the promises against the records of the stand-ins: tokens
+// generated and delivered, effects of each request, and calls received.
 package proof
--- a/proof/documents.go
+++ b/proof/documents.go
@@ -13,6 +13,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
+// box holds the settings of a box's processes.
 type box struct {
 	Name           string         `json:"box"`
 	Zone           string         `json:"zone"`
@@ -23,22 +24,23 @@
 	SchedulerAdmin netip.AddrPort `json:"scheduler-admin"`
 	WatchAdmin     netip.AddrPort `json:"watch-admin"`
 	Platform       netip.AddrPort `json:"platform"`
-	Fleet          string         `json:"secret"`
+	Fleet          string         `json:"secret"` // the fleet's shared secret
 }
 
-// The ports of fleets lie below those that the system gives to outgoing
-// connections, which could take a port between its choice and its use.
+// The ports of fleets are below the system's ephemeral ports, so that no outgoing
+// connection takes a port after it was chosen and before it is used.
 const (
 	firstPort = 11000
 	lastPort  = 31000
 )
 
-// nextPort counts on from a start that differs between processes.
+// nextPort is the offset of the next port to try. It starts at a different value in each
+// process.
 var nextPort atomic.Uint32
 
 func init() { nextPort.Store(uint32(os.Getpid()*97) % (lastPort - firstPort)) }
 
-// freeAddress takes the next port that nobody listens on.
+// freeAddress returns a loopback address with the next port that is not in use.
 func freeAddress() netip.AddrPort {
 	for {
 		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
@@ -52,8 +54,8 @@
 	}
 }
 
-// assign chooses addresses and documents.
-func (f *Fleet) assign() {
+// buildConfig chooses all addresses and builds the configuration and the list.
+func (f *Fleet) buildConfig() {
 	f.platform = freeAddress()
 	var servers []string
 	for range max(1, f.Shape.Servers) {
@@ -129,6 +131,7 @@
 	})
 }
 
+// writeJSON writes a file into the fleet's folder and returns its path.
 func (f *Fleet) writeJSON(name string, value any) string {
 	path := filepath.Join(f.dir, name)
 	text, err := json.MarshalIndent(value, "", "  ")
@@ -141,7 +144,8 @@
 	return path
 }
 
-// PublishConfig publishes a version of the configuration, changed by a function.
+// PublishConfig publishes a version of the configuration. change may edit the document
+// first.
 func (f *Fleet) PublishConfig(version uint64, change func(map[string]any)) error {
 	body, err := f.configJSON(version, change)
 	if err != nil {
@@ -175,7 +179,7 @@
 	return json.Marshal(copied)
 }
 
-// PublishList publishes the next version of the list, changed by a function.
+// PublishList publishes the next version of the list after change has edited it.
 func (f *Fleet) PublishList(change func(*core.List)) error {
 	f.list.Version++
 	change(&f.list)
--- a/proof/fleet.go
+++ b/proof/fleet.go
@@ -17,21 +17,21 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Shape says what fleet to start.
+// Shape describes a fleet.
 type Shape struct {
 	Boxes           int
 	Engines         int
-	MedianTokens    float64       // tokens of an output
-	StepTime        time.Duration // of an engine alone
+	MedianTokens    float64       // median length of a generation
+	StepTime        time.Duration // duration of an engine's decoding step without sequences
 	MemoryTokens    int
-	StepPerSequence time.Duration // added to a step by each sequence
+	StepPerSequence time.Duration // time that each sequence adds to a step
 	BatchSlots      int
-	Servers         int  // of the service; one if left out
-	Hedge           bool // of the service
-	CuttableLinks   bool // boxes reach each other by ways that can be cut, each with its own platform
+	Servers         int  // servers of the service, one if unset
+	Hedge           bool // the service allows hedged requests
+	CuttableLinks   bool // boxes reach each other only through links that can be blocked, and each has its own platform
 }
 
-// DefaultShape is a small fleet whose streams take a few seconds.
+// DefaultShape returns a small fleet whose streams take a few seconds.
 func DefaultShape() Shape {
 	return Shape{
 		Boxes:           3,
@@ -44,10 +44,10 @@
 	}
 }
 
-// Key is the key of every fleet's customer.
+// Key is the API key of every fleet's customer.
 const Key = "proof-key"
 
-// Model is the model that every fleet serves.
+// Model is the name of the model that every fleet serves.
 const Model = "model-1"
 
 // Fleet is a running fleet of processes.
@@ -60,7 +60,7 @@
 	processes map[string]*process
 	platform  netip.AddrPort
 	engines   []netip.AddrPort
-	service   netip.AddrPort // the first of its servers
+	service   netip.AddrPort // the service's first server
 	servers   []netip.AddrPort
 	boxes     []box
 	config    map[string]any
@@ -68,6 +68,7 @@
 	links     *links
 }
 
+// process is a running process with what is needed to start it again.
 type process struct {
 	command *exec.Cmd
 	program string
@@ -75,8 +76,8 @@
 	done    chan struct{}
 }
 
-// Start starts a fleet from the programs in a folder and waits until every box
-// can serve a stream.
+// Start starts a fleet from the programs in a folder and waits until every box is
+// ready.
 func Start(programs string, shape Shape) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "dillsaddle-proof")
 	if err != nil {
@@ -98,7 +99,7 @@
 		http:      c,
 		processes: make(map[string]*process),
 	}
-	f.assign()
+	f.buildConfig()
 	if shape.CuttableLinks {
 		if err := f.setUpLinks(); err != nil {
 			f.Close()
@@ -206,7 +207,7 @@
 	}
 }
 
-// WaitExit waits until a process has ended.
+// WaitExit waits for a process to exit and reports whether it did within the time.
 func (f *Fleet) WaitExit(name string, within time.Duration) bool {
 	f.mu.Lock()
 	r := f.processes[name]
@@ -219,7 +220,7 @@
 	}
 }
 
-// Restart starts a process anew after it ended.
+// Restart waits for a process to exit and starts it again.
 func (f *Fleet) Restart(name string) {
 	f.mu.Lock()
 	r := f.processes[name]
@@ -228,7 +229,7 @@
 	f.startProcess(name, r.program, r.file)
 }
 
-// WaitReady waits until every box can serve a stream.
+// WaitReady waits until every box is ready to serve streams.
 func (f *Fleet) WaitReady(within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for i := range f.boxes {
@@ -238,7 +239,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("%s is not ready: %s %v; ended by themselves: %s", f.boxes[i].Name, text, err, f.exitedLogs())
+				return errors.Errorf("%s is not ready: %s %v; processes that exited: %s", f.boxes[i].Name, text, err, f.exitedLogs())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -246,7 +247,7 @@
 	return nil
 }
 
-// exitedLogs gives the logs of the processes that have ended.
+// exitedLogs returns the logs of the processes that have exited.
 func (f *Fleet) exitedLogs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -262,7 +263,7 @@
 	return text
 }
 
-// Close ends everything and removes the fleet's folder.
+// Close kills all processes and removes the fleet's folder.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/proof/link.go
+++ b/proof/link.go
@@ -14,11 +14,11 @@
 	"dillsaddle.example/dillsaddle/watch"
 )
 
-// link is the state of the way from one box to another. While it is closed
-// nothing passes and nothing is said; what was on its way arrives afterwards.
+// link is a TCP forwarder from one box to another. While it is blocked, it holds data
+// back without closing connections, and delivers the data once it is open again.
 type link struct {
 	mu      sync.Mutex
-	opened  chan struct{} // it is closed while the way is open
+	opened  chan struct{} // closed while the link passes data
 	blocked bool
 }
 
@@ -50,8 +50,7 @@
 	<-opened
 }
 
-// listen listens for connections of one box and takes them to another box's
-// process while the way is open.
+// listen accepts one box's connections and forwards them to a process of another box.
 func (c *link) listen(target netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", freeAddress().String())
 	if err != nil {
@@ -69,6 +68,7 @@
 	return l, nil
 }
 
+// forward connects a connection with a new one to the target.
 func (c *link) forward(from net.Conn, target netip.AddrPort) {
 	defer from.Close()
 	c.waitUntilOpen()
@@ -81,6 +81,7 @@
 	c.copy(to, from)
 }
 
+// copy copies data in one direction and waits while the link is blocked.
 func (c *link) copy(from, to net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
@@ -96,15 +97,16 @@
 	}
 }
 
-// links are the cuts of a fleet whose boxes reach each other only through them:
-// each box reads a platform of its own, which lists the others at the near ends.
+// links connect the boxes of a fleet that reach each other only through them. Each box
+// has its own platform, whose list gives the links' addresses in place of the other
+// boxes' addresses.
 type links struct {
 	between   map[[2]int]*link
 	listeners []net.Listener
 	lists     []core.List
 }
 
-// setUpLinks gives each box its own list.
+// setUpLinks creates the links, and a list and a platform address for each box.
 func (f *Fleet) setUpLinks() error {
 	w := &links{between: make(map[[2]int]*link)}
 	f.links = w
@@ -132,8 +134,8 @@
 	return nil
 }
 
-// waitForLists waits until each box has its own platform's list, and opens the ways
-// then: a list that came from another box would name that box's near ends.
+// waitForLists waits until each box has the list of its own platform, and only then
+// opens the links: a list from another box would contain that box's links.
 func (f *Fleet) waitForLists(within time.Duration) error {
 	allListed := func() bool {
 		for i := range f.boxes {
@@ -146,7 +148,7 @@
 		return true
 	}
 	if !waitUntil(within, allListed) {
-		return errors.Errorf("the boxes have no list within %s; ended by themselves: %s", within, f.exitedLogs())
+		return errors.Errorf("not every box has a list within %s; processes that exited: %s", within, f.exitedLogs())
 	}
 	for _, c := range f.links.between {
 		c.setBlocked(false)
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// Partition cuts some boxes off from the others, in both directions, or lets them
-// meet again.
+// Partition blocks the links between a group of boxes and all others in both
+// directions, or opens them again.
 func (f *Fleet) Partition(blocked bool, group ...int) {
 	for pair, c := range f.links.between {
 		if slices.Contains(group, pair[0]) != slices.Contains(group, pair[1]) {
@@ -164,6 +166,7 @@
 	}
 }
 
+// close closes the listeners and opens the links, so that no forwarder keeps waiting.
 func (w *links) close() {
 	for _, l := range w.listeners {
 		_ = l.Close()
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -25,14 +25,14 @@
 	}}
 }
 
-// Lookups are calls of a service that may be repeated.
+// Lookups are the results of repeatable calls to a service.
 type Lookups struct {
 	Latencies []float64 // seconds, sorted
 	Failed    int
-	Calls     int // that the service's servers counted
+	Calls     int // calls that the service's servers received
 }
 
-// SetServerFaults tells all servers of the service what to do wrong from now on.
+// SetServerFaults sets the faults of all servers of the service.
 func (f *Fleet) SetServerFaults(faults standin.Faults) error {
 	for i := range f.servers {
 		if err := f.SetFaults(fmt.Sprintf("service-%d", i+1), faults); err != nil {
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// Lookups has some callers look up one thing after the other for a while.
+// Lookups runs a number of callers, each of which sends one lookup after another, for a
+// period of time.
 func (f *Fleet) Lookups(callers int, lasting time.Duration) (*Lookups, error) {
 	out := &Lookups{}
 	var mu sync.Mutex
@@ -71,21 +72,21 @@
 	return out, err
 }
 
-// lookup reports whether a lookup got its own answer.
+// lookup sends a lookup and reports whether its own answer came back.
 func (f *Fleet) lookup(boxIndex int, path string) bool {
 	headers := map[string]string{"Authorization": "Bearer " + Key}
 	status, answered, text, err := f.exchange("GET", f.boxes[boxIndex].Entry, "/v1/services/records"+path, headers, nil)
 	return err == nil && status == 200 && answered["Dillsaddle-Outcome"] == "ran" && strings.Contains(string(text), path)
 }
 
-// maxCallsPerRequest bounds the servers' calls for each lookup: the budget of retries is
-// a tenth, with a start of ten calls a customer and box.
+// maxCallsPerRequest bounds the calls to the servers per request: the retry budget is a
+// tenth of the requests, plus an initial ten calls per customer and box.
 const maxCallsPerRequest = 1.15
 
-// lookupWrites are the record writes beside the lookups.
+// lookupWrites is the number of record writes during the lookups.
 const lookupWrites = 60
 
-// writeRecords writes records, each under a key of its own.
+// writeRecords writes records, each with its own key.
 func (f *Fleet) writeRecords(count int) []writeResult {
 	var all []writeResult
 	for n := range count {
@@ -115,16 +116,16 @@
 	lookups := len(all.Latencies)
 	switch {
 	case hedgeCount == 0:
-		return "", errors.New("no lookup went to a second server; the proof showed nothing")
+		return "", errors.New("no lookup went to a second server, so the scenario is inconclusive")
 	case all.Failed > 0:
 		return "", errors.Errorf("%d of %d lookups did not get their own answer", all.Failed, lookups)
 	case float64(all.Calls) > maxCallsPerRequest*float64(lookups+lookupWrites):
-		return "", errors.Errorf("%d calls for %d lookups and %d writes", all.Calls, lookups, lookupWrites)
+		return "", errors.Errorf("%d calls for %d lookups and %d writes exceed the retry budget", all.Calls, lookups, lookupWrites)
 	}
-	return fmt.Sprintf("%d lookups whole, %.0f sent to a second server; %s", lookups, hedgeCount, summary), nil
+	return fmt.Sprintf("%d lookups answered, %.0f sent to a second server; %s", lookups, hedgeCount, summary), nil
 }
 
-// hedgeCount counts the lookups that entries sent to a second server.
+// hedgeCount returns the number of lookups that entries sent to a second server.
 func (f *Fleet) hedgeCount() (float64, error) {
 	sum := 0.0
 	for i := range f.boxes {
--- a/proof/metrics.go
+++ b/proof/metrics.go
@@ -18,10 +18,10 @@
 	"dillsaddle.example/dillsaddle/events"
 )
 
-// Metrics are a process's own metrics.
+// Metrics are the metrics of a process by name and labels.
 type Metrics map[string]float64
 
-// Sum adds the values of a metric over its labels.
+// Sum returns the sum of a metric's values over its labels.
 func (m Metrics) Sum(name string) float64 {
 	sum := 0.0
 	for key, value := range m {
@@ -32,8 +32,8 @@
 	return sum
 }
 
-// Quantile gives the upper bound of the bucket in which a part of a histogram's
-// values ends.
+// Quantile returns the upper bound of the histogram bucket that contains the given
+// quantile.
 func (m Metrics) Quantile(name string, fraction float64) float64 {
 	type bucket struct{ bound, count float64 }
 	var all []bucket
@@ -78,6 +78,7 @@
 	return m, lines.Err()
 }
 
+// splitLast splits a line at its last space.
 func splitLast(line string) (name, value string, found bool) {
 	at := strings.LastIndexByte(line, ' ')
 	if at < 0 {
@@ -86,8 +87,8 @@
 	return line[:at], line[at+1:], true
 }
 
-// DiscardStream reads one stream to its end without looking at its events, and gives
-// its bytes; it costs the caller little, so that the entry is what is measured.
+// DiscardStream reads one stream to its end without decoding its events and returns its
+// size in bytes. It uses little CPU, so that measurements show the entry's cost.
 func (f *Fleet) DiscardStream(ctx context.Context, boxIndex int) (int64, error) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod("POST")
@@ -101,7 +102,7 @@
 	return io.Copy(io.Discard, resp.BodyStream())
 }
 
-// ReadDirect reads one stream from an engine, with no part of the system between.
+// ReadDirect reads one stream directly from an engine.
 func (f *Fleet) ReadDirect(ctx context.Context, engine int) (*Stream, error) {
 	s := &Stream{startedAt: time.Now()}
 	req, resp := &protocol.Request{}, &protocol.Response{}
--- a/proof/partition.go
+++ b/proof/partition.go
@@ -29,22 +29,23 @@
 	}}
 }
 
-// partitionDuration is longer than every time-out between boxes, and than the time after
-// which owners cut off lease less.
+// partitionDuration exceeds every timeout between boxes, and the time after which owners
+// that are cut off lease less.
 const partitionDuration = 8 * time.Second
 
-// partitionTest is what callers had before, while and after a fleet was parted.
+// partitionTest holds the callers' results before, during and after a partition.
 type partitionTest struct {
 	fleet              *Fleet
 	keys               []string
 	writes             []writeResult
 	partitionedWrites  []writeResult
 	streams            []*Stream
-	partitionedStreams []*Stream // begun while parted
+	partitionedStreams []*Stream // streams begun during the partition
 }
 
-// fleetPartitioned cuts boxes 3 and 4 off during streams and record writes. Their
-// platform is down meanwhile, and a configuration is published to the others'.
+// fleetPartitioned cuts boxes 3 and 4 off from the others during streams and record
+// writes. Their platforms are down meanwhile, and a configuration is published to the
+// other boxes only.
 func fleetPartitioned(f *Fleet) (string, error) {
 	stopMonitor := f.monitorVersions()
 	p := &partitionTest{fleet: f}
@@ -54,23 +55,23 @@
 	p.writes = f.writeThroughAll(p.keys[:6])
 	p.streams = f.RunStreams(streamCount, p.cutOffBoxes)
 	if err := p.checkPartitioned(); err != nil {
-		return "", errors.Wrap(err, "while parted")
+		return "", errors.Wrap(err, "during the partition")
 	}
 	took, err := p.heal()
 	if err != nil {
-		return "", errors.Wrap(err, "after the parts met")
+		return "", errors.Wrap(err, "after the partition healed")
 	}
 	summary, err := p.verify()
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s; version 2 everywhere %s after they met", summary, took.Round(10*time.Millisecond)), stopMonitor()
+	return fmt.Sprintf("%s; version 2 active on every box %s after the partition healed", summary, took.Round(10*time.Millisecond)), stopMonitor()
 }
 
 // cutOffPlatforms are the platforms of the boxes that are cut off.
 var cutOffPlatforms = []string{"platform-3", "platform-4"}
 
-// cutOffBoxes parts the fleet and sends every write through every box.
+// cutOffBoxes partitions the fleet and sends every write through every box.
 func (p *partitionTest) cutOffBoxes() {
 	p.fleet.Partition(true, 2, 3)
 	for _, name := range cutOffPlatforms {
@@ -82,19 +83,20 @@
 	p.writes = append(p.writes, p.partitionedWrites...)
 }
 
-// checkPartitioned brings streams to every box, and checks that the parts are apart.
+// checkPartitioned runs streams through every box and checks that a configuration
+// reached only one side of the partition.
 func (p *partitionTest) checkPartitioned() error {
 	var err error
 	if p.partitionedStreams, err = p.fleet.streamThroughAll(); err != nil {
 		return err
 	}
 	if activeVersions := p.fleet.activeVersions(); !slices.Equal(activeVersions, []uint64{2, 2, 1, 1}) {
-		return errors.Errorf("the boxes have versions %d; the parts are not apart and the proof showed nothing", activeVersions)
+		return errors.Errorf("the boxes have versions %d, so the fleet is not partitioned and the scenario is inconclusive", activeVersions)
 	}
 	return nil
 }
 
-// heal opens the ways, waits for the version and sends every write once more.
+// heal ends the partition, waits for the version and sends every write again.
 func (p *partitionTest) heal() (time.Duration, error) {
 	p.fleet.Partition(false, 2, 3)
 	took, err := p.fleet.waitForVersion(2, configLimit)
@@ -112,6 +114,7 @@
 	return took, nil
 }
 
+// verify checks all writes and streams, and that the partition had an effect.
 func (p *partitionTest) verify() (string, error) {
 	refused := 0
 	for _, w := range p.partitionedWrites {
@@ -120,7 +123,7 @@
 		}
 	}
 	if refused == 0 {
-		return "", errors.New("no write was refused for a home beyond the cut; the proof showed nothing")
+		return "", errors.New("no write was refused because its owner was unreachable, so the scenario is inconclusive")
 	}
 	summary, err := p.fleet.verifyWrites(p.writes)
 	if err != nil {
@@ -129,12 +132,12 @@
 	all := append(p.streams, p.partitionedStreams...)
 	complete, err := p.fleet.verify(all, p.fleet.Records())
 	if err == nil && complete != len(all) {
-		err = errors.Errorf("%d of %d streams came whole", complete, len(all))
+		err = errors.Errorf("%d of %d streams completed", complete, len(all))
 	}
-	return fmt.Sprintf("%d streams whole, %d of them begun while parted; %s, %d told not run while parted", complete, len(p.partitionedStreams), summary, refused), err
+	return fmt.Sprintf("%d streams completed, %d of them begun during the partition; %s, %d not run during the partition", complete, len(p.partitionedStreams), summary, refused), err
 }
 
-// streamThroughAll brings two streams to each box, all of which must come whole.
+// streamThroughAll runs two streams through each box, all of which must complete.
 func (f *Fleet) streamThroughAll() ([]*Stream, error) {
 	streams := f.RunStreams(2*len(f.boxes), func() {})
 	for i, s := range streams {
--- a/proof/path_bench_test.go
+++ b/proof/path_bench_test.go
@@ -9,7 +9,7 @@
 	"dillsaddle.example/dillsaddle/proof"
 )
 
-// pathFleet starts one box before an engine that makes tokens quickly.
+// pathFleet starts one box and a fast engine.
 func pathFleet(b *testing.B) *proof.Fleet {
 	folder := b.TempDir()
 	if output, err := exec.Command("go", "build", "-o", folder, "../cmd/...").CombinedOutput(); err != nil {
@@ -29,8 +29,8 @@
 	return f
 }
 
-// BenchmarkPath reads the same engine's streams through an entry and directly, in
-// one run, so that their ratio is the path's cost.
+// BenchmarkPath reads streams of one engine through an entry and directly, to compare
+// the cost of the two.
 func BenchmarkPath(b *testing.B) {
 	f := pathFleet(b)
 	read := func(b *testing.B, open func() (*proof.Stream, error)) {
--- a/proof/scenario.go
+++ b/proof/scenario.go
@@ -8,15 +8,15 @@
 	"dillsaddle.example/dillsaddle/model"
 )
 
-// Scenario is one failure brought about on real processes.
+// Scenario causes one failure on real processes and checks some promises.
 type Scenario struct {
 	Name     string
 	Promises []model.Promise
 	Shape    Shape
-	Run      func(*Fleet) (string, error) // what was seen, and what broke
+	Run      func(*Fleet) (string, error) // returns a summary, or the promise that was broken
 }
 
-// Scenarios are all of them.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	all := append(streamScenarios(), slowScenario())
 	all = append(all, claimScenarios()...)
@@ -26,7 +26,7 @@
 	return append(all, stopScenarios()...)
 }
 
-// Execute runs one scenario on a fleet of its own.
+// Execute runs the scenario on its own fleet.
 func (s *Scenario) Execute(programs string) (string, error) {
 	shape := s.Shape
 	if shape.Boxes == 0 {
@@ -40,7 +40,7 @@
 	return s.Run(f)
 }
 
-// waitUntil waits for a condition.
+// waitUntil polls a condition and reports whether it became true within the time.
 func waitUntil(within time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(within)
 	for time.Now().Before(deadline) {
--- a/proof/slow.go
+++ b/proof/slow.go
@@ -15,8 +15,8 @@
 	"dillsaddle.example/dillsaddle/model"
 )
 
-// slowShape makes outputs far larger than the buffer that an entry allows a
-// caller.
+// slowShape returns a fleet whose generations are far larger than an entry's buffer for
+// a caller.
 func slowShape() Shape {
 	shape := DefaultShape()
 	shape.Boxes = 1
@@ -37,19 +37,20 @@
 	}
 }
 
-// disconnectLimit is the time in which an entry must have given such a caller up.
+// disconnectLimit is the time within which an entry must disconnect a caller that reads
+// nothing.
 const disconnectLimit = 40 * time.Second
 
-// maxUnreadBytes is what a stream may hold for a caller that reads nothing, in bytes:
-// the buffer that the entry allows, doubled by the system, and its last room.
+// maxUnreadBytes bounds the data buffered for a caller that reads nothing: the entry's
+// buffer, enlarged for the last event and doubled by the kernel.
 const maxUnreadBytes = 1 << 20
 
-// maxEntryMemory bounds the entry meanwhile, in bytes.
+// maxEntryMemory bounds the entry's resident memory in bytes.
 const maxEntryMemory = 200e6
 
-// callerReadsNothing opens a stream and reads none of it: the entry holds the
-// engine's link up and, after its limit, gives the caller up with bounded memory.
-// The caller then finds a typed end behind what it left, and continues.
+// callerReadsNothing opens a stream and doesn't read it. The entry must stop reading from
+// the engine, and disconnect the caller after a limit with bounded memory. The caller
+// then finds a typed last event after the buffered ones, and continues the stream.
 func callerReadsNothing(f *Fleet) (string, error) {
 	conn, err := f.openUnreadStream()
 	if err != nil {
@@ -62,13 +63,13 @@
 	}
 	s, size, err := readBuffered(conn)
 	if err != nil {
-		return "", errors.Wrap(err, "read what was left")
+		return "", errors.Wrap(err, "read the buffered events")
 	}
 	if s.Code != "slow_caller" || s.Outcome != "ran" || !s.Done {
 		return "", errors.Errorf("the stream's last event says %q, outcome %q", s.Code, s.Outcome)
 	}
 	if size > maxUnreadBytes {
-		return "", errors.Errorf("%d bytes were held for a caller that reads nothing", size)
+		return "", errors.Errorf("%d bytes were buffered for a caller that reads nothing", size)
 	}
 	before := len(s.Tokens)
 	s.Code, s.Done = "", false
@@ -81,11 +82,11 @@
 	if err := s.Check(f.Records()); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("given up with a typed end after %d KB and %d tokens, %d more on return; entry at most %.0f MB",
+	return fmt.Sprintf("disconnected with a typed last event after %d KB and %d tokens, %d more after the reconnect; entry used at most %.0f MB",
 		size>>10, before, len(s.Tokens)-before, memory/1e6), nil
 }
 
-// openUnreadStream begins a stream on a link whose caller reads nothing.
+// openUnreadStream starts a stream on a connection that the caller doesn't read.
 func (f *Fleet) openUnreadStream() (*net.TCPConn, error) {
 	conn, err := net.DialTCP("tcp", nil, net.TCPAddrFromAddrPort(f.boxes[0].Entry))
 	if err != nil {
@@ -105,8 +106,8 @@
 	return conn, err
 }
 
-// waitForDisconnect waits until the entry has given a caller up, and gives the most
-// memory that it had meanwhile.
+// waitForDisconnect waits until the entry has disconnected a caller, and returns the
+// entry's peak memory during that time.
 func (f *Fleet) waitForDisconnect() (float64, error) {
 	var memory float64
 	disconnected := waitUntil(disconnectLimit, func() bool {
@@ -118,7 +119,7 @@
 		return m.Sum("dillsaddle_callers_left_total") > 0
 	})
 	if !disconnected {
-		return memory, errors.Errorf("the caller was not given up within %s", disconnectLimit)
+		return memory, errors.Errorf("the caller was not disconnected within %s", disconnectLimit)
 	}
 	if memory > maxEntryMemory {
 		return memory, errors.Errorf("the entry grew to %.0f MB", memory/1e6)
@@ -126,7 +127,7 @@
 	return memory, nil
 }
 
-// readBuffered reads a stream from a link to its end, and gives its bytes.
+// readBuffered reads a stream from a connection to its end and returns its size in bytes.
 func readBuffered(conn *net.TCPConn) (*Stream, int, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(disconnectLimit))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/proof/stops.go
+++ b/proof/stops.go
@@ -21,13 +21,13 @@
 		})
 	}
 	return append(all, Scenario{
-		Name:     "a planned stop of a claims' home, and the writes are repeated",
+		Name:     "a planned stop of a claim owner, and the writes are repeated",
 		Promises: []model.Promise{model.PlannedStopCutsNothing, model.AtMostOnce},
 		Run:      ownerStopped,
 	})
 }
 
-// stopLimit bounds how long a planned stop may take after the last stream.
+// stopLimit bounds how long a process may take to exit after its last stream.
 const stopLimit = 30 * time.Second
 
 func plannedStop(f *Fleet, name string) (string, error) {
@@ -38,19 +38,19 @@
 	})
 	complete, err := f.verify(streams, f.Records())
 	if err == nil && complete != streamCount {
-		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
+		err = errors.Errorf("%d of %d streams completed", complete, streamCount)
 	}
 	if err == nil && !f.WaitExit(name, stopLimit) {
-		err = errors.Errorf("%s had not left %s after the last stream", name, stopLimit)
+		err = errors.Errorf("%s had not exited %s after the last stream", name, stopLimit)
 	}
-	return fmt.Sprintf("%d whole, then %s left", complete, name), err
+	return fmt.Sprintf("%d streams completed, then %s exited", complete, name), err
 }
 
 func ownerStopped(f *Fleet) (string, error) {
 	all := f.writeRecords(20)
 	f.Signal("box-1-scheduler", syscall.SIGTERM)
 	if !f.WaitExit("box-1-scheduler", stopLimit) {
-		return "", errors.New("the scheduler did not leave")
+		return "", errors.New("the scheduler did not exit")
 	}
 	if err := f.PublishList(func(l *core.List) { l.Boxes = l.Boxes[1:] }); err != nil {
 		return "", err
@@ -66,7 +66,7 @@
 	}
 	summary, err := f.verifyWrites(all)
 	if err == nil && replayed != 20 {
-		err = errors.Errorf("%d of 20 repeats were answered with what had run", replayed)
+		err = errors.Errorf("%d of 20 repeats were answered with the recorded outcome", replayed)
 	}
 	return fmt.Sprintf("%s, %d repeats answered from the handed-over records", summary, replayed), err
 }
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -18,7 +18,7 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// Stream is what a caller received of one stream.
+// Stream is one stream as its caller received it.
 type Stream struct {
 	ID               string
 	Generation       string
@@ -33,21 +33,21 @@
 	Gaps             []float64 // seconds between tokens
 	startedAt        time.Time
 	lastTokenAt      time.Time
-	repeatedIDs      int   // events with the id of the one before
+	repeatedIDs      int   // events with the same id as the previous event
 	progress         int32 // a streamProgress, read and written atomically
 }
 
-// streamProgress says how far a stream is, as its caller sees it.
+// streamProgress is the progress of a stream as its caller sees it.
 type streamProgress = int32
 
-// A stream waits for its first token, is under way, and has ended.
+// A stream waits for its first token, then receives tokens, then has ended.
 const (
 	streamWaiting streamProgress = iota
 	streamRunning
 	streamEnded
 )
 
-// streamChunk is the part of an event that a caller reads.
+// streamChunk holds the fields of an event that a caller reads.
 type streamChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -60,11 +60,11 @@
 	Outcome string `json:"Dillsaddle-Outcome"`
 }
 
-// streamTimeout bounds a caller's patience.
+// streamTimeout bounds how long a caller waits for the end of a stream.
 const streamTimeout = 2 * time.Minute
 
-// ReadStream begins a stream at a box and reads it to its end, or until the context
-// ends it.
+// ReadStream starts a stream at a box and reads it until it ends or the context is
+// cancelled.
 func (f *Fleet) ReadStream(ctx context.Context, boxIndex int, headers map[string]string) (*Stream, error) {
 	s := &Stream{startedAt: time.Now()}
 	return s, f.readStream(ctx, s, boxIndex, headers)
@@ -76,21 +76,23 @@
 	return f.readEvents(ctx, s, boxIndex, "POST", "/v1/completions", headers, []byte(body))
 }
 
-// Continue goes on with a stream at a box after the caller's last event.
+// Continue resumes a stream through a box after the last event that the caller received.
 func (f *Fleet) Continue(ctx context.Context, s *Stream, boxIndex int) error {
 	return f.readEvents(ctx, s, boxIndex, "GET", "/v1/streams/"+s.ID, map[string]string{"Last-Event-ID": s.LastEvent}, nil)
 }
 
 type streamIDKey struct{}
 
-// WithStreamID has a stream's id sent to a channel as soon as it is known.
+// WithStreamID returns a context that makes a stream send its id to a channel as soon
+// as it is known.
 func WithStreamID(ctx context.Context, opened chan string) context.Context {
 	return context.WithValue(ctx, streamIDKey{}, opened)
 }
 
 type firstTokenKey struct{}
 
-// WithFirstToken has a function called when a stream's first token is there.
+// WithFirstToken returns a context that makes a stream call a function at its first
+// token.
 func WithFirstToken(ctx context.Context, first func()) context.Context {
 	return context.WithValue(ctx, firstTokenKey{}, first)
 }
@@ -132,6 +134,7 @@
 	})
 }
 
+// event records an event that the caller received.
 func (s *Stream) event(e *sse.Event) error {
 	if e.ID == s.LastEvent {
 		s.repeatedIDs++
@@ -143,7 +146,7 @@
 	}
 	var c streamChunk
 	if err := json.Unmarshal(e.Data, &c); err != nil {
-		return errors.Wrap(err, "read an event")
+		return errors.Wrap(err, "decode an event")
 	}
 	if c.Outcome != "" {
 		s.Outcome = c.Outcome
@@ -161,6 +164,7 @@
 	return nil
 }
 
+// addToken records a token and the time since the previous one.
 func (s *Stream) addToken(text string) {
 	now := time.Now()
 	if len(s.Tokens) == 0 {
@@ -173,9 +177,9 @@
 	s.Tokens = append(s.Tokens, strings.TrimSpace(text))
 }
 
-// Check judges what the caller received against the engines' records: every
-// token once, in order, of one generation; all of them if the stream was given
-// as whole.
+// Check compares the tokens that the caller received with the engines' records: each
+// token arrived once, in order and from one generation, and none is missing if the
+// stream completed.
 func (s *Stream) Check(records []standin.Record) error {
 	tag := standin.Tag(s.Generation)
 	for n, token := range s.Tokens {
@@ -184,7 +188,7 @@
 		}
 	}
 	if s.repeatedIDs > 0 {
-		return errors.Errorf("%d events of %s had the id of the one before", s.repeatedIDs, s.Generation)
+		return errors.Errorf("%d events of %s had the same id as the previous event", s.repeatedIDs, s.Generation)
 	}
 	if s.Code != "" || s.Outcome != "ran" {
 		return nil
@@ -192,18 +196,18 @@
 	for _, r := range records {
 		if made, found := r.Tokens[s.Generation]; found {
 			if made != len(s.Tokens) {
-				return errors.Errorf("%d of %d tokens were given as the whole answer", len(s.Tokens), made)
+				return errors.Errorf("%d of %d tokens were delivered as the complete answer", len(s.Tokens), made)
 			}
 			return nil
 		}
 	}
-	return errors.Errorf("no engine's record has the generation %s", s.Generation)
+	return errors.Errorf("no engine has recorded generation %s", s.Generation)
 }
 
-// IsComplete reports whether the stream came to its end without an error.
+// IsComplete reports whether the stream ended without an error.
 func (s *Stream) IsComplete() bool { return s.Done && s.Code == "" && s.Outcome == "ran" }
 
-// Records gives the records of the engines that answer.
+// Records returns the records of all engines that respond.
 func (f *Fleet) Records() []standin.Record {
 	var all []standin.Record
 	for i := range f.engines {
@@ -214,8 +218,8 @@
 	return all
 }
 
-// RunStreams opens streams side by side over the boxes and calls a function when all
-// have begun, as their callers see it; it gives the streams when all have ended.
+// RunStreams runs streams concurrently, spread over the boxes, and returns them when all
+// have ended. It calls begun once no stream waits for its first token any more.
 func (f *Fleet) RunStreams(count int, begun func()) []*Stream {
 	streams, wait := f.startStreams(count, func(i int) int { return i % len(f.boxes) })
 	waitUntil(streamTimeout, func() bool { return countInState(streams, streamWaiting) == 0 })
@@ -224,8 +228,8 @@
 	return streams
 }
 
-// startStreams opens streams side by side and gives them with a function that waits
-// for their ends.
+// startStreams starts streams concurrently and returns them with a function that waits
+// until all have ended.
 func (f *Fleet) startStreams(count int, box func(int) int) ([]*Stream, func()) {
 	streams := make([]*Stream, count)
 	var wait sync.WaitGroup
@@ -241,6 +245,7 @@
 	return streams, wait.Wait
 }
 
+// countInState counts the streams with the given progress.
 func countInState(streams []*Stream, p streamProgress) int {
 	n := 0
 	for _, s := range streams {
@@ -251,5 +256,5 @@
 	return n
 }
 
-// configSettleTime is the time in which a published document has been read and refused.
+// configSettleTime is enough time for every box to read and reject a published document.
 const configSettleTime = 700 * time.Millisecond
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -23,7 +23,7 @@
 			Run:      engineKilled,
 		},
 		{
-			Name:     "engines double, swap and cut frames during 24 streams",
+			Name:     "engines duplicate and reorder frames and break links during 24 streams",
 			Promises: streamPromises,
 			Run:      framesCorrupted,
 		},
@@ -33,12 +33,12 @@
 			Run:      enginesStall,
 		},
 		{
-			Name:     "an entry box is killed and its callers come back through others",
+			Name:     "an entry box is killed and its callers reconnect through others",
 			Promises: streamPromises,
 			Run:      entryKilled,
 		},
 		{
-			Name:     "scheduler and watch are paused past every time-out during 24 streams",
+			Name:     "scheduler and watch are paused past every timeout during 24 streams",
 			Promises: streamPromises,
 			Run:      controlProcessesPaused,
 		},
@@ -48,16 +48,17 @@
 			Run:      engineRefuses,
 		},
 		{
-			Name:     "an endpoint leaves, and its owners' watches are paused and wake",
+			Name:     "an endpoint leaves, and its owners' watches are paused and resume",
 			Promises: []model.Promise{model.NoWorkWhenLeaving},
 			Run:      endpointLeaves,
 		},
 	}
 }
 
+// streamCount is the number of streams in most scenarios.
 const streamCount = 24
 
-// verify checks every stream against the engines' records and counts the whole.
+// verify checks every stream against the engines' records and counts the complete ones.
 func (f *Fleet) verify(streams []*Stream, records []standin.Record) (complete int, err error) {
 	for i, s := range streams {
 		if err := s.Check(records); err != nil {
@@ -88,13 +89,13 @@
 		}
 		lost++
 		if !existed {
-			return "", errors.Errorf("stream %d ended as %q though its engine lived", i, s.Code)
+			return "", errors.Errorf("stream %d ended as %q, although its engine was running", i, s.Code)
 		}
 		if s.Code != "generation_lost" {
-			return "", errors.Errorf("stream %d of the dead engine ended as %q", i, s.Code)
+			return "", errors.Errorf("stream %d of the killed engine ended as %q", i, s.Code)
 		}
 	}
-	return fmt.Sprintf("%d whole, %d ended with the typed error", complete, lost), err
+	return fmt.Sprintf("%d streams completed, %d ended with generation_lost", complete, lost), err
 }
 
 func framesCorrupted(f *Fleet) (string, error) {
@@ -106,9 +107,9 @@
 	streams := f.RunStreams(streamCount, func() {})
 	complete, err := f.verify(streams, f.Records())
 	if err == nil && complete != streamCount {
-		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
+		err = errors.Errorf("%d of %d streams completed", complete, streamCount)
 	}
-	return fmt.Sprintf("%d whole", complete), err
+	return fmt.Sprintf("%d streams completed", complete), err
 }
 
 func enginesStall(f *Fleet) (string, error) {
@@ -123,16 +124,16 @@
 	})
 	complete, err := f.verify(streams, f.Records())
 	if err == nil && complete != streamCount {
-		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
+		err = errors.Errorf("%d of %d streams completed", complete, streamCount)
 	}
-	return fmt.Sprintf("%d whole", complete), err
+	return fmt.Sprintf("%d streams completed", complete), err
 }
 
-// maxWaves bounds the tries to have streams under way on one box at once: on a
-// busy machine short streams may end before the others begin.
+// maxWaves bounds the attempts to have enough streams running on one box at once. On a
+// busy machine, short streams may end before the others begin.
 const maxWaves = 10
 
-// minRunning is how many streams are to be under way when their box is killed.
+// minRunning is how many streams must be running when their box is killed.
 const minRunning = 4
 
 func entryKilled(f *Fleet) (string, error) {
@@ -152,30 +153,30 @@
 			return f.reconnect(streams)
 		}
 	}
-	return "", errors.Errorf("in %d waves of streams, no %d were under way at once; the proof showed nothing", maxWaves, minRunning)
+	return "", errors.Errorf("in %d waves of streams, fewer than %d ran at once, so the scenario is inconclusive", maxWaves, minRunning)
 }
 
-// reconnect continues streams that were cut at box 0 through the other boxes.
+// reconnect continues streams that were interrupted at box 0 through the other boxes.
 func (f *Fleet) reconnect(streams []*Stream) (string, error) {
 	reconnected := 0
 	for i, s := range streams {
 		if s.ID == "" || s.IsComplete() {
 			continue
 		}
-		s.Code = "" // the broken link's
+		s.Code = "" // the error of the broken link
 		if err := f.Continue(context.Background(), s, 1+i%2); err != nil {
 			return "", errors.Wrapf(err, "continue stream %d", i)
 		}
 		if !s.IsComplete() {
-			return "", errors.Errorf("stream %d ended as %q %q after it came back", i, s.Code, s.Body)
+			return "", errors.Errorf("stream %d ended as %q %q after the reconnect", i, s.Code, s.Body)
 		}
 		reconnected++
 	}
 	if reconnected == 0 {
-		return "", errors.New("no stream was cut by the kill; the proof showed nothing")
+		return "", errors.New("no stream was interrupted by the kill, so the scenario is inconclusive")
 	}
 	_, err := f.verify(streams, f.Records())
-	return fmt.Sprintf("%d of %d came back and were whole", reconnected, len(streams)), err
+	return fmt.Sprintf("%d of %d streams reconnected and completed", reconnected, len(streams)), err
 }
 
 func controlProcessesPaused(f *Fleet) (string, error) {
@@ -191,9 +192,9 @@
 	})
 	complete, err := f.verify(streams, f.Records())
 	if err == nil && complete != streamCount {
-		err = errors.Errorf("%d of %d streams came whole", complete, streamCount)
+		err = errors.Errorf("%d of %d streams completed", complete, streamCount)
 	}
-	return fmt.Sprintf("%d whole", complete), err
+	return fmt.Sprintf("%d streams completed", complete), err
 }
 
 func engineRefuses(f *Fleet) (string, error) {
@@ -209,20 +210,20 @@
 			return "", err
 		}
 		if s.Outcome != "not-run" {
-			return "", errors.Errorf("request %d was told %q", i, s.Outcome)
+			return "", errors.Errorf("request %d got the outcome %q instead of not-run", i, s.Outcome)
 		}
 		notRun++
 	}
 	for i, r := range f.Records() {
 		if len(r.Starts) > 0 {
-			return "", errors.Errorf("engine %d started %d generations of requests told not run", i+1, len(r.Starts))
+			return "", errors.Errorf("engine %d started %d generations of requests reported as not run", i+1, len(r.Starts))
 		}
 	}
-	return fmt.Sprintf("%d told not run, none started", notRun), nil
+	return fmt.Sprintf("%d requests not run, no generation started", notRun), nil
 }
 
-// leavingLimit is the "few seconds" after which an endpoint that leaves gets
-// nothing: a lease of four seconds, a reading of five, and the platform's poll.
+// leavingLimit is the time after which a leaving endpoint must get no new work. It covers
+// a lease, the validity of a list snapshot and a poll of the platform.
 const leavingLimit = 10 * time.Second
 
 func endpointLeaves(f *Fleet) (string, error) {
--- a/proof/suite_test.go
+++ b/proof/suite_test.go
@@ -14,7 +14,7 @@
 	ginkgo.RunSpecs(t, "proof")
 }
 
-// programs is the folder that the programs were built in.
+// programs is the folder of the programs under test.
 var programs string
 
 var _ = ginkgo.BeforeSuite(func() {
