--- a/proof/contract_test.go
+++ b/proof/contract_test.go
@@ -89,7 +89,7 @@
 		Expect(accumulated.Choices).To(HaveLen(1))
 		words := strings.Fields(accumulated.Choices[0].Message.Content)
 		Expect(words).To(HaveLen(int(accumulated.Usage.CompletionTokens)))
-		tag := standin.Tag(accumulated.ID)
+		tag := standin.GenerationTag(accumulated.ID)
 		for n, word := range words {
 			Expect(word).To(Equal(fmt.Sprintf("%s.%d", tag, n)))
 		}
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -96,7 +96,7 @@
 }
 
 func lookupsLate(f *Fleet) (string, error) {
-	if err := f.SetServerFaults(standin.Faults{DelayMS: 300, DelayNth: 20}); err != nil {
+	if err := f.SetServerFaults(standin.Faults{DelayMS: 300, DelayEvery: 20}); err != nil {
 		return "", err
 	}
 	writes := make(chan []writeResult, 1)
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -181,7 +181,7 @@
 // token arrived once, in order and from one generation, and none is missing if the
 // stream completed.
 func (s *Stream) Check(records []standin.Record) error {
-	tag := standin.Tag(s.Generation)
+	tag := standin.GenerationTag(s.Generation)
 	for n, token := range s.Tokens {
 		if token != tag+"."+strconv.Itoa(n) {
 			return errors.Errorf("token %d of %s is %q", n, s.Generation, token)
