--- a/model/claim_request.go
+++ b/model/claim_request.go
@@ -37,10 +37,10 @@
 
 // addAskFaults adds the faults of a query to the owner and of its answer.
 func (s *claimState) addAskFaults(i int, prefix string, add claimAdder) {
-	fault := func(label string, question, answer, twice bool) {
+	fault := func(label string, delayQuery, delayAnswer, twice bool) {
 		add("fault: "+prefix+" asks and "+label, func(n *claimState) {
 			n.faults--
-			n.askWithFault(i, question, answer, twice)
+			n.askWithFault(i, delayQuery, delayAnswer, twice)
 		})
 	}
 	fault("the query is delayed", true, false, false)
@@ -55,8 +55,8 @@
 	return slices.Index(boxNames[:], list.ClaimOwner(core.ClaimScope(r.key), nil))
 }
 
-// newQuestion returns the query that a request's entry sends to the key's owner.
-func (s *claimState) newQuestion(i int) claimMessage {
+// newQuery returns the query that a request's entry sends to the key's owner.
+func (s *claimState) newQuery(i int) claimMessage {
 	r := &s.requests[i]
 	b := &s.boxes[r.box]
 	owner := s.ownerOf(i)
@@ -77,7 +77,7 @@
 // ask queries the owner and handles its answer. If the owner is unreachable, the
 // caller gets not-run.
 func (s *claimState) ask(i int) {
-	m := s.newQuestion(i)
+	m := s.newQuery(i)
 	if !s.reachable(s.requests[i].box, m.owner) {
 		s.requests[i].state = requestNotRun
 		return
@@ -87,16 +87,16 @@
 
 // askWithFault queries the owner, with the query or its answer delayed, or with the
 // query delivered a second time later.
-func (s *claimState) askWithFault(i int, lateQuestion, lateAnswer, twice bool) {
-	m := s.newQuestion(i)
-	if lateQuestion || twice {
+func (s *claimState) askWithFault(i int, delayQuery, delayAnswer, twice bool) {
+	m := s.newQuery(i)
+	if delayQuery || twice {
 		s.inFlight = append(slices.Clone(s.inFlight), m)
 	}
-	if lateQuestion {
+	if delayQuery {
 		return
 	}
 	answer := s.answerAsk(m)
-	if lateAnswer {
+	if delayAnswer {
 		s.inFlight = append(slices.Clone(s.inFlight), answer)
 		return
 	}
--- a/model/stream.go
+++ b/model/stream.go
@@ -17,10 +17,10 @@
 	Options    []core.Option
 }
 
-// The number of engines, and the resume window in time steps.
+// The size of the specification of streams.
 const (
-	streamEngines = 2
-	streamWindow  = 2
+	streamEngines = 2 // engines
+	streamWindow  = 2 // resume window in time steps
 )
 
 // frameKind is the kind of a streamFrame; the last two are signs of a lost connection
@@ -48,7 +48,7 @@
 	engine  int
 	origin  core.Origin
 	attempt int
-	sent    uint64
+	sent    uint64 // offset of the next frame
 	ended   bool
 }
 
@@ -57,13 +57,13 @@
 type streamCaller struct {
 	gen       *core.Generation
 	box       int
-	place     bool // the generation needs an endpoint
-	send      *core.SendAttempt
-	resume    *core.Resume
+	place     bool              // the generation needs an endpoint
+	send      *core.SendAttempt // the attempt to write next, nil for none
+	resume    *core.Resume      // the resume to write next, nil for none
 	inFlight  []streamFrame
 	readers   []streamReader
 	delivered []streamFrame
-	started   []core.Origin
+	started   []core.Origin // every generation started for this caller
 }
 
 // streamEngine is an engine with the generations that it retains.
@@ -311,8 +311,8 @@
 // FindViolation reports a broken promise about streams.
 func (s *streamState) FindViolation() (string, bool) {
 	for i := range s.callers {
-		if what := s.callers[i].findViolation(s.rules); what != "" {
-			return what, true
+		if violation := s.callers[i].findViolation(s.rules); violation != "" {
+			return violation, true
 		}
 	}
 	return "", false
--- a/model/version.go
+++ b/model/version.go
@@ -28,7 +28,7 @@
 	{version: 3, digest: 30, valid: true},
 }
 
-// versionBox is a box with its configuration versions and its join of the fleet.
+// versionBox is a box with its configuration versions and the progress of its joining the fleet.
 type versionBox struct {
 	versions         *core.Versions
 	join             *core.Join
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -23,12 +23,12 @@
 	ID               string
 	Generation       string
 	Tokens           []string
-	LastEvent        string
-	Done             bool
+	LastEvent        string // id of the last event
+	Done             bool   // the event [DONE] was received
 	Outcome          string
-	Code             string
+	Code             string // code of the stream's error, empty if it had none
 	Status           int
-	Body             string
+	Body             string // body of a response that is not a stream
 	TimeToFirstToken time.Duration
 	Gaps             []float64 // seconds between tokens
 	startedAt        time.Time
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -144,12 +144,12 @@
 		waitUntil(streamTimeout, func() bool {
 			return countInState(wave, streamRunning) >= minRunning || countInState(wave, streamWaiting) == 0
 		})
-		underWay := countInState(wave, streamRunning) >= minRunning
-		if underWay {
+		enoughRunning := countInState(wave, streamRunning) >= minRunning
+		if enoughRunning {
 			f.Signal("box-1-entry", syscall.SIGKILL)
 		}
 		wait()
-		if underWay {
+		if enoughRunning {
 			return f.reconnect(streams)
 		}
 	}
