--- a/model/proof.go
+++ b/model/check.go
@@ -7,11 +7,10 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Promise numbers the points that must always hold, in the order of the users'
-// brief.
+// Promise identifies a guarantee to callers and operators that must always hold.
 type Promise int
 
-// The promises.
+// The promises, in the order of the users' requirements.
 const (
 	TokensOnce Promise = iota + 1
 	CompleteAnswer
@@ -22,7 +21,7 @@
 	NeverOlderConfig
 )
 
-// Promises are the points in words of our own.
+// Promises describe each promise in one line.
 var Promises = map[Promise]string{
 	TokensOnce:             "each token once, in order, of one generation",
 	CompleteAnswer:         "the whole answer to one's own request",
@@ -33,41 +32,42 @@
 	NeverOlderConfig:       "the accepted configuration, never an older one",
 }
 
-// Check is one exploration that bears on some promises. Each of its guards,
-// switched off, must make it find a break.
+// Check is an exploration that tests some promises. It must find a violation when
+// any one of its guards is switched off.
 type Check struct {
 	Name     string
 	Promises []Promise
 	Guards   []core.Guard
-	First    func(deep bool, options ...core.Option) State
-	States   int // bound of the quick run; the deep one has deepStates
+	Initial  func(deep bool, options ...core.Option) State
+	States   int // the most states that the quick run explores; the deep run uses maxDeepStates
 }
 
-// deepStates bounds the deep runs.
-const deepStates = 700000
+// maxDeepStates bounds deep explorations.
+const maxDeepStates = 700000
 
-// guardStates bounds the runs with a guard off, which end at the break.
-const guardStates = 400000
+// maxGuardStates bounds explorations with a guard switched off.
+const maxGuardStates = 400000
 
-// maxDepth is beyond the depth of every specification here.
+// maxDepth exceeds the depth of every specification.
 const maxDepth = 100
 
-// Run explores a check.
+// Run explores the check's specification, to the deep bounds if deep is true. Options
+// switch guards off.
 func (c *Check) Run(deep bool, options ...core.Option) Result {
 	states := c.States
 	switch {
 	case len(options) > 0:
-		states = guardStates
+		states = maxGuardStates
 	case deep:
-		states = deepStates
+		states = maxDeepStates
 	}
-	return Explore(c.First(deep, options...), Bounds{
+	return Explore(c.Initial(deep, options...), Bounds{
 		Depth:  maxDepth,
 		States: states,
 	})
 }
 
-// pick gives the quick or the deep bound.
+// pick returns more if deep is true, and quick otherwise.
 func pick(deep bool, quick, more int) int {
 	if deep {
 		return more
@@ -75,7 +75,7 @@
 	return quick
 }
 
-// Checks are all explorations.
+// Checks returns all explorations.
 func Checks() []Check {
 	all := []Check{
 		streamCheck("streams of repeatable requests", true),
@@ -85,7 +85,7 @@
 			Promises: []Promise{NeverOlderConfig},
 			Guards:   []core.Guard{core.GuardVersionOrder, core.GuardVersionQuery},
 			States:   200000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return ConfigVersions(VersionRules{
 					Faults:  pick(deep, 2, 3),
 					Options: options,
@@ -97,7 +97,7 @@
 			Promises: []Promise{PlannedStopCutsNothing},
 			Guards:   []core.Guard{core.GuardDrain},
 			States:   100000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return PlannedStops(DrainRules{
 					Streams: pick(deep, 4, 30),
 					Options: options,
@@ -124,7 +124,7 @@
 			core.GuardBytesSent,
 		},
 		States: 100000,
-		First: func(deep bool, options ...core.Option) State {
+		Initial: func(deep bool, options ...core.Option) State {
 			return Streams(StreamRules{
 				Callers:    pick(deep, 1, 2),
 				Tokens:     pick(deep, 2, 1),
@@ -136,7 +136,7 @@
 	}
 }
 
-// callChecks are for requests on the operators' platform.
+// callChecks returns the checks of calls on the operators' platform.
 func callChecks() []Check {
 	check := func(name string, repeatable bool, events int, guards ...core.Guard) Check {
 		resumable := repeatable && events > 0
@@ -145,7 +145,7 @@
 			Promises: []Promise{TokensOnce, CompleteAnswer, NotRunMeansNotRun, AtMostOnce},
 			Guards:   guards,
 			States:   100000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return Calls(CallRules{
 					Rules: core.CallRules{
 						Repeatable:   repeatable,
@@ -153,10 +153,10 @@
 						MaxEndpoints: pick(repeatable, 1, 2),
 						MaxSends:     3,
 					},
-					Budget:  true,
-					Events:  events,
-					Faults:  pick(deep, 3, 5),
-					Options: options,
+					HasBudget: true,
+					Events:    events,
+					Faults:    pick(deep, 3, 5),
+					Options:   options,
 				})
 			},
 		}
@@ -169,15 +169,15 @@
 	}
 }
 
-// evacuationChecks are for moves off an engine that leaves: a run that two boxes
-// moved, or that was moved twice, would go on from two copies.
+// evacuationChecks returns the checks of moves off a leaving engine. A run that is
+// moved twice would continue in two copies.
 func evacuationChecks() []Check {
 	check := func(boxes, runs int) Check {
 		return Check{
 			Name:     fmt.Sprintf("moves off an engine that leaves, %d boxes with %d runs each", boxes, runs),
 			Promises: []Promise{TokensOnce},
 			States:   30000,
-			First: func(deep bool, _ ...core.Option) State {
+			Initial: func(deep bool, _ ...core.Option) State {
 				return Evacuations(EvacuationRules{
 					Boxes:  boxes,
 					Runs:   runs,
@@ -191,19 +191,19 @@
 
 func claimChecks() []Check {
 	guards := map[ClaimScenario][]core.Guard{
-		SameList:    {core.GuardClaimRecord, core.GuardClaimRestart, core.GuardClaimTakeover},
-		HomeLeaves:  {core.GuardClaimTakeover},
-		HomeReturns: {core.GuardClaimTakeover},
-		HomeJoins:   {core.GuardClaimTakeover},
-		HomeStops:   {core.GuardClaimTakeover},
+		SameList:     {core.GuardClaimRecord, core.GuardClaimRestart, core.GuardClaimTakeover},
+		OwnerLeaves:  {core.GuardClaimTakeover},
+		OwnerReturns: {core.GuardClaimTakeover},
+		OwnerJoins:   {core.GuardClaimTakeover},
+		OwnerStops:   {core.GuardClaimTakeover},
 	}
 	var all []Check
-	for _, scenario := range []ClaimScenario{SameList, HomeLeaves, HomeReturns, HomeJoins, HomeStops} {
+	for _, scenario := range []ClaimScenario{SameList, OwnerLeaves, OwnerReturns, OwnerJoins, OwnerStops} {
 		for _, timed := range []bool{true, false} {
 			needed := guards[scenario]
-			if scenario == HomeLeaves && timed {
-				// Without its time, a key is unknown to the successor for as long
-				// as an old home may still grant: freshness is not needed there.
+			if scenario == OwnerLeaves && timed {
+				// A key without a creation time stays unknown to the successor for as
+				// long as the old owner may still grant, so freshness isn't needed.
 				needed = append(slices.Clone(needed), core.GuardClaimFresh)
 			}
 			all = append(all, claimCheck(scenario, timed, needed))
@@ -222,14 +222,14 @@
 		Promises: []Promise{AtMostOnce, NotRunMeansNotRun},
 		Guards:   guards,
 		States:   30000,
-		First: func(deep bool, options ...core.Option) State {
+		Initial: func(deep bool, options ...core.Option) State {
 			faults := pick(deep, 1, 2)
 			if scenario == SameList {
 				faults = 2
 			}
 			return Claims(ClaimRules{
 				Scenario: scenario,
-				Boxes:    []int{boxHome, boxSuccessor},
+				Boxes:    []int{boxOwner, boxSuccessor},
 				Keys:     1,
 				Faults:   faults,
 				Time:     2,
@@ -247,7 +247,7 @@
 			Promises: promises,
 			Guards:   guards,
 			States:   200000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return Leases(LeaseRules{
 					Faults:  pick(deep, 2, 3),
 					Time:    pick(deep, 6, 8),
@@ -270,12 +270,12 @@
 			Promises: []Promise{NeverOlderConfig},
 			Guards:   []core.Guard{guard},
 			States:   200000,
-			First: func(deep bool, options ...core.Option) State {
+			Initial: func(deep bool, options ...core.Option) State {
 				return Fences(FenceRules{
-					Checks:  checks,
-					Faults:  pick(deep, 2, 3),
-					Time:    pick(deep, 4, 6),
-					Options: options,
+					EndpointChecks: checks,
+					Faults:         pick(deep, 2, 3),
+					Time:           pick(deep, 4, 6),
+					Options:        options,
 				})
 			},
 		}
--- a/model/claim.go
+++ b/model/claim.go
@@ -8,39 +8,42 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// ClaimScenario says which lists the platform publishes, one after another.
+// ClaimScenario names the sequence of lists that the platform publishes.
 type ClaimScenario string
 
 // The scenarios of the specification of claims.
 const (
-	HomeLeaves  ClaimScenario = "home-leaves"  // the home of the key goes off the list
-	HomeReturns ClaimScenario = "home-returns" // and comes back on it
-	HomeJoins   ClaimScenario = "home-joins"   // a new box becomes the key's home
-	HomeStops   ClaimScenario = "home-stops"   // the home is stopped as planned, then goes off the list
-	SameList    ClaimScenario = "same-list"
+	OwnerLeaves  ClaimScenario = "home-leaves"  // the key's owner is removed from the list
+	OwnerReturns ClaimScenario = "home-returns" // the owner is removed from the list, then added back
+	OwnerJoins   ClaimScenario = "home-joins"   // a new box becomes the key's owner
+	OwnerStops   ClaimScenario = "home-stops"   // the owner makes a planned stop, then is removed from the list
+	SameList     ClaimScenario = "same-list"    // the list stays the same
 )
 
-// ClaimRules are the bounds of the specification of claims.
+// ClaimRules are the bounds of the specification of claims. A claim is a box's
+// exclusive permission to run the request with a given idempotency key; the key's
+// owner grants it.
 type ClaimRules struct {
 	Scenario ClaimScenario
-	Boxes    []int // at which callers send requests; keys come in turn
+	Boxes    []int // the box that each request is sent to; the keys are assigned round-robin
 	Keys     int
 	Faults   int
 	Time     int
-	Timed    bool // keys carry their time; if not, repeats come within the guard time
+	Timed    bool // keys carry their creation time; if not, repeats arrive within the guard time
 	Options  []core.Option
 }
 
-// claimTimes are the core's bounds in units of the specification's time.
+// claimTimes returns the core's durations in time steps.
 func claimTimes() core.ClaimRules {
 	return core.ClaimRules{
-		Guard:     3 * unit,
-		Fresh:     1 * unit,
-		GrantTTL:  1 * unit,
-		Retention: 100 * unit,
+		Guard:     3 * timeStep,
+		Fresh:     1 * timeStep,
+		GrantTTL:  1 * timeStep,
+		Retention: 100 * timeStep,
 	}
 }
 
+// requestState is the progress of a request, as its entry sees it.
 type requestState string
 
 const (
@@ -48,18 +51,18 @@
 	requestAsking  requestState = "asking"
 	requestGranted requestState = "granted"
 	requestSent    requestState = "sent"
-	requestNotRun  requestState = "told-not-run"
-	requestUnknown requestState = "told-unknown"
+	requestNotRun  requestState = "not-run"
+	requestUnknown requestState = "unknown"
 )
 
-// claimRequest is one caller's request through one box's entry.
+// claimRequest is one caller's request to the entry of one box.
 type claimRequest struct {
-	key   core.ClaimKey
-	box   int
-	state requestState
-	asked int
-	until int
-	ran   bool
+	key          core.ClaimKey
+	box          int
+	state        requestState
+	askedAt      int
+	grantedUntil int
+	ran          bool
 }
 
 func (r *claimRequest) attempt(i int) string { return fmt.Sprintf("a%d", i) }
@@ -71,57 +74,60 @@
 	messageAnswer claimMessageKind = "answer"
 )
 
-// claimMessage is a message between an entry and a home.
+// claimMessage is a message between an entry and a claim owner.
 type claimMessage struct {
-	kind    claimMessageKind
-	request int
-	home    int
-	list    uint64
-	known   core.Incarnation
-	verdict core.ClaimVerdict
-	life    core.Incarnation
+	kind             claimMessageKind
+	request          int
+	owner            int
+	list             uint64
+	knownIncarnation core.Incarnation
+	verdict          core.ClaimVerdict
+	ownerIncarnation core.Incarnation
 }
 
+// claimBox is a box with the claims that it owns and the state of its entry.
 type claimBox struct {
-	home        *core.ClaimOwner // nil while the process is dead
-	incarnation core.Incarnation
-	list        int // index of the list in use, -1 for none
-	cut         bool
-	paused      bool
-	stopping    bool
-	known       [len(boxNames)]core.Incarnation // homes' lives that its entry met
+	owner            *core.ClaimOwner // nil while the process is not running
+	incarnation      core.Incarnation
+	list             int  // index of the adopted list, -1 for none
+	cut              bool // cut off from the platform and the other boxes
+	paused           bool
+	stopping         bool
+	knownIncarnation [len(boxNames)]core.Incarnation // the newest incarnation of each owner that answered this box's entry
 }
 
+// claimState holds the published lists, the boxes, the callers' requests, the delayed
+// messages, and the runs of each request.
 type claimState struct {
 	rules     *ClaimRules
 	lists     []*core.List
-	published int
+	published int // index of the newest published list
 	now       int
 	faults    int
 	boxes     [len(boxNames)]claimBox
 	requests  []claimRequest
-	net       []claimMessage
-	effects   []int
-	made      []int // when each key was first used, -1 before
+	inFlight  []claimMessage
+	effects   []int // how often the request of each key ran
+	firstUsed []int // the step at which each key was first used, -1 if it wasn't
 }
 
-// The boxes of the specification: the first is the keys' home, the second its
-// successor; the third only vouches and carries callers, and follows the list
-// at each step of time.
+// The boxes of the specification. The first owns the keys, and the second is its
+// successor. The third only vouches for the others and accepts requests; it adopts
+// a new list at each time step.
 const (
-	boxHome = iota
+	boxOwner = iota
 	boxSuccessor
 	boxThird
 )
 
-// Claims gives the first state of the specification of requests that may run at
+// Claims returns the first state of the specification of requests that may run at
 // most once.
 func Claims(rules ClaimRules) State {
 	s := &claimState{
-		rules:   &rules,
-		faults:  rules.Faults,
-		effects: make([]int, rules.Keys),
-		made:    slices.Repeat([]int{-1}, rules.Keys),
+		rules:     &rules,
+		faults:    rules.Faults,
+		effects:   make([]int, rules.Keys),
+		firstUsed: slices.Repeat([]int{-1}, rules.Keys),
 	}
 	keys := claimKeys(rules.Keys)
 	s.lists = claimLists(rules.Scenario)
@@ -138,19 +144,19 @@
 			s.startBox(i)
 		}
 	}
-	s.handovers() // all tell what they met
-	s.handovers() // all are settled now and say so
+	s.requestHandovers() // each box reports the incarnations that it has contacted
+	s.requestHandovers() // each box reports that its peer discovery has finished
 	s.now = bootTime
 	s.tick()
 	return s
 }
 
-// bootTime is when the fleet is no longer young.
+// bootTime is the step at which the fleet's startup phase has ended.
 const bootTime = 1
 
-// claimKeys gives keys whose home is box-a while it is listed.
+// claimKeys returns keys that box-a owns while it is listed.
 func claimKeys(n int) []core.ClaimKey {
-	all := listOf(1, 0, boxNames[:]...)
+	all := newList(1, 0, boxNames[:]...)
 	var keys []core.ClaimKey
 	for i := 0; len(keys) < n; i++ {
 		key := core.ClaimKey{
@@ -164,67 +170,72 @@
 	return keys
 }
 
+// claimLists returns the lists that the platform publishes in a scenario.
 func claimLists(scenario ClaimScenario) []*core.List {
-	all := listOf(1, 0, boxNames[:]...)
+	all := newList(1, 0, boxNames[:]...)
 	switch scenario {
-	case HomeLeaves, HomeStops:
-		return []*core.List{all, listOf(2, unit, boxNames[1:]...)}
-	case HomeReturns:
-		return []*core.List{all, listOf(2, unit, boxNames[1:]...), listOf(3, 2*unit, boxNames[:]...)}
-	case HomeJoins:
-		return []*core.List{listOf(1, 0, boxNames[1:]...), listOf(2, unit, boxNames[:]...)}
+	case OwnerLeaves, OwnerStops:
+		return []*core.List{all, newList(2, timeStep, boxNames[1:]...)}
+	case OwnerReturns:
+		return []*core.List{all, newList(2, timeStep, boxNames[1:]...), newList(3, 2*timeStep, boxNames[:]...)}
+	case OwnerJoins:
+		return []*core.List{newList(1, 0, boxNames[1:]...), newList(2, timeStep, boxNames[:]...)}
 	}
 	return []*core.List{all}
 }
 
-// startBox starts a life of a box with the newest published list.
+// startBox starts a new incarnation of a box with the newest published list.
 func (s *claimState) startBox(i int) {
 	b := &s.boxes[i]
 	b.incarnation++
-	b.home = core.NewClaimOwner(core.Box{
+	b.owner = core.NewClaimOwner(core.Box{
 		Name:        boxNames[i],
 		Incarnation: b.incarnation,
 	}, claimTimes(), at(s.now), s.rules.Options...)
 	b.list = -1
-	b.known = [len(boxNames)]core.Incarnation{}
+	b.knownIncarnation = [len(boxNames)]core.Incarnation{}
 	s.adopt(i, s.published)
 }
 
+// adopt makes a box adopt a published list, given by its index.
 func (s *claimState) adopt(i, list int) {
 	b := &s.boxes[i]
 	b.list = list
 	published := *s.lists[list]
-	published.Age = time.Duration(s.now) * unit
-	b.home.Step(at(s.now), core.ListAdopted{
+	published.Age = time.Duration(s.now) * timeStep
+	b.owner.Step(at(s.now), core.ListAdopted{
 		List: &published,
 		At:   at(s.now),
 	})
 }
 
+// reachable reports whether messages pass between two boxes.
 func (s *claimState) reachable(i, j int) bool {
 	a, b := &s.boxes[i], &s.boxes[j]
-	if a.home == nil || b.home == nil || a.paused || b.paused {
+	if a.owner == nil || b.owner == nil || a.paused || b.paused {
 		return false
 	}
 	return i == j || !a.cut && !b.cut
 }
 
-// handovers lets each box that can reach another take what it hands over.
-func (s *claimState) handovers() {
+// requestHandovers lets every running box request the handovers that it needs from
+// the boxes that it can reach.
+func (s *claimState) requestHandovers() {
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if b.home == nil || b.paused {
+		if b.owner == nil || b.paused {
 			continue
 		}
-		for _, command := range b.home.Step(at(s.now), core.HandoverDue{}) {
+		for _, command := range b.owner.Step(at(s.now), core.HandoverDue{}) {
 			if wanted, ok := command.(core.HandoverWanted); ok {
-				s.handover(slices.Index(boxNames[:], wanted.From), i, wanted.ListVersion)
+				s.transferClaims(slices.Index(boxNames[:], wanted.From), i, wanted.ListVersion)
 			}
 		}
 	}
 }
 
-func (s *claimState) handover(from, to int, version uint64) {
+// transferClaims sends the claims that one box hands over to another.
+func (s *claimState) transferClaims(from, to int, version uint64) {
 	if !s.reachable(from, to) {
 		return
 	}
@@ -235,9 +246,9 @@
 		},
 		ListVersion: version,
 	}
-	for _, command := range s.boxes[from].home.Step(at(s.now), asked) {
+	for _, command := range s.boxes[from].owner.Step(at(s.now), asked) {
 		if sent, ok := command.(core.HandoverSent); ok {
-			s.boxes[to].home.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
+			s.boxes[to].owner.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
 		}
 	}
 }
@@ -245,61 +256,62 @@
 func (s *claimState) clone() *claimState {
 	copied := *s
 	copied.requests = slices.Clone(s.requests)
-	copied.net = slices.Clone(s.net)
+	copied.inFlight = slices.Clone(s.inFlight)
 	copied.effects = slices.Clone(s.effects)
-	copied.made = slices.Clone(s.made)
+	copied.firstUsed = slices.Clone(s.firstUsed)
 	for i := range copied.boxes {
-		if copied.boxes[i].home != nil {
-			copied.boxes[i].home = copied.boxes[i].home.Clone()
+		if copied.boxes[i].owner != nil {
+			copied.boxes[i].owner = copied.boxes[i].owner.Clone()
 		}
 	}
 	return &copied
 }
 
-// Key writes what decides the later states. Messages are a set.
+// Key encodes everything that the later states depend on. The order of messages
+// doesn't matter.
 func (s *claimState) Key() string {
-	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;", s.now, s.faults, s.published, s.requests, s.effects, s.made)
-	texts := make([]string, 0, len(s.net))
-	for _, m := range s.net {
+	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;", s.now, s.faults, s.published, s.requests, s.effects, s.firstUsed)
+	texts := make([]string, 0, len(s.inFlight))
+	for _, m := range s.inFlight {
 		texts = append(texts, fmt.Sprint(m))
 	}
 	slices.Sort(texts)
 	b = fmt.Appendf(b, "%v;", texts)
 	for i := range s.boxes {
 		box := &s.boxes[i]
-		b = fmt.Appendf(b, "%d,%d,%v,%v,%v,%v;", box.incarnation, box.list, box.cut, box.paused, box.stopping, box.known)
-		if box.home != nil {
-			b = box.home.Fingerprint(b, at(s.now))
+		b = fmt.Appendf(b, "%d,%d,%v,%v,%v,%v;", box.incarnation, box.list, box.cut, box.paused, box.stopping, box.knownIncarnation)
+		if box.owner != nil {
+			b = box.owner.Fingerprint(b, at(s.now))
 		}
 	}
 	return string(b)
 }
 
-// Next gives every step that callers, entries, homes, the platform, time and
-// faults can take.
+// Next returns the steps of callers, entries, owners, the platform, time and
+// faults.
 func (s *claimState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *claimState) steps(add func(string, func(*claimState))) {
+func (s *claimState) addSteps(add func(string, func(*claimState))) {
 	for i := range s.requests {
-		s.nextRequest(i, add)
+		s.addRequestSteps(i, add)
 	}
-	for m := range s.net {
-		s.nextMessage(m, add)
+	for m := range s.inFlight {
+		s.addMessageSteps(m, add)
 	}
-	s.nextPlatform(add)
-	s.nextRecovery(add)
+	s.addPlatformSteps(add)
+	s.addRecoverySteps(add)
 	if s.faults > 0 {
-		s.nextFault(add)
+		s.addFaults(add)
 	}
 }
 
+// claimAdder adds a transition that changes a copy of the state.
 type claimAdder func(label string, change func(*claimState))
 
-// Broken checks what is promised of requests that may run at most once.
-func (s *claimState) Broken() (string, bool) {
+// FindViolation reports a broken promise about requests that may run at most once.
+func (s *claimState) FindViolation() (string, bool) {
 	for key, n := range s.effects {
 		if n > 1 {
 			return fmt.Sprintf("the request of key %d ran %d times", key, n), true
@@ -307,7 +319,7 @@
 	}
 	for i := range s.requests {
 		if s.requests[i].state == requestNotRun && s.requests[i].ran {
-			return "a request that was run was told not to have been run", true
+			return "a request that ran was reported as not run", true
 		}
 	}
 	return "", false
--- a/model/clock.go
+++ b/model/clock.go
@@ -6,19 +6,20 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// start is the moment at which every specification begins.
-var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the time at which every specification begins.
+var startTime = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// unit is one step of a specification's time.
-const unit = time.Second
+// timeStep is the duration of one step of a specification.
+const timeStep = time.Second
 
-func at(step int) time.Time { return start.Add(time.Duration(step) * unit) }
+// at returns the time of a step.
+func at(step int) time.Time { return startTime.Add(time.Duration(step) * timeStep) }
 
-// boxNames are the boxes of every specification.
+// boxNames are the names of the boxes in every specification.
 var boxNames = [3]string{"box-a", "box-b", "box-c"}
 
-// listOf builds a list version from the boxes that are live in it.
-func listOf(version uint64, age time.Duration, live ...string) *core.List {
+// newList returns a version of the list with the given live boxes.
+func newList(version uint64, age time.Duration, live ...string) *core.List {
 	l := &core.List{
 		Version: version,
 		Age:     age,
--- a/model/explore.go
+++ b/model/explore.go
@@ -12,9 +12,9 @@
 
 // State is one state of a specification.
 type State interface {
-	Key() string            // equal for states that behave alike
-	Next() []Transition     // in an order that doesn't change between runs
-	Broken() (string, bool) // what promise the state breaks
+	Key() string                   // equal for states that behave alike
+	Next() []Transition            // in the same order in every run
+	FindViolation() (string, bool) // the promise that the state breaks, if any
 }
 
 // Transition is one step to another state.
@@ -23,13 +23,14 @@
 	To    State
 }
 
-// Bounds limit an exploration; one of them ends it if the states don't.
+// Bounds limit an exploration, which ends at the first bound that it reaches.
 type Bounds struct {
 	Depth  int
 	States int
 }
 
-// Result is what an exploration found.
+// Result is the outcome of an exploration or a walk. If a promise was broken,
+// Violation describes it and Trace holds the labels of the steps that led there.
 type Result struct {
 	States    int
 	Depth     int
@@ -39,20 +40,20 @@
 	Trace     []string
 }
 
-// String gives the result in one line.
+// String formats the result as one line.
 func (r Result) String() string {
-	how := "all states"
+	coverage := "all states"
 	if !r.Complete {
-		how = "up to the bound"
+		coverage = "up to the bound"
 	}
-	text := fmt.Sprintf("%d states, depth %d, %s, %s", r.States, r.Depth, r.Elapsed.Round(time.Millisecond), how)
+	text := fmt.Sprintf("%d states, depth %d, %s, %s", r.States, r.Depth, r.Elapsed.Round(time.Millisecond), coverage)
 	if r.Violation != "" {
 		text += "; broken: " + r.Violation
 	}
 	return text
 }
 
-// node is one state in the implicit graph that the library walks.
+// node is one state in the implicit graph that the library traverses.
 type node struct {
 	id     int64
 	parent int64
@@ -60,7 +61,7 @@
 	state  State
 }
 
-// ID names the node for the library.
+// ID returns the node's number, as the library requires.
 func (n *node) ID() int64 { return n.id }
 
 type edge struct{ from, to graph.Node }
@@ -69,16 +70,17 @@
 func (e edge) To() graph.Node           { return e.to }
 func (e edge) ReversedEdge() graph.Edge { return edge{from: e.to, to: e.from} }
 
-// space is the graph of a specification's states, made as it is walked.
-type space struct {
-	nodes  []*node
-	byKey  map[fingerprint]int64
-	states int
-	full   bool
+// stateGraph is the graph of a specification's states, built during the traversal.
+type stateGraph struct {
+	nodes        []*node
+	byKey        map[fingerprint]int64
+	maxStates    int
+	limitReached bool
 }
 
-// fingerprint stands for a state's key, which would fill the memory: two keys of
-// ten million states share one with a chance under 1e-24.
+// fingerprint is a truncated hash of a state's key; keeping the keys themselves would
+// take too much memory. Among ten million states, the probability that two keys
+// share a fingerprint is below 1e-24.
 type fingerprint [16]byte
 
 func fingerprintOf(key string) fingerprint {
@@ -86,17 +88,17 @@
 	return fingerprint(sum[:16])
 }
 
-// From gives the states after one; the library asks once for each, and then the
-// state itself is let go.
-func (s *space) From(id int64) graph.Nodes {
+// From returns the successors of a state that were not reached before. The library
+// calls it once for each state, which is released afterwards to save memory.
+func (s *stateGraph) From(id int64) graph.Nodes {
 	from := s.nodes[id]
-	if from.state == nil || s.full {
+	if from.state == nil || s.limitReached {
 		return graph.Empty
 	}
 	var next []graph.Node
 	for _, t := range from.state.Next() {
-		n, fresh := s.intern(t.To, id, t.Label)
-		if fresh {
+		n, isNew := s.intern(t.To, id, t.Label)
+		if isNew {
 			next = append(next, n)
 		}
 	}
@@ -107,15 +109,16 @@
 	return &nodeList{nodes: next}
 }
 
-// Edge gives the edge between two states.
-func (s *space) Edge(u, v int64) graph.Edge {
+// Edge returns the edge between two states.
+func (s *stateGraph) Edge(u, v int64) graph.Edge {
 	return edge{
 		from: s.nodes[u],
 		to:   s.nodes[v],
 	}
 }
 
-func (s *space) intern(state State, parent int64, label string) (*node, bool) {
+// intern returns the node of a state and reports whether the state is new.
+func (s *stateGraph) intern(state State, parent int64, label string) (*node, bool) {
 	key := fingerprintOf(state.Key())
 	if id, known := s.byKey[key]; known {
 		return s.nodes[id], false
@@ -128,7 +131,7 @@
 	}
 	s.nodes = append(s.nodes, n)
 	s.byKey[key] = n.id
-	s.full = s.full || len(s.nodes) >= s.states
+	s.limitReached = s.limitReached || len(s.nodes) >= s.maxStates
 	return n, true
 }
 
@@ -145,39 +148,41 @@
 func (l *nodeList) Reset()           { l.at = 0 }
 func (l *nodeList) Node() graph.Node { return l.nodes[l.at-1] }
 
-// Explore walks all states from a first one, breadth first.
+// Explore visits all states that can be reached from a first one, breadth first, until it
+// finds a violation or reaches a bound.
 func Explore(first State, bounds Bounds) Result {
 	began := time.Now()
-	s := &space{
-		byKey:  make(map[fingerprint]int64),
-		states: bounds.States,
+	s := &stateGraph{
+		byKey:     make(map[fingerprint]int64),
+		maxStates: bounds.States,
 	}
 	root, _ := s.intern(first, -1, "start")
 	var out Result
-	deep := false
+	depthExceeded := false
 	walker := traverse.BreadthFirst{}
 	found := walker.Walk(s, root, func(n graph.Node, depth int) bool {
 		out.Depth = depth
 		if depth > bounds.Depth {
-			deep = true
+			depthExceeded = true
 			return true
 		}
-		what, broken := n.(*node).state.Broken()
-		if broken {
-			out.Violation = what
+		violation, violated := n.(*node).state.FindViolation()
+		if violated {
+			out.Violation = violation
 		}
-		return broken
+		return violated
 	})
 	out.States = len(s.nodes)
 	out.Elapsed = time.Since(began)
-	out.Complete = !deep && !s.full
+	out.Complete = !depthExceeded && !s.limitReached
 	if found != nil && out.Violation != "" {
 		out.Trace = s.trace(found.ID())
 	}
 	return out
 }
 
-func (s *space) trace(id int64) []string {
+// trace returns the labels of the steps from the first state to another.
+func (s *stateGraph) trace(id int64) []string {
 	var steps []string
 	for ; id > 0; id = s.nodes[id].parent {
 		steps = append([]string{s.nodes[id].label}, steps...)
@@ -185,8 +190,9 @@
 	return steps
 }
 
-// Walk takes one walk whose choices a function makes, and gives the first
-// break. It is for seeded walks beyond what can be explored.
+// Walk takes a single path of at most the given number of steps, each selected by
+// choose, and returns the first violation. Seeded walks reach deeper than an
+// exploration can.
 func Walk(first State, steps int, choose func(n int) int) Result {
 	began := time.Now()
 	var out Result
@@ -199,8 +205,8 @@
 		t := next[choose(len(next))]
 		out.Trace = append(out.Trace, t.Label)
 		at = t.To
-		if what, broken := at.Broken(); broken {
-			out.Violation = what
+		if violation, violated := at.FindViolation(); violated {
+			out.Violation = violation
 			break
 		}
 	}
@@ -209,7 +215,7 @@
 	return out
 }
 
-// FormatTrace gives a trace as numbered lines.
+// FormatTrace formats a trace as numbered lines.
 func FormatTrace(trace []string) string {
 	var b strings.Builder
 	for i, step := range trace {
--- a/model/fence.go
+++ b/model/fence.go
@@ -6,18 +6,21 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// FenceRules are the bounds of the specification of fenced orders.
+// FenceRules are the bounds of the specification of fenced orders. A fence is the
+// version that an owner attaches to its orders to an endpoint, so that the endpoint can
+// reject those of an earlier owner.
 type FenceRules struct {
-	Checks  bool // the endpoint checks fences
-	Faults  int
-	Time    int
-	Options []core.Option
+	EndpointChecks bool // the endpoint rejects orders with a fence older than the highest it has seen
+	Faults         int
+	Time           int
+	Options        []core.Option
 }
 
-// fenceFresh is how old a reading may be for orders to an endpoint that doesn't
-// check.
-const fenceFresh = 1
+// maxListAge is the maximum age in time steps of an owner's list snapshot at which
+// it may send orders to an endpoint that doesn't check fences.
+const maxListAge = 1
 
+// fenceOwner is a box that sends orders while it is permitted to.
 type fenceOwner struct {
 	orders *core.OrderPermission
 	list   int
@@ -25,33 +28,34 @@
 	paused bool
 }
 
+// fenceState holds the owners, the orders in flight, and the endpoint's fence check.
 type fenceState struct {
-	rules     *FenceRules
-	now       int
-	faults    int
-	published int
-	owners    [2]fenceOwner
-	held      []core.Fence // orders on their way, late
-	gate      *core.FenceCheck
-	applied   core.Fence
-	older     bool
+	rules        *FenceRules
+	now          int
+	faults       int
+	published    int
+	owners       [2]fenceOwner
+	delayed      []core.Fence // fences of orders that are delayed on their way
+	fenceCheck   *core.FenceCheck
+	applied      core.Fence
+	appliedOlder bool
 }
 
-// Fences gives the first state of the specification of fenced orders: an owner
-// before a list change, the one after it, and an endpoint.
+// Fences returns the first state of the specification of fenced orders: the owner
+// before a list change, the owner after it, and an endpoint.
 func Fences(rules FenceRules) State {
 	s := &fenceState{
-		rules:     &rules,
-		faults:    rules.Faults,
-		published: 1,
-		gate:      core.NewFenceCheck(rules.Options...),
+		rules:      &rules,
+		faults:     rules.Faults,
+		published:  1,
+		fenceCheck: core.NewFenceCheck(rules.Options...),
 	}
-	if !rules.Checks {
-		s.gate = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
+	if !rules.EndpointChecks {
+		s.fenceCheck = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
 	}
 	for i := range s.owners {
 		s.owners[i] = fenceOwner{
-			orders: core.NewOrderPermission(core.OrderRules{Fresh: fenceFresh * unit}, rules.Options...),
+			orders: core.NewOrderPermission(core.OrderRules{Fresh: maxListAge * timeStep}, rules.Options...),
 			list:   1,
 		}
 		s.owners[i].orders.Step(at(0), core.ListConfirmed{At: at(0)})
@@ -62,17 +66,17 @@
 
 func (s *fenceState) clone() *fenceState {
 	copied := *s
-	copied.gate = s.gate.Clone()
-	copied.held = append([]core.Fence(nil), s.held...)
+	copied.fenceCheck = s.fenceCheck.Clone()
+	copied.delayed = append([]core.Fence(nil), s.delayed...)
 	for i := range copied.owners {
 		copied.owners[i].orders = s.owners[i].orders.Clone()
 	}
 	return &copied
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *fenceState) Key() string {
-	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;%v;", s.now, s.faults, s.published, s.held, s.gate.Highest, s.applied, s.older)
+	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;%v;", s.now, s.faults, s.published, s.delayed, s.fenceCheck.Highest, s.applied, s.appliedOlder)
 	for i := range s.owners {
 		o := &s.owners[i]
 		b = fmt.Appendf(b, "%d,%v,%v;", o.list, o.cut, o.paused)
@@ -81,42 +85,41 @@
 	return string(b)
 }
 
-// Next gives every step of the platform, owners, time and faults.
+// Next returns the steps of the platform, owners, time and faults.
 func (s *fenceState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *fenceState) steps(add func(string, func(*fenceState))) {
+func (s *fenceState) addSteps(add func(string, func(*fenceState))) {
 	if s.published == 1 {
 		add("the platform publishes list 2", func(n *fenceState) { n.published = 2 })
 	}
 	for i := range s.owners {
-		s.nextOwner(i, add)
+		s.addOwnerSteps(i, add)
 	}
-	for h := range s.held {
-		add("a late order arrives", func(n *fenceState) { n.arriveHeld(h) })
+	for h := range s.delayed {
+		add("a delayed order arrives", func(n *fenceState) { n.deliverDelayed(h) })
 	}
 	if s.now < s.rules.Time {
 		add("time passes", func(n *fenceState) { n.tick() })
 	}
 }
 
-func (s *fenceState) nextOwner(i int, add func(string, func(*fenceState))) {
+func (s *fenceState) addOwnerSteps(i int, add func(string, func(*fenceState))) {
 	o := &s.owners[i]
 	if o.paused {
-		add(boxNames[i]+" wakes", func(n *fenceState) { n.owners[i].paused = false })
+		add(boxNames[i]+" resumes", func(n *fenceState) { n.owners[i].paused = false })
 		return
 	}
 	if !o.cut && o.list < s.published {
 		add(boxNames[i]+" adopts list 2", func(n *fenceState) { n.adopt(i) })
 	}
-	if o.orders.Permitted(at(s.now), s.rules.Checks) {
-		add(boxNames[i]+" sends an order", func(n *fenceState) { n.arrive(n.fence(i)) })
-		if s.faults > 0 && s.rules.Checks {
-			add("fault: "+boxNames[i]+" sends an order that is late", func(n *fenceState) {
+	if o.orders.Permitted(at(s.now), s.rules.EndpointChecks) {
+		add(boxNames[i]+" sends an order", func(n *fenceState) { n.deliver(n.fence(i)) })
+		if s.faults > 0 && s.rules.EndpointChecks {
+			add("fault: "+boxNames[i]+" sends an order that is delayed", func(n *fenceState) {
 				n.faults--
-				n.held = append(n.held, n.fence(i))
+				n.delayed = append(n.delayed, n.fence(i))
 			})
 		}
 	}
@@ -143,6 +146,7 @@
 	}
 }
 
+// adopt adopts list 2, which moves ownership from the first owner to the second.
 func (s *fenceState) adopt(i int) {
 	o := &s.owners[i]
 	o.list = 2
@@ -154,20 +158,22 @@
 	o.orders.Step(at(s.now), core.HoldTaken{})
 }
 
-func (s *fenceState) arriveHeld(h int) {
-	f := s.held[h]
-	s.held = append(s.held[:h:h], s.held[h+1:]...)
-	s.arrive(f)
+func (s *fenceState) deliverDelayed(h int) {
+	f := s.delayed[h]
+	s.delayed = append(s.delayed[:h:h], s.delayed[h+1:]...)
+	s.deliver(f)
 }
 
-func (s *fenceState) arrive(f core.Fence) {
-	if !s.gate.Admit(f) {
+// deliver passes an order to the endpoint, which applies it if its fence is admitted.
+func (s *fenceState) deliver(f core.Fence) {
+	if !s.fenceCheck.Admit(f) {
 		return
 	}
-	s.older = s.older || f.Compare(s.applied) < 0
+	s.appliedOlder = s.appliedOlder || f.Compare(s.applied) < 0
 	s.applied = f
 }
 
+// tick advances time by one step and confirms the owners' lists where possible.
 func (s *fenceState) tick() {
 	s.now++
 	for i := range s.owners {
@@ -178,7 +184,7 @@
 	}
 }
 
-// Broken checks what fences promise.
-func (s *fenceState) Broken() (string, bool) {
-	return "an older owner's order was applied after a newer owner's", s.older
+// FindViolation reports a broken promise about fences.
+func (s *fenceState) FindViolation() (string, bool) {
+	return "an older owner's order was applied after a newer owner's", s.appliedOlder
 }
--- a/model/stream.go
+++ b/model/stream.go
@@ -17,23 +17,25 @@
 	Options    []core.Option
 }
 
-// streamEngines is the number of engines; three boxes may carry a stream.
+// The size of the specification of streams.
 const (
-	streamEngines = 2
-	streamWindow  = 2
+	streamEngines = 2 // engines
+	streamWindow  = 2 // resume window in time steps
 )
 
+// frameKind is the kind of a streamFrame; the last two are signs of a lost connection
+// and of a generation that the engine no longer has.
 type frameKind string
 
 const (
-	frameToken   frameKind = "token"
-	frameFinal   frameKind = "final"
-	frameRefused frameKind = "refused"
-	frameLost    frameKind = "lost"
-	frameGone    frameKind = "gone"
+	frameToken          frameKind = "token"
+	frameFinal          frameKind = "final"
+	frameRefused        frameKind = "refused"
+	frameLinkLost       frameKind = "lost"
+	frameGenerationGone frameKind = "gone"
 )
 
-// streamFrame is a message on its way to a caller's entry.
+// streamFrame is a message in flight to a caller's entry.
 type streamFrame struct {
 	kind    frameKind
 	attempt int
@@ -41,33 +43,36 @@
 	offset  uint64
 }
 
-// streamReader is a link over which an engine sends a generation's frames.
+// streamReader is a connection on which an engine sends the frames of a generation.
 type streamReader struct {
 	engine  int
 	origin  core.Origin
 	attempt int
-	sent    uint64
+	sent    uint64 // offset of the next frame
 	ended   bool
 }
 
+// streamCaller is a caller's stream at its entry: the generation, its next actions, the
+// frames in flight and the tokens delivered.
 type streamCaller struct {
 	gen       *core.Generation
 	box       int
-	place     bool
-	send      *core.SendAttempt
-	resume    *core.Resume
-	net       []streamFrame
+	place     bool              // the generation needs an endpoint
+	send      *core.SendAttempt // the attempt to write next, nil for none
+	resume    *core.Resume      // the resume to write next, nil for none
+	inFlight  []streamFrame
 	readers   []streamReader
 	delivered []streamFrame
-	started   []core.Origin
+	started   []core.Origin // every generation started for this caller
 }
 
+// streamEngine is an engine with the generations that it retains.
 type streamEngine struct {
 	incarnation core.Incarnation
-	holds       []string // generations that can be read
+	retained    []string // generations that can still be read
 }
 
-// streamState is one state of callers, entries, links and engines.
+// streamState holds callers with their entries and links, and the engines.
 type streamState struct {
 	rules   *StreamRules
 	now     int
@@ -76,7 +81,7 @@
 	callers []streamCaller
 }
 
-// Streams gives the first state of the specification of streams.
+// Streams returns the first state of the specification of streams.
 func Streams(rules StreamRules) State {
 	s := &streamState{
 		rules:  &rules,
@@ -97,7 +102,7 @@
 func generationRules() core.GenerationRules {
 	return core.GenerationRules{
 		Attempts:     2,
-		ResumeWindow: streamWindow * unit,
+		ResumeWindow: streamWindow * timeStep,
 	}
 }
 
@@ -105,12 +110,12 @@
 	copied := *s
 	copied.callers = slices.Clone(s.callers)
 	for i := range copied.engines {
-		copied.engines[i].holds = slices.Clone(s.engines[i].holds)
+		copied.engines[i].retained = slices.Clone(s.engines[i].retained)
 	}
 	for i := range copied.callers {
 		c := &copied.callers[i]
 		c.gen = c.gen.Clone()
-		c.net = slices.Clone(c.net)
+		c.inFlight = slices.Clone(c.inFlight)
 		c.readers = slices.Clone(c.readers)
 		c.delivered = slices.Clone(c.delivered)
 		c.started = slices.Clone(c.started)
@@ -118,18 +123,18 @@
 	return &copied
 }
 
-// Key writes what decides the later states.
+// Key encodes everything that the later states depend on.
 func (s *streamState) Key() string {
 	b := fmt.Appendf(nil, "%d;%d;%v;", s.now, s.faults, s.engines)
 	for i := range s.callers {
 		c := &s.callers[i]
 		b = c.gen.Fingerprint(b, at(s.now))
-		b = fmt.Appendf(b, "%d,%v,%v,%v,%v,%v,%v,%v;", c.box, c.place, c.send != nil, c.resume, c.net, c.readers, c.delivered, c.started)
+		b = fmt.Appendf(b, "%d,%v,%v,%v,%v,%v,%v,%v;", c.box, c.place, c.send != nil, c.resume, c.inFlight, c.readers, c.delivered, c.started)
 	}
 	return string(b)
 }
 
-// step gives the caller's generation an event and notes what it asks.
+// step passes an event to the caller's generation and records its commands.
 func (s *streamState) step(c *streamCaller, ev core.Event) {
 	for _, command := range c.gen.Step(at(s.now), ev) {
 		switch t := command.(type) {
@@ -148,48 +153,48 @@
 	}
 }
 
-// Next gives every step that callers, entries, engines, links and faults can
-// take.
+// Next returns the steps of callers, entries, engines, links and faults.
 func (s *streamState) Next() []Transition {
-	return collect(s, s.steps)
+	return collectTransitions(s, s.addSteps)
 }
 
-// steps adds each of them.
-func (s *streamState) steps(add func(string, func(*streamState))) {
+func (s *streamState) addSteps(add func(string, func(*streamState))) {
 	for i := range s.callers {
-		s.nextOf(i, add)
+		s.addCallerSteps(i, add)
 	}
 	if s.faults > 0 {
-		s.nextFaults(add)
+		s.addFaults(add)
 	}
 }
 
-type adder func(label string, change func(*streamState))
+// streamAdder adds a transition that changes a copy of the state.
+type streamAdder func(label string, change func(*streamState))
 
-func (s *streamState) nextOf(i int, add adder) {
+// addCallerSteps adds the steps of a caller's stream.
+func (s *streamState) addCallerSteps(i int, add streamAdder) {
 	c := &s.callers[i]
-	who := "caller " + strconv.Itoa(i)
+	prefix := "caller " + strconv.Itoa(i)
 	if c.gen.State == core.GenerationEnded {
 		return
 	}
 	if c.place {
 		for e := range s.engines {
-			add(fmt.Sprintf("%s: placed on engine %d", who, e), func(n *streamState) { n.place(i, e) })
+			add(fmt.Sprintf("%s: placed on engine %d", prefix, e), func(n *streamState) { n.place(i, e) })
 		}
 	}
 	if c.send != nil {
-		add(who+": request reaches its engine", func(n *streamState) { n.send(i) })
+		add(prefix+": request reaches its engine", func(n *streamState) { n.send(i) })
 	}
 	if c.resume != nil {
-		add(who+": resume reaches its engine", func(n *streamState) { n.resume(i) })
+		add(prefix+": resume reaches its engine", func(n *streamState) { n.resume(i) })
 	}
 	for r := range c.readers {
 		if !c.readers[r].ended {
-			add(fmt.Sprintf("%s: engine sends frame %d of attempt %d", who, c.readers[r].sent, c.readers[r].attempt), func(n *streamState) { n.emit(i, r) })
+			add(fmt.Sprintf("%s: engine sends frame %d of attempt %d", prefix, c.readers[r].sent, c.readers[r].attempt), func(n *streamState) { n.sendFrame(i, r) })
 		}
 	}
-	if len(c.net) > 0 {
-		add(fmt.Sprintf("%s: %s %d of attempt %d arrives", who, c.net[0].kind, c.net[0].offset, c.net[0].attempt), func(n *streamState) { n.deliver(i, 0, true) })
+	if len(c.inFlight) > 0 {
+		add(fmt.Sprintf("%s: %s %d of attempt %d arrives", prefix, c.inFlight[0].kind, c.inFlight[0].offset, c.inFlight[0].attempt), func(n *streamState) { n.deliverFrame(i, 0, true) })
 	}
 }
 
@@ -207,19 +212,20 @@
 	return e
 }
 
-// send lets the engine start the generation and read it to the caller.
+// send starts the generation on the engine, with a reader for the caller.
 func (s *streamState) send(i int) {
 	c := &s.callers[i]
 	attempt, origin := c.send.Attempt, c.send.Origin
 	c.send = nil
 	s.step(c, core.Sending{Attempt: attempt})
-	s.start(c, attempt, origin, true)
+	s.startGeneration(c, attempt, origin, true)
 }
 
-func (s *streamState) start(c *streamCaller, attempt int, origin core.Origin, reading bool) {
+// startGeneration starts a generation on its engine, and reads it if reading is true.
+func (s *streamState) startGeneration(c *streamCaller, attempt int, origin core.Origin, reading bool) {
 	e := s.engineOf(origin)
 	origin.Incarnation = s.engines[e].incarnation
-	s.engines[e].holds = append(s.engines[e].holds, origin.Generation)
+	s.engines[e].retained = append(s.engines[e].retained, origin.Generation)
 	c.started = append(c.started, origin)
 	if reading {
 		c.readers = append(c.readers, streamReader{
@@ -230,16 +236,16 @@
 	}
 }
 
-// resume reads a generation again. An engine that restarted answers that it
-// knows none, or has begun another under the same number.
+// resume reads a generation again. An engine that has restarted reports that the
+// generation is gone, or has started another with the same id.
 func (s *streamState) resume(i int) {
 	c := &s.callers[i]
 	r := *c.resume
 	c.resume = nil
 	e := s.engineOf(r.Origin)
-	if !slices.Contains(s.engines[e].holds, r.Origin.Generation) {
-		c.net = append(c.net, streamFrame{
-			kind:    frameGone,
+	if !slices.Contains(s.engines[e].retained, r.Origin.Generation) {
+		c.inFlight = append(c.inFlight, streamFrame{
+			kind:    frameGenerationGone,
 			attempt: r.Attempt,
 		})
 		return
@@ -254,7 +260,8 @@
 	})
 }
 
-func (s *streamState) emit(i, r int) {
+// sendFrame sends the next token, or the final frame after the last token.
+func (s *streamState) sendFrame(i, r int) {
 	c := &s.callers[i]
 	reader := &c.readers[r]
 	kind := frameToken
@@ -263,7 +270,7 @@
 		reader.ended = true
 	}
 	offset := min(reader.sent, uint64(s.rules.Tokens))
-	c.net = append(c.net, streamFrame{
+	c.inFlight = append(c.inFlight, streamFrame{
 		kind:    kind,
 		attempt: reader.attempt,
 		origin:  reader.origin,
@@ -272,22 +279,24 @@
 	reader.sent++
 }
 
-func (s *streamState) deliver(i, at int, remove bool) {
+// deliverFrame passes an in-flight frame to the caller's generation. A frame that isn't
+// removed arrives again later.
+func (s *streamState) deliverFrame(i, at int, remove bool) {
 	c := &s.callers[i]
-	f := c.net[at]
+	f := c.inFlight[at]
 	if remove {
-		c.net = slices.Delete(c.net, at, at+1)
+		c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	}
-	s.arrive(c, f)
+	s.handleFrame(c, f)
 }
 
-func (s *streamState) arrive(c *streamCaller, f streamFrame) {
+func (s *streamState) handleFrame(c *streamCaller, f streamFrame) {
 	switch f.kind {
 	case frameRefused:
 		s.step(c, core.Refused{Attempt: f.attempt})
-	case frameLost:
+	case frameLinkLost:
 		s.step(c, core.LinkLost{Attempt: f.attempt})
-	case frameGone:
+	case frameGenerationGone:
 		s.step(c, core.GenerationGone{Attempt: f.attempt})
 	default:
 		s.step(c, core.FrameArrived{
@@ -299,17 +308,17 @@
 	}
 }
 
-// Broken checks what streams promise.
-func (s *streamState) Broken() (string, bool) {
+// FindViolation reports a broken promise about streams.
+func (s *streamState) FindViolation() (string, bool) {
 	for i := range s.callers {
-		if what := s.callers[i].broken(s.rules); what != "" {
-			return what, true
+		if violation := s.callers[i].findViolation(s.rules); violation != "" {
+			return violation, true
 		}
 	}
 	return "", false
 }
 
-func (c *streamCaller) broken(rules *StreamRules) string {
+func (c *streamCaller) findViolation(rules *StreamRules) string {
 	for n, f := range c.delivered {
 		if f.offset != uint64(n) {
 			return fmt.Sprintf("token %d was delivered in place of token %d", f.offset, n)
@@ -328,10 +337,10 @@
 		return ""
 	}
 	if c.gen.Code == core.EndDone && len(c.delivered) != rules.Tokens {
-		return fmt.Sprintf("%d of %d tokens were given as the whole answer", len(c.delivered), rules.Tokens)
+		return fmt.Sprintf("%d of %d tokens were delivered as the complete answer", len(c.delivered), rules.Tokens)
 	}
 	if c.gen.Outcome == core.NotRun && len(c.started) > 0 {
-		return "a request that was run was told not to have been run"
+		return "a request that ran was reported as not run"
 	}
 	return ""
 }
--- a/model/walk_test.go
+++ b/model/walk_test.go
@@ -9,17 +9,17 @@
 	"dillsaddle.example/dillsaddle/model"
 )
 
-// walkSeed fixes the walks, so that each run gives the same verdict.
+// walkSeed fixes the seed, so that every run takes the same walks.
 const walkSeed = "20261202"
 
-// walkCount is how many walks each specification takes.
+// walkCount is the number of walks through each specification.
 const walkCount = "40"
 
-// walkSteps is beyond the depth that is explored in full.
+// walkSteps is more than the depth of the exhaustive explorations.
 const walkSteps = 90
 
-// TestWalks takes seeded walks with more faults, time and callers than can be
-// explored in full.
+// TestWalks takes seeded walks with more faults, time steps and callers than can be
+// explored exhaustively.
 func TestWalks(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": walkSeed, "rapid.checks": walkCount} {
 		if err := flag.Set(name, value); err != nil {
@@ -32,7 +32,7 @@
 		},
 		"claims": func() model.State {
 			return model.Claims(model.ClaimRules{
-				Scenario: model.HomeReturns,
+				Scenario: model.OwnerReturns,
 				Boxes:    []int{0, 1, 2, 1, 0, 2},
 				Keys:     2,
 				Faults:   5,
@@ -45,7 +45,7 @@
 			return model.ConfigVersions(model.VersionRules{Faults: 10})
 		},
 		"orders": func() model.State {
-			return model.Fences(model.FenceRules{Checks: true, Faults: 8, Time: 12})
+			return model.Fences(model.FenceRules{EndpointChecks: true, Faults: 8, Time: 12})
 		},
 	}
 	for name, first := range firsts {
--- a/proof/documents.go
+++ b/proof/documents.go
@@ -13,32 +13,34 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
+// box holds the settings of a box's processes.
 type box struct {
-	Name  string         `json:"box"`
-	Zone  string         `json:"zone"`
-	Entry netip.AddrPort `json:"entry"`
-	Sched netip.AddrPort `json:"scheduler"`
-	Watch netip.AddrPort `json:"watch"`
-	Admin netip.AddrPort `json:"entry-admin"`
-	SAdm  netip.AddrPort `json:"scheduler-admin"`
-	WAdm  netip.AddrPort `json:"watch-admin"`
-	Plat  netip.AddrPort `json:"platform"`
-	Fleet string         `json:"secret"`
+	Name           string         `json:"box"`
+	Zone           string         `json:"zone"`
+	Entry          netip.AddrPort `json:"entry"`
+	Sched          netip.AddrPort `json:"scheduler"`
+	Watch          netip.AddrPort `json:"watch"`
+	Admin          netip.AddrPort `json:"entry-admin"`
+	SchedulerAdmin netip.AddrPort `json:"scheduler-admin"`
+	WatchAdmin     netip.AddrPort `json:"watch-admin"`
+	Platform       netip.AddrPort `json:"platform"`
+	Fleet          string         `json:"secret"` // the fleet's shared secret
 }
 
-// The ports of fleets lie below those that the system gives to outgoing
-// connections, which could take a port between its choice and its use.
+// The ports of fleets are below the system's ephemeral ports, so that no outgoing
+// connection takes a port after it was chosen and before it is used.
 const (
 	firstPort = 11000
 	lastPort  = 31000
 )
 
-// nextPort counts on from a start that differs between processes.
+// nextPort is the offset of the next port to try. It starts at a different value in each
+// process.
 var nextPort atomic.Uint32
 
 func init() { nextPort.Store(uint32(os.Getpid()*97) % (lastPort - firstPort)) }
 
-// freeAddress takes the next port that nobody listens on.
+// freeAddress returns a loopback address with the next port that is not in use.
 func freeAddress() netip.AddrPort {
 	for {
 		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
@@ -52,8 +54,8 @@
 	}
 }
 
-// lay chooses addresses and documents.
-func (f *Fleet) lay() {
+// buildConfig chooses all addresses and builds the configuration and the list.
+func (f *Fleet) buildConfig() {
 	f.platform = freeAddress()
 	var servers []string
 	for range max(1, f.Shape.Servers) {
@@ -107,16 +109,16 @@
 
 func (f *Fleet) addBox(i int) {
 	b := box{
-		Name:  fmt.Sprintf("box-%d", i+1),
-		Zone:  fmt.Sprintf("zone-%d", i%3+1),
-		Entry: freeAddress(),
-		Sched: freeAddress(),
-		Watch: freeAddress(),
-		Admin: freeAddress(),
-		SAdm:  freeAddress(),
-		WAdm:  freeAddress(),
-		Plat:  f.platform,
-		Fleet: "the secret of a proof's fleet",
+		Name:           fmt.Sprintf("box-%d", i+1),
+		Zone:           fmt.Sprintf("zone-%d", i%3+1),
+		Entry:          freeAddress(),
+		Sched:          freeAddress(),
+		Watch:          freeAddress(),
+		Admin:          freeAddress(),
+		SchedulerAdmin: freeAddress(),
+		WatchAdmin:     freeAddress(),
+		Platform:       f.platform,
+		Fleet:          "the secret of a proof's fleet",
 	}
 	f.boxes = append(f.boxes, b)
 	f.list.Boxes = append(f.list.Boxes, core.Member{
@@ -129,7 +131,8 @@
 	})
 }
 
-func (f *Fleet) write(name string, value any) string {
+// writeJSON writes a file into the fleet's folder and returns its path.
+func (f *Fleet) writeJSON(name string, value any) string {
 	path := filepath.Join(f.dir, name)
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err == nil {
@@ -141,9 +144,10 @@
 	return path
 }
 
-// PublishConfig publishes a version of the configuration, changed by a function.
+// PublishConfig publishes a version of the configuration. change may edit the document
+// first.
 func (f *Fleet) PublishConfig(version uint64, change func(map[string]any)) error {
-	body, err := f.configText(version, change)
+	body, err := f.configJSON(version, change)
 	if err != nil {
 		return err
 	}
@@ -154,16 +158,16 @@
 // publishTo publishes a version of the configuration to the platforms of some
 // boxes only.
 func (f *Fleet) publishTo(version uint64, boxes ...int) error {
-	body, err := f.configText(version, nil)
+	body, err := f.configJSON(version, nil)
 	for _, i := range boxes {
 		if err == nil {
-			_, _, err = f.call("POST", f.boxes[i].Plat, "/control/config", nil, body)
+			_, _, err = f.call("POST", f.boxes[i].Platform, "/control/config", nil, body)
 		}
 	}
 	return err
 }
 
-func (f *Fleet) configText(version uint64, change func(map[string]any)) ([]byte, error) {
+func (f *Fleet) configJSON(version uint64, change func(map[string]any)) ([]byte, error) {
 	copied := make(map[string]any, len(f.config))
 	for key, value := range f.config {
 		copied[key] = value
@@ -175,7 +179,7 @@
 	return json.Marshal(copied)
 }
 
-// PublishList publishes the next version of the list, changed by a function.
+// PublishList publishes the next version of the list after change has edited it.
 func (f *Fleet) PublishList(change func(*core.List)) error {
 	f.list.Version++
 	change(&f.list)
--- a/proof/fleet.go
+++ b/proof/fleet.go
@@ -17,21 +17,21 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Shape says what fleet to start.
+// Shape describes a fleet.
 type Shape struct {
 	Boxes           int
 	Engines         int
-	MedianTokens    float64       // tokens of an output
-	StepTime        time.Duration // of an engine alone
+	MedianTokens    float64       // median length of a generation
+	StepTime        time.Duration // duration of an engine's decoding step without sequences
 	MemoryTokens    int
-	StepPerSequence time.Duration // added to a step by each sequence
+	StepPerSequence time.Duration // time that each sequence adds to a step
 	BatchSlots      int
-	Servers         int  // of the service; one if left out
-	Hedge           bool // of the service
-	Ways            bool // boxes reach each other by ways that can be cut, each with its own platform
+	Servers         int  // servers of the service, one if unset
+	Hedge           bool // the service allows hedged requests
+	CuttableLinks   bool // boxes reach each other only through links that can be blocked, and each has its own platform
 }
 
-// DefaultShape is a small fleet whose streams take a few seconds.
+// DefaultShape returns a small fleet whose streams take a few seconds.
 func DefaultShape() Shape {
 	return Shape{
 		Boxes:           3,
@@ -44,10 +44,10 @@
 	}
 }
 
-// Key is the key of every fleet's customer.
+// Key is the API key of every fleet's customer.
 const Key = "proof-key"
 
-// Model is the model that every fleet serves.
+// Model is the name of the model that every fleet serves.
 const Model = "model-1"
 
 // Fleet is a running fleet of processes.
@@ -57,26 +57,27 @@
 	programs  string
 	http      *client.Client
 	mu        sync.Mutex
-	processes map[string]*running
+	processes map[string]*process
 	platform  netip.AddrPort
 	engines   []netip.AddrPort
-	service   netip.AddrPort // the first of its servers
+	service   netip.AddrPort // the service's first server
 	servers   []netip.AddrPort
 	boxes     []box
 	config    map[string]any
 	list      core.List
-	ways      *ways
+	links     *links
 }
 
-type running struct {
+// process is a running process with what is needed to start it again.
+type process struct {
 	command *exec.Cmd
 	program string
 	file    string
 	done    chan struct{}
 }
 
-// Start starts a fleet from the programs in a folder and waits until every box
-// can serve a stream.
+// Start starts a fleet from the programs in a folder and waits until every box is
+// ready.
 func Start(programs string, shape Shape) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "dillsaddle-proof")
 	if err != nil {
@@ -96,32 +97,32 @@
 		dir:       dir,
 		programs:  programs,
 		http:      c,
-		processes: make(map[string]*running),
+		processes: make(map[string]*process),
 	}
-	f.lay()
-	if shape.Ways {
-		if err := f.layWays(); err != nil {
+	f.buildConfig()
+	if shape.CuttableLinks {
+		if err := f.setUpLinks(); err != nil {
 			f.Close()
 			return nil, err
 		}
 	}
-	if err := f.launch(); err != nil {
+	if err := f.startAll(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) launch() error {
-	f.runPlatform("platform", f.platform, &f.list)
-	if f.ways != nil {
+func (f *Fleet) startAll() error {
+	f.startPlatform("platform", f.platform, &f.list)
+	if f.links != nil {
 		for i := range f.boxes {
-			f.runPlatform(fmt.Sprintf("platform-%d", i+1), f.boxes[i].Plat, &f.ways.lists[i])
+			f.startPlatform(fmt.Sprintf("platform-%d", i+1), f.boxes[i].Platform, &f.links.lists[i])
 		}
 	}
 	for i, address := range f.engines {
 		name := fmt.Sprintf("engine-%d", i+1)
-		f.run(name, "dillsaddle-standin", f.write(name+".json", map[string]any{
+		f.startProcess(name, "dillsaddle-standin", f.writeJSON(name+".json", map[string]any{
 			"role":          "engine",
 			"name":          name,
 			"address":       address.String(),
@@ -137,7 +138,7 @@
 	}
 	for i, address := range f.servers {
 		name := fmt.Sprintf("service-%d", i+1)
-		f.run(name, "dillsaddle-standin", f.write(name+".json", map[string]any{
+		f.startProcess(name, "dillsaddle-standin", f.writeJSON(name+".json", map[string]any{
 			"role":    "service",
 			"address": address.String(),
 		}))
@@ -145,33 +146,33 @@
 	for i := range f.boxes {
 		f.StartBox(i)
 	}
-	if f.ways != nil {
-		if err := f.listed(30 * time.Second); err != nil {
+	if f.links != nil {
+		if err := f.waitForLists(30 * time.Second); err != nil {
 			return err
 		}
 	}
-	return f.Ready(30 * time.Second)
+	return f.WaitReady(30 * time.Second)
 }
 
-func (f *Fleet) runPlatform(name string, address netip.AddrPort, list *core.List) {
-	f.run(name, "dillsaddle-standin", f.write(name+".json", map[string]any{
+func (f *Fleet) startPlatform(name string, address netip.AddrPort, list *core.List) {
+	f.startProcess(name, "dillsaddle-standin", f.writeJSON(name+".json", map[string]any{
 		"role":    "platform",
 		"address": address.String(),
-		"config":  f.write("config.json", f.config),
-		"list":    f.write(name+"-list.json", list),
+		"config":  f.writeJSON("config.json", f.config),
+		"list":    f.writeJSON(name+"-list.json", list),
 	}))
 }
 
 // StartBox starts the three processes of a box.
 func (f *Fleet) StartBox(i int) {
 	b := &f.boxes[i]
-	file := f.write(b.Name+".json", b)
+	file := f.writeJSON(b.Name+".json", b)
 	for _, part := range []string{"watch", "scheduler", "entry"} {
-		f.run(b.Name+"-"+part, "dillsaddle-"+part, file)
+		f.startProcess(b.Name+"-"+part, "dillsaddle-"+part, file)
 	}
 }
 
-func (f *Fleet) run(name, program, file string) {
+func (f *Fleet) startProcess(name, program, file string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := exec.Command(filepath.Join(f.programs, program), "-settings", file)
@@ -183,7 +184,7 @@
 	if err := c.Start(); err != nil {
 		panic(err)
 	}
-	r := &running{
+	r := &process{
 		command: c,
 		program: program,
 		file:    file,
@@ -206,8 +207,8 @@
 	}
 }
 
-// Ended waits until a process has ended.
-func (f *Fleet) Ended(name string, within time.Duration) bool {
+// WaitExit waits for a process to exit and reports whether it did within the time.
+func (f *Fleet) WaitExit(name string, within time.Duration) bool {
 	f.mu.Lock()
 	r := f.processes[name]
 	f.mu.Unlock()
@@ -219,17 +220,17 @@
 	}
 }
 
-// Restart starts a process anew after it ended.
+// Restart waits for a process to exit and starts it again.
 func (f *Fleet) Restart(name string) {
 	f.mu.Lock()
 	r := f.processes[name]
 	f.mu.Unlock()
 	<-r.done
-	f.run(name, r.program, r.file)
+	f.startProcess(name, r.program, r.file)
 }
 
-// Ready waits until every box can serve a stream.
-func (f *Fleet) Ready(within time.Duration) error {
+// WaitReady waits until every box is ready to serve streams.
+func (f *Fleet) WaitReady(within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for i := range f.boxes {
 		for {
@@ -238,7 +239,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errors.Errorf("%s is not ready: %s %v; ended by themselves: %s", f.boxes[i].Name, text, err, f.ended())
+				return errors.Errorf("%s is not ready: %s %v; processes that exited: %s", f.boxes[i].Name, text, err, f.exitedLogs())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -246,8 +247,8 @@
 	return nil
 }
 
-// ended gives the logs of the processes that have ended.
-func (f *Fleet) ended() string {
+// exitedLogs returns the logs of the processes that have exited.
+func (f *Fleet) exitedLogs() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text := ""
@@ -262,12 +263,12 @@
 	return text
 }
 
-// Close ends everything and removes the fleet's folder.
+// Close kills all processes and removes the fleet's folder.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ways != nil {
-		f.ways.close()
+	if f.links != nil {
+		f.links.close()
 	}
 	for _, r := range f.processes {
 		_ = r.command.Process.Signal(syscall.SIGCONT)
--- a/proof/metrics.go
+++ b/proof/metrics.go
@@ -18,10 +18,10 @@
 	"dillsaddle.example/dillsaddle/events"
 )
 
-// Metrics are a process's own metrics.
+// Metrics are the metrics of a process by name and labels.
 type Metrics map[string]float64
 
-// Sum adds the values of a metric over its labels.
+// Sum returns the sum of a metric's values over its labels.
 func (m Metrics) Sum(name string) float64 {
 	sum := 0.0
 	for key, value := range m {
@@ -32,9 +32,9 @@
 	return sum
 }
 
-// Quantile gives the upper bound of the bucket in which a part of a histogram's
-// values ends.
-func (m Metrics) Quantile(name string, part float64) float64 {
+// Quantile returns the upper bound of the histogram bucket that contains the given
+// quantile.
+func (m Metrics) Quantile(name string, fraction float64) float64 {
 	type bucket struct{ bound, count float64 }
 	var all []bucket
 	for key, count := range m {
@@ -49,7 +49,7 @@
 	}
 	slices.SortFunc(all, func(a, b bucket) int { return cmp.Compare(a.bound, b.bound) })
 	for _, b := range all {
-		if b.count >= part*all[len(all)-1].count {
+		if b.count >= fraction*all[len(all)-1].count {
 			return b.bound
 		}
 	}
@@ -57,12 +57,12 @@
 }
 
 // Metrics reads the metrics of a box's process.
-func (f *Fleet) Metrics(i int, part string) (Metrics, error) {
+func (f *Fleet) Metrics(i int, process string) (Metrics, error) {
 	address := map[string]netip.AddrPort{
 		"entry":     f.boxes[i].Admin,
-		"scheduler": f.boxes[i].SAdm,
-		"watch":     f.boxes[i].WAdm,
-	}[part]
+		"scheduler": f.boxes[i].SchedulerAdmin,
+		"watch":     f.boxes[i].WatchAdmin,
+	}[process]
 	_, body, err := f.get(address, "/metrics")
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	m := make(Metrics)
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	for lines.Scan() {
-		name, value, found := cutLast(lines.Text())
+		name, value, found := splitLast(lines.Text())
 		if number, err := strconv.ParseFloat(value, 64); found && err == nil {
 			m[name] = number
 		}
@@ -78,7 +78,8 @@
 	return m, lines.Err()
 }
 
-func cutLast(line string) (name, value string, found bool) {
+// splitLast splits a line at its last space.
+func splitLast(line string) (name, value string, found bool) {
 	at := strings.LastIndexByte(line, ' ')
 	if at < 0 {
 		return "", "", false
@@ -86,8 +87,8 @@
 	return line[:at], line[at+1:], true
 }
 
-// DiscardStream reads one stream to its end without looking at its events, and gives
-// its bytes; it costs the caller little, so that the entry is what is measured.
+// DiscardStream reads one stream to its end without decoding its events and returns its
+// size in bytes. It uses little CPU, so that measurements show the entry's cost.
 func (f *Fleet) DiscardStream(ctx context.Context, boxIndex int) (int64, error) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod("POST")
@@ -101,9 +102,9 @@
 	return io.Copy(io.Discard, resp.BodyStream())
 }
 
-// ReadDirect reads one stream from an engine, with no part of the system between.
+// ReadDirect reads one stream directly from an engine.
 func (f *Fleet) ReadDirect(ctx context.Context, engine int) (*Stream, error) {
-	s := &Stream{began: time.Now()}
+	s := &Stream{startedAt: time.Now()}
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod("POST")
 	req.SetRequestURI("http://" + f.engines[engine].String() + "/v1/completions")
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -18,36 +18,36 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// Stream is what a caller received of one stream.
+// Stream is one stream as its caller received it.
 type Stream struct {
 	ID               string
 	Generation       string
 	Tokens           []string
-	LastEvent        string
-	Done             bool
+	LastEvent        string // id of the last event
+	Done             bool   // the event [DONE] was received
 	Outcome          string
-	Code             string
+	Code             string // code of the stream's error, empty if it had none
 	Status           int
-	Body             string
+	Body             string // body of a response that is not a stream
 	TimeToFirstToken time.Duration
 	Gaps             []float64 // seconds between tokens
-	began            time.Time
-	last             time.Time
-	sharedIDs        int   // events with the id of the one before
+	startedAt        time.Time
+	lastTokenAt      time.Time
+	repeatedIDs      int   // events with the same id as the previous event
 	progress         int32 // a streamProgress, read and written atomically
 }
 
-// streamProgress says how far a stream is, as its caller sees it.
+// streamProgress is the progress of a stream as its caller sees it.
 type streamProgress = int32
 
-// A stream waits for its first token, is under way, and has ended.
+// A stream waits for its first token, then receives tokens, then has ended.
 const (
-	streamWaits streamProgress = iota
-	streamUnderWay
+	streamWaiting streamProgress = iota
+	streamRunning
 	streamEnded
 )
 
-// streamChunk is the part of an event that a caller reads.
+// streamChunk holds the fields of an event that a caller reads.
 type streamChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -60,43 +60,45 @@
 	Outcome string `json:"Dillsaddle-Outcome"`
 }
 
-// longestStream bounds a caller's patience.
-const longestStream = 2 * time.Minute
+// streamTimeout bounds how long a caller waits for the end of a stream.
+const streamTimeout = 2 * time.Minute
 
-// ReadStream begins a stream at a box and reads it to its end, or until the context
-// ends it.
+// ReadStream starts a stream at a box and reads it until it ends or the context is
+// cancelled.
 func (f *Fleet) ReadStream(ctx context.Context, boxIndex int, headers map[string]string) (*Stream, error) {
-	s := &Stream{began: time.Now()}
-	return s, f.open(ctx, s, boxIndex, headers)
+	s := &Stream{startedAt: time.Now()}
+	return s, f.readStream(ctx, s, boxIndex, headers)
 }
 
-func (f *Fleet) open(ctx context.Context, s *Stream, boxIndex int, headers map[string]string) error {
+func (f *Fleet) readStream(ctx context.Context, s *Stream, boxIndex int, headers map[string]string) error {
 	defer atomic.StoreInt32(&s.progress, streamEnded)
 	body := fmt.Sprintf(`{"model":%q,"prompt":"a prompt","stream":true}`, Model)
-	return f.read(ctx, s, boxIndex, "POST", "/v1/completions", headers, []byte(body))
+	return f.readEvents(ctx, s, boxIndex, "POST", "/v1/completions", headers, []byte(body))
 }
 
-// Continue goes on with a stream at a box after the caller's last event.
+// Continue resumes a stream through a box after the last event that the caller received.
 func (f *Fleet) Continue(ctx context.Context, s *Stream, boxIndex int) error {
-	return f.read(ctx, s, boxIndex, "GET", "/v1/streams/"+s.ID, map[string]string{"Last-Event-ID": s.LastEvent}, nil)
+	return f.readEvents(ctx, s, boxIndex, "GET", "/v1/streams/"+s.ID, map[string]string{"Last-Event-ID": s.LastEvent}, nil)
 }
 
-type openedKey struct{}
+type streamIDKey struct{}
 
-// WithID has a stream's id sent to a channel as soon as it is known.
-func WithID(ctx context.Context, opened chan string) context.Context {
-	return context.WithValue(ctx, openedKey{}, opened)
+// WithStreamID returns a context that makes a stream send its id to a channel as soon
+// as it is known.
+func WithStreamID(ctx context.Context, opened chan string) context.Context {
+	return context.WithValue(ctx, streamIDKey{}, opened)
 }
 
 type firstTokenKey struct{}
 
-// WithFirstToken has a function called when a stream's first token is there.
+// WithFirstToken returns a context that makes a stream call a function at its first
+// token.
 func WithFirstToken(ctx context.Context, first func()) context.Context {
 	return context.WithValue(ctx, firstTokenKey{}, first)
 }
 
-func (f *Fleet) read(ctx context.Context, s *Stream, boxIndex int, method, path string, headers map[string]string, body []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, longestStream)
+func (f *Fleet) readEvents(ctx context.Context, s *Stream, boxIndex int, method, path string, headers map[string]string, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(method)
@@ -118,7 +120,7 @@
 		return nil
 	}
 	s.ID = resp.Header.Get("Dillsaddle-Request")
-	if opened, ok := ctx.Value(openedKey{}).(chan string); ok {
+	if opened, ok := ctx.Value(streamIDKey{}).(chan string); ok {
 		opened <- s.ID
 	}
 	first, _ := ctx.Value(firstTokenKey{}).(func())
@@ -132,9 +134,10 @@
 	})
 }
 
+// event records an event that the caller received.
 func (s *Stream) event(e *sse.Event) error {
 	if e.ID == s.LastEvent {
-		s.sharedIDs++
+		s.repeatedIDs++
 	}
 	s.LastEvent = strings.Clone(e.ID)
 	if string(e.Data) == "[DONE]" {
@@ -143,7 +146,7 @@
 	}
 	var c streamChunk
 	if err := json.Unmarshal(e.Data, &c); err != nil {
-		return errors.Wrap(err, "read an event")
+		return errors.Wrap(err, "decode an event")
 	}
 	if c.Outcome != "" {
 		s.Outcome = c.Outcome
@@ -156,26 +159,27 @@
 		s.Generation = c.ID
 	}
 	if len(c.Choices) > 0 && c.Choices[0].Text != "" {
-		s.token(c.Choices[0].Text)
+		s.addToken(c.Choices[0].Text)
 	}
 	return nil
 }
 
-func (s *Stream) token(text string) {
+// addToken records a token and the time since the previous one.
+func (s *Stream) addToken(text string) {
 	now := time.Now()
 	if len(s.Tokens) == 0 {
-		atomic.StoreInt32(&s.progress, streamUnderWay)
-		s.TimeToFirstToken = now.Sub(s.began)
+		atomic.StoreInt32(&s.progress, streamRunning)
+		s.TimeToFirstToken = now.Sub(s.startedAt)
 	} else {
-		s.Gaps = append(s.Gaps, now.Sub(s.last).Seconds())
+		s.Gaps = append(s.Gaps, now.Sub(s.lastTokenAt).Seconds())
 	}
-	s.last = now
+	s.lastTokenAt = now
 	s.Tokens = append(s.Tokens, strings.TrimSpace(text))
 }
 
-// Check judges what the caller received against the engines' records: every
-// token once, in order, of one generation; all of them if the stream was given
-// as whole.
+// Check compares the tokens that the caller received with the engines' records: each
+// token arrived once, in order and from one generation, and none is missing if the
+// stream completed.
 func (s *Stream) Check(records []standin.Record) error {
 	tag := standin.GenerationTag(s.Generation)
 	for n, token := range s.Tokens {
@@ -183,27 +187,27 @@
 			return errors.Errorf("token %d of %s is %q", n, s.Generation, token)
 		}
 	}
-	if s.sharedIDs > 0 {
-		return errors.Errorf("%d events of %s had the id of the one before", s.sharedIDs, s.Generation)
+	if s.repeatedIDs > 0 {
+		return errors.Errorf("%d events of %s had the same id as the previous event", s.repeatedIDs, s.Generation)
 	}
 	if s.Code != "" || s.Outcome != "ran" {
 		return nil
 	}
 	for _, r := range records {
-		if made, here := r.Tokens[s.Generation]; here {
+		if made, found := r.Tokens[s.Generation]; found {
 			if made != len(s.Tokens) {
-				return errors.Errorf("%d of %d tokens were given as the whole answer", len(s.Tokens), made)
+				return errors.Errorf("%d of %d tokens were delivered as the complete answer", len(s.Tokens), made)
 			}
 			return nil
 		}
 	}
-	return errors.Errorf("no engine's record has the generation %s", s.Generation)
+	return errors.Errorf("no engine has recorded generation %s", s.Generation)
 }
 
-// Whole reports whether the stream came to its end without an error.
-func (s *Stream) Whole() bool { return s.Done && s.Code == "" && s.Outcome == "ran" }
+// IsComplete reports whether the stream ended without an error.
+func (s *Stream) IsComplete() bool { return s.Done && s.Code == "" && s.Outcome == "ran" }
 
-// Records gives the records of the engines that answer.
+// Records returns the records of all engines that respond.
 func (f *Fleet) Records() []standin.Record {
 	var all []standin.Record
 	for i := range f.engines {
@@ -214,26 +218,26 @@
 	return all
 }
 
-// Many opens streams side by side over the boxes and calls a function when all
-// have begun, as their callers see it; it gives the streams when all have ended.
-func (f *Fleet) Many(count int, begun func()) []*Stream {
-	streams, wait := f.openAll(count, func(i int) int { return i % len(f.boxes) })
-	until(longestStream, func() bool { return countProgress(streams, streamWaits) == 0 })
+// RunStreams runs streams concurrently, spread over the boxes, and returns them when all
+// have ended. It calls begun once no stream waits for its first token any more.
+func (f *Fleet) RunStreams(count int, begun func()) []*Stream {
+	streams, wait := f.startStreams(count, func(i int) int { return i % len(f.boxes) })
+	waitUntil(streamTimeout, func() bool { return countInState(streams, streamWaiting) == 0 })
 	begun()
 	wait()
 	return streams
 }
 
-// openAll opens streams side by side and gives them with a function that waits
-// for their ends.
-func (f *Fleet) openAll(count int, box func(int) int) ([]*Stream, func()) {
+// startStreams starts streams concurrently and returns them with a function that waits
+// until all have ended.
+func (f *Fleet) startStreams(count int, box func(int) int) ([]*Stream, func()) {
 	streams := make([]*Stream, count)
 	var wait sync.WaitGroup
 	for i := range streams {
-		s := &Stream{began: time.Now()}
+		s := &Stream{startedAt: time.Now()}
 		streams[i] = s
 		wait.Go(func() {
-			if err := f.open(context.Background(), s, box(i), nil); err != nil && s.Code == "" {
+			if err := f.readStream(context.Background(), s, box(i), nil); err != nil && s.Code == "" {
 				s.Code = "link: " + err.Error()
 			}
 		})
@@ -241,7 +245,8 @@
 	return streams, wait.Wait
 }
 
-func countProgress(streams []*Stream, p streamProgress) int {
+// countInState counts the streams with the given progress.
+func countInState(streams []*Stream, p streamProgress) int {
 	n := 0
 	for _, s := range streams {
 		if atomic.LoadInt32(&s.progress) == p {
@@ -251,5 +256,5 @@
 	return n
 }
 
-// settle is the time in which a published document has been read and refused.
-const settle = 700 * time.Millisecond
+// configSettleTime is enough time for every box to read and reject a published document.
+const configSettleTime = 700 * time.Millisecond
