--- a/soak/fault.go
+++ b/soak/fault.go
@@ -12,16 +12,16 @@
 // injector brings about a series of faults that may overlap; the same seed
 // gives the same series.
 type injector struct {
-	fleet   *fleet
-	r       *rand.Rand
-	planned bool // planned work only
-	done    []string
-	version uint64
-	last    *emulator.Document // that was published
-	undo    []func()
-	storeAt []time.Time // when the store or a link to it was troubled
-	revoked time.Time
-	ends    []string // boxes that ended by themselves
+	fleet           *fleet
+	r               *rand.Rand
+	planned         bool // planned work only
+	descriptions    []string
+	version         uint64
+	lastPublished   *emulator.Document // that was published
+	undo            []func()
+	storeFaultTimes []time.Time // when the store or a link to it was troubled
+	keyRevokedAt    time.Time
+	unexpectedExits []string // boxes that ended by themselves
 }
 
 func newInjector(f *fleet, seed uint64, planned bool) *injector {
@@ -33,14 +33,14 @@
 	}
 }
 
-func (i *injector) say(format string, args ...any) {
-	i.done = append(i.done, fmt.Sprintf(format, args...))
+func (i *injector) recordFault(format string, args ...any) {
+	i.descriptions = append(i.descriptions, fmt.Sprintf(format, args...))
 }
 
-// inject brings about one fault, and gives what ends it.
-func (i *injector) inject() {
-	plannedWork := []func(){i.stopBox, i.drainServer, i.publish, i.hup}
-	unplanned := []func(){i.killBox, i.pauseBox, i.troubleServer, i.faultServer, i.crashServer, i.troubleStore, i.cutStore, i.unlistServer, i.compact}
+// injectRandom brings about one fault, and gives what ends it.
+func (i *injector) injectRandom() {
+	plannedWork := []func(){i.stopBox, i.drainServer, i.publishConfiguration, i.reloadBox}
+	unplanned := []func(){i.killBox, i.pauseBox, i.faultServerLink, i.faultServer, i.crashServer, i.faultStore, i.cutStoreLink, i.unlistServer, i.compactStore}
 	all := plannedWork
 	if !i.planned {
 		all = append(all, unplanned...)
@@ -48,107 +48,107 @@
 	all[i.r.IntN(len(all))]()
 }
 
-func (i *injector) box() *member { return i.fleet.boxes[i.r.IntN(len(i.fleet.boxes))] }
+func (i *injector) randomBox() *boxProcess { return i.fleet.boxes[i.r.IntN(len(i.fleet.boxes))] }
 
-// startupTime is how long a process may still be without its signal handlers;
+// maxStartupTime is how long a process may still be without its signal handlers;
 // the runtime starts in some milliseconds, more on a busy machine.
-const startupTime = 2 * time.Second
+const maxStartupTime = 2 * time.Second
 
-// revive starts boxes again that ended by themselves, as the platform does. A
+// restartExited starts boxes again that ended by themselves, as the platform does. A
 // signal may end a process that is just starting; any other end is a finding.
-func (i *injector) revive() {
+func (i *injector) restartExited() {
 	for _, b := range i.fleet.boxes {
-		died, after := b.died()
-		if !died {
+		exitedUnasked, uptime := b.exitedUnasked()
+		if !exitedUnasked {
 			continue
 		}
-		i.say("%s ended by itself", b.settings.Name)
-		if after > startupTime {
-			i.ends = append(i.ends, fmt.Sprintf("%s ended by itself %s after its start", b.settings.Name, after))
+		i.recordFault("%s ended by itself", b.settings.Name)
+		if uptime > maxStartupTime {
+			i.unexpectedExits = append(i.unexpectedExits, fmt.Sprintf("%s ended by itself %s after its start", b.settings.Name, uptime))
 		}
 		if err := b.start(i.fleet.program); err != nil {
-			i.say("%s did not start: %v", b.settings.Name, err)
+			i.recordFault("%s did not start: %v", b.settings.Name, err)
 		}
 	}
 }
 
-// server gives a server that still works, of a service of which another is
+// randomServer gives a server that still works, of a service of which another is
 // left.
-func (i *injector) server() *listed {
+func (i *injector) randomServer() *listedServer {
 	for {
 		s := i.fleet.servers[i.r.IntN(len(i.fleet.servers))]
-		if s.left.IsZero() {
+		if s.leavingSince.IsZero() {
 			return s
 		}
 	}
 }
 
 func (i *injector) stopBox() {
-	b := i.box()
-	i.say("SIGTERM to %s", b.settings.Name)
+	b := i.randomBox()
+	i.recordFault("SIGTERM to %s", b.settings.Name)
 	b.signal(syscall.SIGTERM)
 	if i.r.IntN(3) == 0 {
 		b.signal(syscall.SIGTERM)
 	}
-	i.restartLater(b, (graceSeconds+1)*time.Second)
+	i.restartAfterExit(b, (graceSeconds+1)*time.Second)
 }
 
-// restartLater starts a box again once its process has ended; one that doesn't
+// restartAfterExit starts a box again once its process has ended; one that doesn't
 // leave in its time is killed, as the platform does.
-func (i *injector) restartLater(b *member, most time.Duration) {
-	exited := b.gone()
-	b.awaitRestart()
+func (i *injector) restartAfterExit(b *boxProcess, timeout time.Duration) {
+	exited := b.exitChannel()
+	b.markRestarting()
 	i.undo = append(i.undo, func() {
 		select {
 		case <-exited:
-		case <-time.After(most):
+		case <-time.After(timeout):
 			b.signal(syscall.SIGKILL)
 			<-exited
 		}
-		if b.gone() == exited {
+		if b.exitChannel() == exited {
 			if err := b.start(i.fleet.program); err != nil {
-				i.say("%s did not start: %v", b.settings.Name, err)
+				i.recordFault("%s did not start: %v", b.settings.Name, err)
 			}
 		}
 	})
 }
 
 func (i *injector) killBox() {
-	b := i.box()
-	i.say("SIGKILL to %s", b.settings.Name)
+	b := i.randomBox()
+	i.recordFault("SIGKILL to %s", b.settings.Name)
 	b.signal(syscall.SIGKILL)
-	i.restartLater(b, time.Second)
+	i.restartAfterExit(b, time.Second)
 }
 
 func (i *injector) pauseBox() {
-	b := i.box()
-	i.say("SIGSTOP to %s", b.settings.Name)
+	b := i.randomBox()
+	i.recordFault("SIGSTOP to %s", b.settings.Name)
 	b.signal(syscall.SIGSTOP)
 	i.undo = append(i.undo, func() { b.signal(syscall.SIGCONT) })
 }
 
-func (i *injector) hup() {
-	b := i.box()
-	i.say("SIGHUP to %s", b.settings.Name)
+func (i *injector) reloadBox() {
+	b := i.randomBox()
+	i.recordFault("SIGHUP to %s", b.settings.Name)
 	b.signal(syscall.SIGHUP)
 }
 
-func (i *injector) troubleServer() {
-	s := i.server()
-	t := []Trouble{Delayed, Reset, Silent, OneWay, Slowed}[i.r.IntN(5)]
-	i.say("link to %s %s", s.ID, t)
-	s.hurt = true
-	s.proxy.Set(t)
-	i.undo = append(i.undo, func() { s.proxy.Set(Clear) })
+func (i *injector) faultServerLink() {
+	s := i.randomServer()
+	fault := []LinkFault{Delayed, Reset, Silent, OneWay, Trickled}[i.r.IntN(5)]
+	i.recordFault("link to %s %s", s.ID, fault)
+	s.disturbed = true
+	s.proxy.Set(fault)
+	i.undo = append(i.undo, func() { s.proxy.Set(NoFault) })
 }
 
 func (i *injector) faultServer() {
-	s := i.server()
+	s := i.randomServer()
 	all := []emulator.Fault{emulator.Cut, emulator.Reset, emulator.Mute, emulator.Garble, emulator.Extra, emulator.Trailing,
 		emulator.Unframed, emulator.Fails, emulator.Shed, emulator.Lies, emulator.Unsigned, emulator.Elsewhere}
 	fault := all[i.r.IntN(len(all))]
-	i.say("%s answers with the fault %s", s.ID, fault)
-	s.hurt = true
+	i.recordFault("%s answers with the fault %s", s.ID, fault)
+	s.disturbed = true
 	s.SetFault(fault, 8)
 	i.undo = append(i.undo, func() { s.SetFault(emulator.Well, 0) })
 }
@@ -156,89 +156,89 @@
 // drainServer replaces a server as planned: it is listed as leaving, serves on,
 // and ends.
 func (i *injector) drainServer() {
-	s := i.server()
-	i.say("%s drains", s.ID)
+	s := i.randomServer()
+	i.recordFault("%s drains", s.ID)
 	i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
-	s.left = time.Now()
+	s.leavingSince = time.Now()
 	s.announce(func(n *emulator.Notice) { n.Leaving = true })
 	if _, err := i.fleet.addServer(s.service); err != nil {
-		i.say("no new server: %v", err)
+		i.recordFault("no new server: %v", err)
 	}
 }
 
 func (i *injector) unlistServer() {
-	s := i.server()
-	i.say("%s goes from the list", s.ID)
+	s := i.randomServer()
+	i.recordFault("%s goes from the list", s.ID)
 	i.fleet.deployment.Unlist(s.ID)
-	s.left = time.Now()
-	s.hurt = true
+	s.leavingSince = time.Now()
+	s.disturbed = true
 	if _, err := i.fleet.addServer(s.service); err != nil {
-		i.say("no new server: %v", err)
+		i.recordFault("no new server: %v", err)
 	}
 }
 
 func (i *injector) crashServer() {
-	s := i.server()
-	i.say("%s crashes", s.ID)
+	s := i.randomServer()
+	i.recordFault("%s crashes", s.ID)
 	s.Crash()
-	s.hurt = true
-	i.unlist(s)
+	s.disturbed = true
+	i.replaceServer(s)
 }
 
-func (i *injector) unlist(s *listed) {
+func (i *injector) replaceServer(s *listedServer) {
 	i.fleet.deployment.Unlist(s.ID)
-	s.left = time.Now()
+	s.leavingSince = time.Now()
 	if _, err := i.fleet.addServer(s.service); err != nil {
-		i.say("no new server: %v", err)
+		i.recordFault("no new server: %v", err)
 	}
 }
 
-func (i *injector) publish() {
+func (i *injector) publishConfiguration() {
 	i.version += 1 + uint64(i.r.IntN(3))
-	i.say("configuration %d", i.version)
+	i.recordFault("configuration %d", i.version)
 	document := emulator.NewDocument(i.version)
-	if i.r.IntN(2) == 0 || !i.revoked.IsZero() {
+	if i.r.IntN(2) == 0 || !i.keyRevokedAt.IsZero() {
 		// The second customer loses its key, for good.
 		document.Tenants = document.Tenants[:1]
-		if i.revoked.IsZero() {
-			i.revoked = time.Now()
+		if i.keyRevokedAt.IsZero() {
+			i.keyRevokedAt = time.Now()
 		}
 	}
-	i.last = document
+	i.lastPublished = document
 	i.fleet.deployment.Publish(document)
 }
 
-// publishAgain writes the last configuration once more, which the store may have lost.
-func (i *injector) publishAgain() {
-	if i.last != nil {
-		i.fleet.deployment.Publish(i.last)
+// republish writes the last configuration once more, which the store may have lost.
+func (i *injector) republish() {
+	if i.lastPublished != nil {
+		i.fleet.deployment.Publish(i.lastPublished)
 	}
 }
 
-func (i *injector) troubleStore() {
+func (i *injector) faultStore() {
 	fault := []emulator.StoreFault{emulator.StoreBusy, emulator.StoreMany, emulator.StoreSilent, emulator.StoreReset}[i.r.IntN(4)]
-	i.say("store %s", fault)
+	i.recordFault("store %s", fault)
 	i.fleet.deployment.Store.SetFault(fault, 0)
-	i.storeAt = append(i.storeAt, time.Now())
+	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	i.undo = append(i.undo, func() {
 		i.fleet.deployment.Store.SetFault(emulator.StoreWell, 0)
-		i.storeAt = append(i.storeAt, time.Now())
+		i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	})
 }
 
-func (i *injector) cutStore() {
-	b := i.box()
-	t := []Trouble{Reset, Silent, OneWay}[i.r.IntN(3)]
-	i.say("store to %s %s", b.settings.Name, t)
-	i.storeAt = append(i.storeAt, time.Now())
-	b.store.Set(t)
+func (i *injector) cutStoreLink() {
+	b := i.randomBox()
+	fault := []LinkFault{Reset, Silent, OneWay}[i.r.IntN(3)]
+	i.recordFault("store to %s %s", b.settings.Name, fault)
+	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
+	b.storeProxy.Set(fault)
 	i.undo = append(i.undo, func() {
-		b.store.Set(Clear)
-		i.storeAt = append(i.storeAt, time.Now())
+		b.storeProxy.Set(NoFault)
+		i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	})
 }
 
-func (i *injector) compact() {
-	i.say("the store drops its history")
+func (i *injector) compactStore() {
+	i.recordFault("the store drops its history")
 	i.fleet.deployment.Store.Compact()
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -17,58 +17,58 @@
 )
 
 const (
-	// fewBoxes are the usual size; where there are more, they stand in several zones, and
+	// defaultBoxes are the usual size; where there are more, they stand in several zones, and
 	// work in groups of these when there are many.
-	fewBoxes    = 3
-	zoneCount   = 3
-	plainCount  = 3
-	engineCount = 4
+	defaultBoxes      = 3
+	zoneCount         = 3
+	plainServerCount  = 3
+	engineServerCount = 4
 	// graceSeconds is how long a stopping box has; streams last less here.
 	graceSeconds = 6
-	// readyTime bounds the wait for a box that starts.
-	readyTime = 20 * time.Second
+	// readyTimeout bounds the wait for a box that starts.
+	readyTimeout = 20 * time.Second
 	// streamEvents and eventGap make a stream last about two seconds.
 	streamEvents = 40
 	eventGap     = 50 * time.Millisecond
 	workTime     = 15 * time.Millisecond
 )
 
-// member is one box: its process, and its own link to the store.
-type member struct {
-	settings emulator.BoxSettings
-	path     string
-	metrics  string
-	store    *Proxy
-	log      *os.File
+// boxProcess is one box: its process, and its own link to the store.
+type boxProcess struct {
+	settings       emulator.BoxSettings
+	settingsPath   string
+	metricsAddress string
+	storeProxy     *FaultProxy
+	log            *os.File
 
-	mu      sync.Mutex
-	process *exec.Cmd
-	exited  chan struct{}
-	started time.Time
-	ended   time.Time
-	pending bool        // its restart is under way
-	stopped []time.Time // when it was told to stop
-	hurt    []time.Time // when something unplanned happened to it
+	mu           sync.Mutex
+	process      *exec.Cmd
+	exited       chan struct{}
+	startedAt    time.Time
+	exitedAt     time.Time
+	restarting   bool        // its restart is under way
+	stopTimes    []time.Time // when it was told to stop
+	disturbances []time.Time // when something unplanned happened to it
 }
 
-// listed is one server and the proxy before it.
-type listed struct {
+// listedServer is one server and the proxy before it.
+type listedServer struct {
 	*emulator.Server
-	proxy   *Proxy
-	service string
-	left    time.Time // when its leaving was published
-	hurt    bool
-	notice  emulator.Notice
+	proxy        *FaultProxy
+	service      string
+	leavingSince time.Time // when its leaving was published
+	disturbed    bool
+	notice       emulator.Notice
 }
 
 // fleet is all that a run starts.
 type fleet struct {
-	program    string
-	folder     string
-	deployment *emulator.Deployment
-	boxes      []*member
-	servers    []*listed
-	next       int
+	program          string
+	folder           string
+	deployment       *emulator.Deployment
+	boxes            []*boxProcess
+	servers          []*listedServer
+	lastServerNumber int
 }
 
 func startFleet(program, folder string, boxes int) (*fleet, error) {
@@ -81,12 +81,12 @@
 		folder:     folder,
 		deployment: d,
 	}
-	for range plainCount {
+	for range plainServerCount {
 		if _, err := f.addServer(emulator.Plain); err != nil {
 			return f, err
 		}
 	}
-	for range engineCount {
+	for range engineServerCount {
 		if _, err := f.addServer(emulator.Model); err != nil {
 			return f, err
 		}
@@ -94,19 +94,19 @@
 	return f, f.startBoxes(boxes)
 }
 
-func (f *fleet) addServer(service string) (*listed, error) {
-	f.next++
-	s, err := emulator.NewServer(fmt.Sprintf("i-%s-%d", service, f.next), "127.0.0.1:0")
+func (f *fleet) addServer(service string) (*listedServer, error) {
+	f.lastServerNumber++
+	s, err := emulator.NewServer(fmt.Sprintf("i-%s-%d", service, f.lastServerNumber), "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s.Events, s.EventGap, s.WorkTime = streamEvents, eventGap, workTime
-	s.Deadly = deadlyBody
-	proxy, err := NewProxy(s.Address())
+	s.Deadly = crashBody
+	proxy, err := NewFaultProxy(s.Address())
 	if err != nil {
 		return nil, err
 	}
-	l := &listed{
+	l := &listedServer{
 		Server:  s,
 		proxy:   proxy,
 		service: service,
@@ -124,11 +124,11 @@
 	}
 	for i := range count {
 		own := addresses[4*i : 4*i+4]
-		proxy, err := NewProxy(f.deployment.StoreAddr)
+		proxy, err := NewFaultProxy(f.deployment.StoreAddr)
 		if err != nil {
 			return err
 		}
-		b := &member{
+		b := &boxProcess{
 			settings: emulator.BoxSettings{
 				Name:  fmt.Sprintf("box-%d", i),
 				Zone:  zoneOf(i, count),
@@ -139,10 +139,10 @@
 				Seeds: []string{addresses[2], addresses[6]},
 				Grace: graceSeconds,
 			},
-			metrics: own[3],
-			store:   proxy,
+			metricsAddress: own[3],
+			storeProxy:     proxy,
 		}
-		if b.path, err = b.settings.Write(f.folder); err != nil {
+		if b.settingsPath, err = b.settings.Write(f.folder); err != nil {
 			return err
 		}
 		if b.log, err = os.Create(filepath.Join(f.folder, b.settings.Name+".log")); err != nil {
@@ -154,7 +154,7 @@
 		}
 	}
 	for _, b := range f.boxes {
-		if err := emulator.WaitReady(b.settings.Ready, readyTime); err != nil {
+		if err := emulator.WaitReady(b.settings.Ready, readyTimeout); err != nil {
 			return err
 		}
 	}
@@ -163,22 +163,22 @@
 
 // zoneOf gives the zone of a box; a few boxes stand in one.
 func zoneOf(box, count int) string {
-	if count <= fewBoxes {
+	if count <= defaultBoxes {
 		return ""
 	}
 	return fmt.Sprintf("zone-%c", 'a'+box%zoneCount)
 }
 
 // start starts the box's process.
-func (b *member) start(program string) error {
-	_, port, err := net.SplitHostPort(b.metrics)
+func (b *boxProcess) start(program string) error {
+	_, port, err := net.SplitHostPort(b.metricsAddress)
 	if err != nil {
 		return err
 	}
 	if _, err := strconv.Atoi(port); err != nil {
 		return err
 	}
-	c := exec.Command(program, "-settings", b.path, "-metrics-port", port)
+	c := exec.Command(program, "-settings", b.settingsPath, "-metrics-port", port)
 	c.Stdout = b.log
 	c.Stderr = b.log
 	if err := c.Start(); err != nil {
@@ -189,7 +189,7 @@
 		// How a box ended is read from its log.
 		_ = c.Wait()
 		b.mu.Lock()
-		b.ended = time.Now()
+		b.exitedAt = time.Now()
 		b.mu.Unlock()
 		close(exited)
 	}()
@@ -197,47 +197,47 @@
 	defer b.mu.Unlock()
 	b.process = c
 	b.exited = exited
-	b.started = time.Now()
-	b.pending = false
+	b.startedAt = time.Now()
+	b.restarting = false
 	return nil
 }
 
 // signal sends a signal to the box's own process.
-func (b *member) signal(s syscall.Signal) {
+func (b *boxProcess) signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch s {
 	case syscall.SIGTERM:
-		b.stopped = append(b.stopped, time.Now())
+		b.stopTimes = append(b.stopTimes, time.Now())
 	case syscall.SIGKILL, syscall.SIGSTOP, syscall.SIGCONT:
-		b.hurt = append(b.hurt, time.Now())
+		b.disturbances = append(b.disturbances, time.Now())
 	}
 	// The process may have ended by itself a moment ago.
 	_ = b.process.Process.Signal(s)
 }
 
-// died tells whether the process ended by itself, and how long after its start.
-func (b *member) died() (bool, time.Duration) {
+// exitedUnasked tells whether the process ended by itself, and how long after its start.
+func (b *boxProcess) exitedUnasked() (bool, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.pending {
+	if b.restarting {
 		return false, 0
 	}
 	select {
 	case <-b.exited:
-		return true, b.ended.Sub(b.started)
+		return true, b.exitedAt.Sub(b.startedAt)
 	default:
 		return false, 0
 	}
 }
 
-func (b *member) awaitRestart() {
+func (b *boxProcess) markRestarting() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pending = true
+	b.restarting = true
 }
 
-func (b *member) gone() <-chan struct{} {
+func (b *boxProcess) exitChannel() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.exited
@@ -247,9 +247,9 @@
 	for _, b := range f.boxes {
 		if b.process != nil {
 			b.signal(syscall.SIGKILL)
-			<-b.gone()
+			<-b.exitChannel()
 		}
-		b.store.Close()
+		b.storeProxy.Close()
 		_ = b.log.Close()
 	}
 	for _, s := range f.servers {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,61 +7,61 @@
 	"time"
 )
 
-// Trouble is what a proxy does to the connections through it.
-type Trouble string
+// LinkFault is what a proxy does to the connections through it.
+type LinkFault string
 
 // The troubles of a link.
 const (
-	Clear   Trouble = ""
-	Delayed Trouble = "delayed"  // bytes wait a while, both ways
-	Reset   Trouble = "reset"    // open connections are reset, new ones too
-	Silent  Trouble = "silent"   // nothing goes through, nothing closes
-	OneWay  Trouble = "one way"  // requests go through, answers don't
-	Slowed  Trouble = "trickled" // bytes go through a few at a time
+	NoFault  LinkFault = ""
+	Delayed  LinkFault = "delayed"  // bytes wait a while, both ways
+	Reset    LinkFault = "reset"    // open connections are reset, new ones too
+	Silent   LinkFault = "silent"   // nothing goes through, nothing closes
+	OneWay   LinkFault = "one way"  // requests go through, answers don't
+	Trickled LinkFault = "trickled" // bytes go through a few at a time
 )
 
 const (
-	delay        = 150 * time.Millisecond
+	delayTime    = 150 * time.Millisecond
 	tricklePause = 5 * time.Millisecond
-	chunk        = 16 << 10
-	trickle      = 64
+	bufferSize   = 16 << 10
+	trickleSize  = 64
 )
 
-// Proxy is a link on loopback that can be troubled.
-type Proxy struct {
+// FaultProxy is a link on loopback that can be troubled.
+type FaultProxy struct {
 	target   string
 	listener net.Listener
 	mu       sync.Mutex
-	trouble  Trouble
+	fault    LinkFault
 	changed  chan struct{}
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 	closed   bool
 }
 
-// NewProxy starts a proxy before an address.
-func NewProxy(target string) (*Proxy, error) {
+// NewFaultProxy starts a proxy before an address.
+func NewFaultProxy(target string) (*FaultProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{
+	p := &FaultProxy{
 		target:   target,
 		listener: l,
 		changed:  make(chan struct{}),
-		open:     make(map[net.Conn]bool),
+		conns:    make(map[net.Conn]bool),
 	}
 	go p.accept()
 	return p, nil
 }
 
 // Address gives where the proxy listens.
-func (p *Proxy) Address() string { return p.listener.Addr().String() }
+func (p *FaultProxy) Address() string { return p.listener.Addr().String() }
 
 // Set changes the trouble; open connections have it too.
-func (p *Proxy) Set(t Trouble) {
+func (p *FaultProxy) Set(t LinkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trouble = t
+	p.fault = t
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if t == Reset {
@@ -69,8 +69,8 @@
 	}
 }
 
-func (p *Proxy) resetAll() {
-	for c := range p.open {
+func (p *FaultProxy) resetAll() {
+	for c := range p.conns {
 		reset(c)
 	}
 }
@@ -83,7 +83,7 @@
 }
 
 // Close ends the proxy and its connections.
-func (p *Proxy) Close() {
+func (p *FaultProxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -93,13 +93,13 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *Proxy) state() (Trouble, chan struct{}, bool) {
+func (p *FaultProxy) state() (LinkFault, chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.trouble, p.changed, p.closed
+	return p.fault, p.changed, p.closed
 }
 
-func (p *Proxy) accept() {
+func (p *FaultProxy) accept() {
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
@@ -109,40 +109,40 @@
 			reset(c)
 			continue
 		}
-		go p.link(c)
+		go p.relay(c)
 	}
 }
 
-func (p *Proxy) link(near net.Conn) {
-	far, err := net.Dial("tcp", p.target)
+func (p *FaultProxy) relay(client net.Conn) {
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	p.mu.Lock()
-	p.open[near], p.open[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go p.pump(near, far, true, done)
-	go p.pump(far, near, false, done)
+	go p.copyOneWay(client, server, true, done)
+	go p.copyOneWay(server, client, false, done)
 	<-done
 	<-done
 	p.mu.Lock()
-	delete(p.open, near)
-	delete(p.open, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
-	_ = near.Close()
-	_ = far.Close()
+	_ = client.Close()
+	_ = server.Close()
 }
 
-// pump carries bytes one way until that way ends; a reset on one side becomes
+// copyOneWay carries bytes one way until that way ends; a reset on one side becomes
 // a reset on the other.
-func (p *Proxy) pump(from, to net.Conn, forth bool, done chan struct{}) {
+func (p *FaultProxy) copyOneWay(from, to net.Conn, isRequest bool, done chan struct{}) {
 	defer func() { done <- struct{}{} }()
-	buffer := make([]byte, chunk)
+	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && (!p.pass(forth) || !p.write(to, buffer[:n])) {
+		if n > 0 && (!p.waitUntilOpen(isRequest) || !p.write(to, buffer[:n])) {
 			reset(from)
 			reset(to)
 			return
@@ -160,28 +160,28 @@
 	}
 }
 
-// pass waits until the link lets bytes through; false when the proxy closed.
-func (p *Proxy) pass(forth bool) bool {
+// waitUntilOpen waits until the link lets bytes through; false when the proxy closed.
+func (p *FaultProxy) waitUntilOpen(isRequest bool) bool {
 	for {
 		t, changed, closed := p.state()
 		if closed || t == Reset {
 			return false
 		}
 		if t == Delayed {
-			time.Sleep(delay)
+			time.Sleep(delayTime)
 		}
-		if t != Silent && (t != OneWay || forth) {
+		if t != Silent && (t != OneWay || isRequest) {
 			return true
 		}
 		<-changed
 	}
 }
 
-func (p *Proxy) write(to net.Conn, data []byte) bool {
+func (p *FaultProxy) write(to net.Conn, data []byte) bool {
 	for len(data) > 0 {
 		n := len(data)
-		if t, _, _ := p.state(); t == Slowed {
-			n = min(n, trickle)
+		if t, _, _ := p.state(); t == Trickled {
+			n = min(n, trickleSize)
 			time.Sleep(tricklePause)
 		}
 		if _, err := to.Write(data[:n]); err != nil {
--- a/soak/run.go
+++ b/soak/run.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	faultCount = 8
-	faultPause = 700 * time.Millisecond
-	undoAfter  = 2 * time.Second
-	// recoveryTime bounds how long boxes take to serve again after all faults;
+	faultCount     = 8
+	meanFaultPause = 700 * time.Millisecond
+	undoDelay      = 2 * time.Second
+	// recoveryTimeout bounds how long boxes take to serve again after all faults;
 	// the platform's own bound.
-	recoveryTime = 12 * time.Second
-	// applyTime is the time in which a published change is in force, with the
+	recoveryTimeout = 12 * time.Second
+	// applyTimeout is the time in which a published change is in force, with the
 	// slack that a busy machine needs.
-	applyTime = 4 * time.Second
-	// storeCalm is how long the store must have been well for bounds to run.
-	storeCalm = 5 * time.Second
+	applyTimeout = 4 * time.Second
+	// storeSettleTime is how long the store must have been well for bounds to run.
+	storeSettleTime = 5 * time.Second
 )
 
 // Report is the verdict on one seed.
@@ -31,9 +31,9 @@
 	Faults     []string
 	Requests   int
 	Served     int
-	Deadly     int      // engines that a deadly request reached
+	CrashRuns  int      // engines that a deadly request reached
 	Violations []string // promises that were broken, with the request
-	Folder     string   // of the boxes' logs
+	LogFolder  string   // of the boxes' logs
 }
 
 // String gives the report in a few lines.
@@ -43,8 +43,8 @@
 		kind = "planned"
 	}
 	line := fmt.Sprintf("seed %d (%s): %d of %d served, %d broken; %s", r.Seed, kind, r.Served, r.Requests, len(r.Violations), strings.Join(r.Faults, ", "))
-	if r.Deadly > 0 {
-		line += fmt.Sprintf("; a request that no engine survives reached %d", r.Deadly)
+	if r.CrashRuns > 0 {
+		line += fmt.Sprintf("; a request that no engine survives reached %d", r.CrashRuns)
 	}
 	for _, b := range r.Violations {
 		line += "\n  " + b
@@ -67,7 +67,7 @@
 // Run plays one seed with the program of a box; logs go to the folder. Every
 // third seed has planned work only.
 func Run(program, folder string, seed uint64, opts ...Option) (*Report, error) {
-	o := options{boxes: fewBoxes}
+	o := options{boxes: defaultBoxes}
 	for _, option := range opts {
 		option(&o)
 	}
@@ -79,46 +79,46 @@
 		return nil, err
 	}
 	planned := seed%3 == 0
-	c := startCallers(f, seed)
-	d := startRepeater(f, seed, planned)
+	callers := startCallers(f, seed)
+	crashing := startCrashingCaller(f, seed, planned)
 	i := newInjector(f, seed, planned)
-	notices := newAnnouncer(f, seed)
-	notices.begin()
-	comesBack := newDrill(i, seed)
-	time.Sleep(faultPause)
+	announcements := newAnnouncer(f, seed)
+	announcements.announceLimits()
+	restorer := newStoreRestorer(i, seed)
+	time.Sleep(meanFaultPause)
 	for range faultCount {
-		i.revive()
-		i.replaceEnded()
-		i.inject()
-		comesBack.step()
-		time.Sleep(time.Duration(i.r.Int64N(int64(2 * faultPause))))
+		i.restartExited()
+		i.replaceCrashed()
+		i.injectRandom()
+		restorer.step()
+		time.Sleep(time.Duration(i.r.Int64N(int64(2 * meanFaultPause))))
 		if i.r.IntN(2) == 0 {
-			i.undoOne()
+			i.undoOldest()
 		}
 	}
-	time.Sleep(undoAfter)
+	time.Sleep(undoDelay)
 	for len(i.undo) > 0 {
-		i.undoOne()
+		i.undoOldest()
 	}
 	r := &Report{
-		Seed:    seed,
-		Planned: planned,
-		Folder:  folder,
+		Seed:      seed,
+		Planned:   planned,
+		LogFolder: folder,
 	}
-	notices.end()
-	i.revive()
-	i.replaceEnded()
-	r.recovers(f)
-	r.Violations = append(r.Violations, i.ends...)
-	all := c.stop()
-	r.Faults = append(i.done, notices.String())
-	r.judge(f, i, all)
-	r.judgeNotices(f, notices, all)
-	r.judgeDeadly(f, d.stop())
+	announcements.clearLimits()
+	i.restartExited()
+	i.replaceCrashed()
+	r.checkRecovery(f)
+	r.Violations = append(r.Violations, i.unexpectedExits...)
+	results := callers.stop()
+	r.Faults = append(i.descriptions, announcements.String())
+	r.checkCalls(f, i, results)
+	r.checkNotices(f, announcements, results)
+	r.checkCrashingRequest(f, crashing.stop())
 	return r, nil
 }
 
-func (i *injector) undoOne() {
+func (i *injector) undoOldest() {
 	if len(i.undo) == 0 {
 		return
 	}
@@ -127,13 +127,13 @@
 	undo()
 }
 
-func (r *Report) breaks(format string, args ...any) {
+func (r *Report) addViolation(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// recovers checks that each box serves again once nothing troubles it.
-func (r *Report) recovers(f *fleet) {
-	limit := time.Now().Add(recoveryTime)
+// checkRecovery checks that each box serves again once nothing troubles it.
+func (r *Report) checkRecovery(f *fleet) {
+	deadline := time.Now().Add(recoveryTimeout)
 	for n, b := range f.boxes {
 		caller := emulator.NewCaller(b.settings.Front, emulator.Key)
 		for try := 0; ; try++ {
@@ -148,8 +148,8 @@
 			if o.Status == http.StatusOK && o.Fault == "" {
 				break
 			}
-			if time.Now().After(limit) {
-				r.breaks("RECOVER: %s doesn't serve %s after the last fault: status %d", b.settings.Name, recoveryTime, o.Status)
+			if time.Now().After(deadline) {
+				r.addViolation("RECOVER: %s doesn't serve %s after the last fault: status %d", b.settings.Name, recoveryTimeout, o.Status)
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -157,101 +157,101 @@
 	}
 }
 
-func (r *Report) judge(f *fleet, i *injector, all []seen) {
+func (r *Report) checkCalls(f *fleet, i *injector, results []callResult) {
 	runs := f.deployment.Runs()
-	for _, s := range all {
+	for _, s := range results {
 		r.Requests++
 		if s.Status == http.StatusOK && s.Whole && s.Fault == "" {
 			r.Served++
 		}
 		if s.Fault != "" {
-			r.breaks("MIXED or ORDER: %s", s.Fault)
+			r.addViolation("MIXED or ORDER: %s", s.Fault)
 		}
-		if s.stream && s.Status == http.StatusOK && s.Whole && s.Events != streamEvents {
-			r.breaks("ORDER: stream %s looked complete after %d events", s.ID, s.Events)
+		if s.isStream && s.Status == http.StatusOK && s.Whole && s.Events != streamEvents {
+			r.addViolation("ORDER: stream %s looked complete after %d events", s.ID, s.Events)
 		}
-		first := 0
+		starts := 0
 		for _, run := range runs[s.ID] {
 			if run.Continued == "" {
-				first++
+				starts++
 			}
 			if run.Key != "" {
-				r.breaks("the key of %s was shown to a server", s.ID)
+				r.addViolation("the key of %s was shown to a server", s.ID)
 			}
 		}
-		if s.kind != "repeat" && first > 1 {
-			r.breaks("TWICE: %s ran %d times", s.ID, first)
+		if s.kind != "repeat" && starts > 1 {
+			r.addViolation("TWICE: %s ran %d times", s.ID, starts)
 		}
 		if s.NotRun() && len(runs[s.ID]) > 0 {
-			r.breaks("REFUSED: %s was told %d and ran", s.ID, s.Status)
+			r.addViolation("REFUSED: %s was told %d and ran", s.ID, s.Status)
 		}
-		if s.kind == "repeat" && first > 2 {
-			r.breaks("BUDGET: %s ran at %d servers", s.ID, first)
+		if s.kind == "repeat" && starts > 2 {
+			r.addViolation("BUDGET: %s ran at %d servers", s.ID, starts)
 		}
 	}
-	r.judgePlanned(i, all, runs)
-	r.judgeLeaving(f, i, runs)
-	r.judgeKeys(i, all)
+	r.checkPlannedWork(i, results, runs)
+	r.checkLeavingServers(f, i, runs)
+	r.checkRevokedKey(i, results)
 }
 
-// judgePlanned checks that planned work cuts no request that a server runs.
-func (r *Report) judgePlanned(i *injector, all []seen, runs map[string][]emulator.Run) {
+// checkPlannedWork checks that planned work cuts no request that a server runs.
+func (r *Report) checkPlannedWork(i *injector, results []callResult, runs map[string][]emulator.Run) {
 	if !i.planned {
 		return
 	}
-	for _, s := range all {
-		if s.Status == 0 && len(runs[s.ID]) > 0 && s.ended.Sub(s.began) < graceSeconds*time.Second/2 {
-			r.breaks("LOST: %s was sent on and its connection closed without an answer", s.ID)
+	for _, s := range results {
+		if s.Status == 0 && len(runs[s.ID]) > 0 && s.endedAt.Sub(s.startedAt) < graceSeconds*time.Second/2 {
+			r.addViolation("LOST: %s was sent on and its connection closed without an answer", s.ID)
 		}
-		if s.stream && s.Status == http.StatusOK && !s.Whole {
-			r.breaks("LOST: stream %s was cut by planned work after %d events", s.ID, s.Events)
+		if s.isStream && s.Status == http.StatusOK && !s.Whole {
+			r.addViolation("LOST: stream %s was cut by planned work after %d events", s.ID, s.Events)
 		}
 	}
 }
 
-// judgeLeaving checks that a server that leaves gets no new requests beyond the
+// checkLeavingServers checks that a server that leaves gets no new requests beyond the
 // bound, where the store was calm.
-func (r *Report) judgeLeaving(f *fleet, i *injector, runs map[string][]emulator.Run) {
+func (r *Report) checkLeavingServers(f *fleet, i *injector, runs map[string][]emulator.Run) {
 	for _, s := range f.servers {
-		if s.left.IsZero() || i.storeNear(s.left) {
+		if s.leavingSince.IsZero() || i.storeFaultNear(s.leavingSince) {
 			continue
 		}
 		for id, all := range runs {
 			for _, run := range all {
-				if run.Server == s.ID && run.Continued == "" && run.At.After(s.left.Add(applyTime)) && !i.paused(f) {
-					r.breaks("DRAIN: %s reached %s %s after it was leaving", id, s.ID, run.At.Sub(s.left))
+				if run.Server == s.ID && run.Continued == "" && run.At.After(s.leavingSince.Add(applyTimeout)) && !i.anyBoxDisturbed(f) {
+					r.addViolation("DRAIN: %s reached %s %s after it was leaving", id, s.ID, run.At.Sub(s.leavingSince))
 				}
 			}
 		}
 	}
 }
 
-// judgeKeys checks that a key that was taken away isn't served beyond the bound.
-func (r *Report) judgeKeys(i *injector, all []seen) {
-	if i.revoked.IsZero() || i.storeNear(i.revoked) {
+// checkRevokedKey checks that a key that was taken away isn't served beyond the bound.
+func (r *Report) checkRevokedKey(i *injector, results []callResult) {
+	if i.keyRevokedAt.IsZero() || i.storeFaultNear(i.keyRevokedAt) {
 		return
 	}
-	for _, s := range all {
-		if s.key == emulator.OtherKey && s.Status == http.StatusOK && s.began.After(i.revoked.Add(applyTime)) && !i.paused(i.fleet) {
-			r.breaks("CONFIG: %s was served %s after its key was taken away", s.ID, s.began.Sub(i.revoked))
+	for _, s := range results {
+		if s.key == emulator.OtherKey && s.Status == http.StatusOK && s.startedAt.After(i.keyRevokedAt.Add(applyTimeout)) && !i.anyBoxDisturbed(i.fleet) {
+			r.addViolation("CONFIG: %s was served %s after its key was taken away", s.ID, s.startedAt.Sub(i.keyRevokedAt))
 		}
 	}
 }
 
-// storeNear tells whether the store was troubled around a time.
-func (i *injector) storeNear(at time.Time) bool {
-	for _, t := range i.storeAt {
-		if t.After(at.Add(-storeCalm)) && t.Before(at.Add(applyTime+storeCalm)) {
+// storeFaultNear tells whether the store was troubled around a time.
+func (i *injector) storeFaultNear(at time.Time) bool {
+	for _, t := range i.storeFaultTimes {
+		if t.After(at.Add(-storeSettleTime)) && t.Before(at.Add(applyTimeout+storeSettleTime)) {
 			return true
 		}
 	}
 	return false
 }
 
-// paused tells whether any box was killed or paused: its view may be older.
-func (i *injector) paused(f *fleet) bool {
+// anyBoxDisturbed tells whether any box was killed or paused: its view may be older.
+func (i *injector) anyBoxDisturbed(f *fleet) bool {
 	for _, b := range f.boxes {
-		if len(b.hurt) > 0 {
+		if len(b.disturbances) > 0 {
 			return true
 		}
 	}
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -56,12 +56,12 @@
 // Batch is an engine's continuous batching over a limited memory of blocks. It
 // is pure: each step tells how long it takes and what it made.
 type Batch struct {
-	Rules    BatchRules
-	waiting  []*Sequence
-	running  []*Sequence
-	used     int
-	arrivals int
-	cache    *prefixCache
+	Rules      BatchRules
+	waiting    []*Sequence
+	running    []*Sequence
+	usedBlocks int
+	arrivals   int
+	cache      *prefixCache
 }
 
 // NewBatch starts empty.
@@ -80,11 +80,11 @@
 }
 
 func (b *Batch) enqueue(s *Sequence) {
-	at, _ := slices.BinarySearchFunc(b.waiting, s, before)
+	at, _ := slices.BinarySearchFunc(b.waiting, s, compareQueueOrder)
 	b.waiting = slices.Insert(b.waiting, at, s)
 }
 
-func before(a, b *Sequence) int {
+func compareQueueOrder(a, b *Sequence) int {
 	if a.Priority != b.Priority {
 		return a.Priority - b.Priority
 	}
@@ -97,7 +97,7 @@
 	b.waiting = slices.DeleteFunc(b.waiting, match)
 	for _, s := range b.running {
 		if s.ID == id {
-			b.used -= s.blocks(b.Rules.BlockTokens)
+			b.usedBlocks -= s.blocks(b.Rules.BlockTokens)
 		}
 	}
 	b.running = slices.DeleteFunc(b.running, match)
@@ -110,9 +110,9 @@
 func (b *Batch) Waiting() int { return len(b.waiting) }
 
 // Used gives the memory in use, in tokens.
-func (b *Batch) Used() int { return b.used * b.Rules.BlockTokens }
+func (b *Batch) Used() int { return b.usedBlocks * b.Rules.BlockTokens }
 
-func (b *Batch) total() int { return b.Rules.MemoryTokens / b.Rules.BlockTokens }
+func (b *Batch) totalBlocks() int { return b.Rules.MemoryTokens / b.Rules.BlockTokens }
 
 // IsIdle reports whether there is nothing to do.
 func (b *Batch) IsIdle() bool { return len(b.running)+len(b.waiting) == 0 }
@@ -125,7 +125,7 @@
 		if !slices.Contains(b.running, s) {
 			continue
 		}
-		b.grow(s, &out)
+		b.generateToken(s, &out)
 	}
 	size := len(b.running) + len(out.Finished)
 	out.Duration = b.Rules.StepBase + time.Duration(size)*b.Rules.StepPerSeq + time.Duration(prefill)*b.Rules.PrefillToken
@@ -139,11 +139,11 @@
 	for len(b.waiting) > 0 && len(b.running) < b.Rules.MaxBatch {
 		next := b.waiting[0]
 		need := next.blocks(b.Rules.BlockTokens)
-		if b.used+need > b.total() && len(b.running) > 0 {
+		if b.usedBlocks+need > b.totalBlocks() && len(b.running) > 0 {
 			break
 		}
 		b.waiting = b.waiting[1:]
-		b.used += need
+		b.usedBlocks += need
 		b.running = append(b.running, next)
 		missing := max(0, next.Prompt+next.Made-b.cache.hit(next.Prefix, next.Prompt))
 		next.Computed += missing
@@ -152,12 +152,12 @@
 	return prefill
 }
 
-func (b *Batch) grow(s *Sequence, out *Step) {
+func (b *Batch) generateToken(s *Sequence, out *Step) {
 	before := s.blocks(b.Rules.BlockTokens)
 	s.Made++
 	need := s.blocks(b.Rules.BlockTokens) - before
-	b.used += need
-	for b.used > b.total() {
+	b.usedBlocks += need
+	for b.usedBlocks > b.totalBlocks() {
 		victim := b.victim()
 		if victim == nil {
 			break
@@ -175,11 +175,11 @@
 	if len(b.running) < 2 {
 		return nil
 	}
-	return slices.MaxFunc(b.running, before)
+	return slices.MaxFunc(b.running, compareQueueOrder)
 }
 
 func (b *Batch) preempt(s *Sequence, out *Step) {
-	b.used -= s.blocks(b.Rules.BlockTokens)
+	b.usedBlocks -= s.blocks(b.Rules.BlockTokens)
 	b.running = slices.DeleteFunc(b.running, func(r *Sequence) bool { return r == s })
 	s.Preempted++
 	b.enqueue(s)
@@ -190,7 +190,7 @@
 	at := slices.Index(b.running, s)
 	if at >= 0 {
 		b.running = slices.Delete(b.running, at, at+1)
-		b.used -= s.blocks(b.Rules.BlockTokens)
+		b.usedBlocks -= s.blocks(b.Rules.BlockTokens)
 	} else {
 		b.waiting = slices.DeleteFunc(b.waiting, func(w *Sequence) bool { return w == s })
 	}
@@ -199,11 +199,11 @@
 
 // prefixCache remembers the prefixes that were computed last.
 type prefixCache struct {
-	room  int
-	order []uint64
-	size  map[uint64]int
-	used  int
-	log   []CacheEvent
+	capacity         int
+	leastRecentFirst []uint64
+	size             map[uint64]int
+	usedTokens       int
+	events           []CacheEvent
 }
 
 // CacheEvent tells that a prefix was kept or dropped.
@@ -213,15 +213,15 @@
 	Dropped  bool   `json:"dropped,omitempty"`
 }
 
-func newPrefixCache(room int) *prefixCache {
+func newPrefixCache(capacity int) *prefixCache {
 	return &prefixCache{
-		room: room,
-		size: make(map[uint64]int),
+		capacity: capacity,
+		size:     make(map[uint64]int),
 	}
 }
 
-// prefixPart is the part of a prompt that its prefix stands for.
-const prefixPart = 0.6
+// prefixFraction is the part of a prompt that its prefix stands for.
+const prefixFraction = 0.6
 
 func (c *prefixCache) hit(prefix uint64, prompt int) int {
 	if prefix == 0 {
@@ -229,31 +229,31 @@
 	}
 	size, held := c.size[prefix]
 	if held {
-		at := slices.Index(c.order, prefix)
-		c.order = append(slices.Delete(c.order, at, at+1), prefix)
+		at := slices.Index(c.leastRecentFirst, prefix)
+		c.leastRecentFirst = append(slices.Delete(c.leastRecentFirst, at, at+1), prefix)
 		return min(size, prompt)
 	}
-	c.keep(prefix, int(float64(prompt)*prefixPart))
+	c.insert(prefix, int(float64(prompt)*prefixFraction))
 	return 0
 }
 
-func (c *prefixCache) keep(prefix uint64, size int) {
-	for c.used+size > c.room && len(c.order) > 0 {
-		oldest := c.order[0]
-		c.order = c.order[1:]
-		c.used -= c.size[oldest]
+func (c *prefixCache) insert(prefix uint64, size int) {
+	for c.usedTokens+size > c.capacity && len(c.leastRecentFirst) > 0 {
+		oldest := c.leastRecentFirst[0]
+		c.leastRecentFirst = c.leastRecentFirst[1:]
+		c.usedTokens -= c.size[oldest]
 		delete(c.size, oldest)
-		c.note(oldest, true)
+		c.addEvent(oldest, true)
 	}
 	c.size[prefix] = size
-	c.order = append(c.order, prefix)
-	c.used += size
-	c.note(prefix, false)
+	c.leastRecentFirst = append(c.leastRecentFirst, prefix)
+	c.usedTokens += size
+	c.addEvent(prefix, false)
 }
 
-func (c *prefixCache) note(prefix uint64, dropped bool) {
-	c.log = append(c.log, CacheEvent{
-		Sequence: len(c.log) + 1,
+func (c *prefixCache) addEvent(prefix uint64, dropped bool) {
+	c.events = append(c.events, CacheEvent{
+		Sequence: len(c.events) + 1,
 		Prefix:   prefix,
 		Dropped:  dropped,
 	})
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -27,47 +27,47 @@
 	DropEvery int // each event of so many is never told; 0 tells all
 }
 
-// seen gives the events after a number that are told by now.
-func (r CacheEventRules) seen(log []CacheEvent, after int) []CacheEvent {
-	told := make([]CacheEvent, 0, len(log))
+// visible gives the events after a number that are told by now.
+func (r CacheEventRules) visible(log []CacheEvent, after int) []CacheEvent {
+	out := make([]CacheEvent, 0, len(log))
 	for _, e := range log[:max(0, len(log)-r.HeldBack)] {
 		if e.Sequence > after && (r.DropEvery == 0 || e.Sequence%r.DropEvery != 0) {
-			told = append(told, e)
+			out = append(out, e)
 		}
 	}
-	return told
+	return out
 }
 
 // Engine is a stand-in model engine that runs in real time.
 type Engine struct {
-	rules       EngineRules
-	incarnation uint64
-	faults      *faultBox
-	mu          sync.Mutex
-	batch       *Batch
-	random      *rand.Rand
-	generations map[string]*generation
-	starts      map[string]int
-	wake        chan struct{}
-	load        Load
-	shown       Load
-	gate        *core.FenceCheck
-	orders      []Order
-	cancels     int
-	preempted   int
+	rules        EngineRules
+	incarnation  uint64
+	faults       *faultState
+	mu           sync.Mutex
+	batch        *Batch
+	random       *rand.Rand
+	generations  map[string]*generation
+	starts       map[string]int
+	wake         chan struct{}
+	currentLoad  Load
+	reportedLoad Load
+	fenceCheck   *core.FenceCheck
+	orders       []Order
+	cancels      int
+	preempted    int
 }
 
 // generation is one sequence and who listens to it.
 type generation struct {
-	seq     *Sequence
-	model   string
-	changed chan struct{}
-	made    int
-	ended   bool
-	gone    bool
-	endedAt time.Time
-	readers int
-	reason  string
+	seq       *Sequence
+	model     string
+	changed   chan struct{}
+	made      int
+	ended     bool
+	discarded bool
+	endedAt   time.Time
+	readers   int
+	reason    string
 }
 
 // Load is what an engine reports, with a lag.
@@ -93,16 +93,16 @@
 	e := &Engine{
 		rules:       rules,
 		incarnation: uint64(time.Now().UnixNano()),
-		faults:      newFaultBox(),
+		faults:      newFaultState(),
 		batch:       NewBatch(rules.Batch),
 		random:      rand.New(rand.NewPCG(rules.Seed, 1)),
 		generations: make(map[string]*generation),
 		starts:      make(map[string]int),
 		wake:        make(chan struct{}, 1),
 	}
-	e.gate = core.NewFenceCheck()
+	e.fenceCheck = core.NewFenceCheck()
 	if !rules.ChecksFences {
-		e.gate = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
+		e.fenceCheck = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
 	}
 	go e.run()
 	go e.reportLoad()
@@ -129,14 +129,14 @@
 	s := e.batch.Step()
 	e.preempted += len(s.Preempted)
 	for _, q := range s.Made {
-		e.publish(q)
+		e.updateProgress(q)
 	}
 	for _, q := range s.Finished {
 		e.generations[q.ID].ended = true
 		e.generations[q.ID].endedAt = time.Now()
 		e.generations[q.ID].notify()
 	}
-	e.load = Load{
+	e.currentLoad = Load{
 		Incarnation:  e.incarnation,
 		Running:      e.batch.Running(),
 		Waiting:      e.batch.Waiting(),
@@ -148,7 +148,7 @@
 	return s.Duration, false
 }
 
-func (e *Engine) publish(q *Sequence) {
+func (e *Engine) updateProgress(q *Sequence) {
 	g := e.generations[q.ID]
 	g.made = q.Made
 	g.notify()
@@ -165,22 +165,22 @@
 	for range time.Tick(lag) {
 		e.mu.Lock()
 		if e.batch.IsIdle() {
-			e.load.Running, e.load.Waiting, e.load.UsedTokens = 0, 0, 0
+			e.currentLoad.Running, e.currentLoad.Waiting, e.currentLoad.UsedTokens = 0, 0, 0
 		}
-		e.shown = e.load
-		e.shown.Incarnation = e.incarnation
-		e.shown.MemoryTokens = e.rules.Batch.MemoryTokens
-		e.sweep()
+		e.reportedLoad = e.currentLoad
+		e.reportedLoad.Incarnation = e.incarnation
+		e.reportedLoad.MemoryTokens = e.rules.Batch.MemoryTokens
+		e.discardExpired()
 		e.mu.Unlock()
 	}
 }
 
-// sweep forgets the texts of generations that ended long ago and that nobody
+// discardExpired forgets the texts of generations that ended long ago and that nobody
 // reads; their record stays.
-func (e *Engine) sweep() {
+func (e *Engine) discardExpired() {
 	for _, g := range e.generations {
 		if g.ended && g.readers == 0 && time.Since(g.endedAt) > e.rules.ResumeWindow {
-			g.gone = true
+			g.discarded = true
 		}
 	}
 }
@@ -220,12 +220,12 @@
 	return g, true
 }
 
-// find gives a generation to one more reader, or nil.
-func (e *Engine) find(id string) *generation {
+// attach gives a generation to one more reader, or nil.
+func (e *Engine) attach(id string) *generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g := e.generations[id]
-	if g == nil || g.gone {
+	if g == nil || g.discarded {
 		return nil
 	}
 	g.readers++
@@ -246,14 +246,14 @@
 	e.batch.Cancel(id)
 	if !g.ended {
 		g.ended = true
-		g.gone = true
+		g.discarded = true
 		g.notify()
 	}
 	return true
 }
 
-// leave ends a reading.
-func (e *Engine) leave(g *generation) {
+// detach ends a reading.
+func (e *Engine) detach(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.readers--
@@ -261,16 +261,16 @@
 
 // progress gives how many tokens a generation has and a channel that is closed
 // when that changes.
-func (e *Engine) progress(g *generation) (made int, ended, gone bool, changed <-chan struct{}) {
+func (e *Engine) progress(g *generation) (made int, ended, discarded bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return g.made, g.ended, g.gone, g.changed
+	return g.made, g.ended, g.discarded, g.changed
 }
 
-func (e *Engine) order(o Order) bool {
+func (e *Engine) applyOrder(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.gate.Admit(o.Fence) {
+	if !e.fenceCheck.Admit(o.Fence) {
 		return false
 	}
 	e.orders = append(e.orders, o)
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -35,19 +35,19 @@
 // HTTPServer builds the engine's HTTP server.
 func (e *Engine) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
-	h.POST("/v1/completions", e.complete(false))
-	h.POST("/v1/chat/completions", e.complete(true))
-	h.GET("/v1/generations/:id", e.resume)
-	h.DELETE("/v1/generations/:id", e.drop)
-	h.GET("/v1/load", e.showLoad)
-	h.GET("/v1/cache-events", e.showCache)
-	h.POST("/v1/orders", e.takeOrder)
+	h.POST("/v1/completions", e.handleCompletion(false))
+	h.POST("/v1/chat/completions", e.handleCompletion(true))
+	h.GET("/v1/generations/:id", e.handleResume)
+	h.DELETE("/v1/generations/:id", e.handleCancel)
+	h.GET("/v1/load", e.handleLoad)
+	h.GET("/v1/cache-events", e.handleCacheEvents)
+	h.POST("/v1/orders", e.handleOrder)
 	h.GET("/control/record", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, e.record()) })
 	e.faults.register(h)
 	return h
 }
 
-func (e *Engine) complete(chat bool) app.HandlerFunc {
+func (e *Engine) handleCompletion(chat bool) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		var q completionRequest
 		if err := json.Unmarshal(c.Request.Body(), &q); err != nil {
@@ -66,8 +66,8 @@
 			q.MaxTokens = defaultMaxTokens
 		}
 		text := string(q.Prompt) + string(q.Messages)
-		g, fresh := e.start(q.Generation, q.Model, q.Priority, 1+len(text)/charactersPerToken, q.MaxTokens, prefixOf(text))
-		if !fresh {
+		g, started := e.start(q.Generation, q.Model, q.Priority, 1+len(text)/charactersPerToken, q.MaxTokens, hashPrefix(text))
+		if !started {
 			c.String(http.StatusConflict, "generation id was used before")
 			return
 		}
@@ -78,14 +78,14 @@
 // prefixBytes is the length of a prompt's start that counts as its prefix.
 const prefixBytes = 64
 
-func prefixOf(text string) uint64 {
+func hashPrefix(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text[:min(len(text), prefixBytes)]))
 	return h.Sum64()
 }
 
-func (e *Engine) resume(ctx context.Context, c *app.RequestContext) {
-	g := e.find(c.Param("id"))
+func (e *Engine) handleResume(ctx context.Context, c *app.RequestContext) {
+	g := e.attach(c.Param("id"))
 	if g == nil {
 		c.String(http.StatusNotFound, "no such generation")
 		return
@@ -94,7 +94,7 @@
 	e.stream(ctx, c, g, from, c.Query("chat") == "true")
 }
 
-func (e *Engine) drop(_ context.Context, c *app.RequestContext) {
+func (e *Engine) handleCancel(_ context.Context, c *app.RequestContext) {
 	if !e.cancel(c.Param("id"), c.Query("idle") == "true") {
 		c.String(http.StatusNotFound, "no such generation")
 		return
@@ -102,28 +102,28 @@
 	c.String(http.StatusOK, "cancelled")
 }
 
-func (e *Engine) showLoad(_ context.Context, c *app.RequestContext) {
-	e.faults.hold(nil)
+func (e *Engine) handleLoad(_ context.Context, c *app.RequestContext) {
+	e.faults.waitForFaults(nil)
 	e.mu.Lock()
-	shown := e.shown
+	reportedLoad := e.reportedLoad
 	e.mu.Unlock()
-	c.JSON(http.StatusOK, shown)
+	c.JSON(http.StatusOK, reportedLoad)
 }
 
-func (e *Engine) showCache(_ context.Context, c *app.RequestContext) {
+func (e *Engine) handleCacheEvents(_ context.Context, c *app.RequestContext) {
 	after, _ := strconv.Atoi(c.Query("after"))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c.JSON(http.StatusOK, e.rules.Cache.seen(e.batch.cache.log, after))
+	c.JSON(http.StatusOK, e.rules.Cache.visible(e.batch.cache.events, after))
 }
 
-func (e *Engine) takeOrder(_ context.Context, c *app.RequestContext) {
+func (e *Engine) handleOrder(_ context.Context, c *app.RequestContext) {
 	var o Order
 	if err := json.Unmarshal(c.Request.Body(), &o); err != nil {
 		c.String(http.StatusBadRequest, "not an order")
 		return
 	}
-	if !e.order(o) {
+	if !e.applyOrder(o) {
 		c.String(http.StatusConflict, "an order with a higher fence was taken")
 		return
 	}
@@ -142,27 +142,27 @@
 		chat:   chat,
 	}
 	c.Response.HijackWriter(w.body)
-	defer e.leave(g)
+	defer e.detach(g)
 	if w.body.Flush() != nil {
 		return
 	}
 	for sent := from; ; {
-		made, ended, gone, changed := e.progress(g)
+		made, ended, discarded, changed := e.progress(g)
 		for ; sent < made; sent++ {
-			if w.token(sent) != nil {
+			if w.writeToken(sent) != nil {
 				return
 			}
 		}
-		if gone {
-			w.cut(c)
+		if discarded {
+			w.closeMidStream(c)
 			return
 		}
 		if w.flush(ctx) != nil {
-			w.cut(c)
+			w.closeMidStream(c)
 			return
 		}
 		if ended {
-			w.finish(made)
+			w.writeEnd(made)
 			return
 		}
 		select {
@@ -174,13 +174,13 @@
 }
 
 type frameWriter struct {
-	engine *Engine
-	body   network.ExtWriter
-	g      *generation
-	chat   bool
-	buffer []byte
-	held   []byte
-	frames int
+	engine    *Engine
+	body      network.ExtWriter
+	g         *generation
+	chat      bool
+	buffer    []byte
+	heldFrame []byte
+	frames    int
 }
 
 // errCut ends a stream because the stand-in was told to.
@@ -188,23 +188,23 @@
 
 func (errCut) Error() string { return "cut" }
 
-func (w *frameWriter) token(offset int) error {
+func (w *frameWriter) writeToken(offset int) error {
 	frame := w.frame(offset, TokenText(w.g.seq.ID, offset), "null")
 	f := w.engine.faults.get()
 	w.frames++
 	if f.CutEvery > 0 && w.frames%f.CutEvery == 0 {
 		return errCut{}
 	}
-	if f.ReorderEvery > 0 && w.frames%f.ReorderEvery == 0 && w.held == nil {
-		w.held = frame
+	if f.ReorderEvery > 0 && w.frames%f.ReorderEvery == 0 && w.heldFrame == nil {
+		w.heldFrame = frame
 		return nil
 	}
 	w.buffer = append(w.buffer, frame...)
 	if f.DuplicateEvery > 0 && w.frames%f.DuplicateEvery == 0 {
 		w.buffer = append(w.buffer, frame...)
 	}
-	w.buffer = append(w.buffer, w.held...)
-	w.held = nil
+	w.buffer = append(w.buffer, w.heldFrame...)
+	w.heldFrame = nil
 	return nil
 }
 
@@ -218,10 +218,10 @@
 	b = append(b, '/')
 	b = strconv.AppendInt(b, int64(offset), 10)
 	b = append(b, "\ndata: "...)
-	return append(append(b, chunk(id, w.g.model, text, reason, w.chat)...), "\n\n"...)
+	return append(append(b, chunkJSON(id, w.g.model, text, reason, w.chat)...), "\n\n"...)
 }
 
-func chunk(id, model, text, reason string, chat bool) string {
+func chunkJSON(id, model, text, reason string, chat bool) string {
 	var b strings.Builder
 	object, field := "text_completion", `"text":`+strconv.Quote(text)
 	if chat {
@@ -236,7 +236,7 @@
 	if len(w.buffer) == 0 {
 		return nil
 	}
-	w.engine.faults.hold(ctx.Done())
+	w.engine.faults.waitForFaults(ctx.Done())
 	if _, err := w.body.Write(w.buffer); err != nil {
 		return err
 	}
@@ -244,10 +244,10 @@
 	return w.body.Flush()
 }
 
-func (w *frameWriter) finish(made int) {
-	w.engine.faults.hold(nil)
+func (w *frameWriter) writeEnd(made int) {
+	w.engine.faults.waitForFaults(nil)
 	last := w.frame(made, "", strconv.Quote(w.g.reason))
-	last = append(w.held, last...)
+	last = append(w.heldFrame, last...)
 	usage := `{"id":"` + w.g.seq.ID + `","choices":[],"usage":{"prompt_tokens":` + strconv.Itoa(w.g.seq.Prompt) +
 		`,"completion_tokens":` + strconv.Itoa(made) + `,"total_tokens":` + strconv.Itoa(made+w.g.seq.Prompt) +
 		`},"preempted":` + strconv.Itoa(w.g.seq.Preempted) + `}`
@@ -256,8 +256,8 @@
 	_ = w.body.Flush()
 }
 
-// cut closes the connection in the middle of a stream.
-func (w *frameWriter) cut(c *app.RequestContext) {
+// closeMidStream closes the connection in the middle of a stream.
+func (w *frameWriter) closeMidStream(c *app.RequestContext) {
 	_, _ = w.body.Write(w.buffer)
 	_ = w.body.Flush()
 	_ = c.GetConn().Close()
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -22,23 +22,23 @@
 	Exit           bool `json:"die"`        // end the process at once
 }
 
-type faultBox struct {
+type faultState struct {
 	mu      sync.Mutex
 	current Faults
 	changed chan struct{}
 }
 
-func newFaultBox() *faultBox {
-	return &faultBox{changed: make(chan struct{})}
+func newFaultState() *faultState {
+	return &faultState{changed: make(chan struct{})}
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultState) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.current
 }
 
-func (b *faultBox) set(f Faults) {
+func (b *faultState) set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.current = f
@@ -46,15 +46,15 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *faultBox) watch() (Faults, <-chan struct{}) {
+func (b *faultState) watch() (Faults, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.current, b.changed
 }
 
-// hold waits while the stand-in is told to stall, and for its delay; stop ends
+// waitForFaults waits while the stand-in is told to stall, and for its delay; stop ends
 // the wait.
-func (b *faultBox) hold(stop <-chan struct{}) {
+func (b *faultState) waitForFaults(stop <-chan struct{}) {
 	f, changed := b.watch()
 	for f.Stall {
 		select {
--- a/standin/http.go
+++ b/standin/http.go
@@ -24,7 +24,7 @@
 	)
 }
 
-func (b *faultBox) register(h *server.Hertz) {
+func (b *faultState) register(h *server.Hertz) {
 	h.POST("/control/fault", func(_ context.Context, c *app.RequestContext) {
 		var f Faults
 		if err := json.Unmarshal(c.Request.Body(), &f); err != nil {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -21,14 +21,14 @@
 // and leaving boxes and endpoints. It only answers reads; what it holds is
 // changed over its control paths.
 type Platform struct {
-	faults  *faultBox
-	began   time.Time
-	mu      sync.Mutex
-	changed chan struct{}
-	configs []versioned
-	lists   []versioned
-	stale   [2]int // what is shown while stale
-	calls   int
+	faults     *faultState
+	startedAt  time.Time
+	mu         sync.Mutex
+	changed    chan struct{}
+	configs    []document
+	lists      []document
+	staleCount [2]int // what is shown while stale
+	calls      int
 }
 
 // The two kinds of value that the platform publishes.
@@ -37,7 +37,7 @@
 	kindList
 )
 
-type versioned struct {
+type document struct {
 	version uint64
 	body    []byte
 }
@@ -45,9 +45,9 @@
 // NewPlatform starts with a configuration and a list.
 func NewPlatform(config, list []byte) (*Platform, error) {
 	p := &Platform{
-		faults:  newFaultBox(),
-		began:   time.Now(),
-		changed: make(chan struct{}),
+		faults:    newFaultState(),
+		startedAt: time.Now(),
+		changed:   make(chan struct{}),
 	}
 	if err := p.publish(&p.configs, config); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return p, p.publish(&p.lists, list)
 }
 
-func (p *Platform) publish(into *[]versioned, body []byte) error {
+func (p *Platform) publish(into *[]document, body []byte) error {
 	var head struct {
 		Version uint64 `json:"version"`
 	}
@@ -63,7 +63,7 @@
 	_ = json.Unmarshal(body, &head)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	*into = append(*into, versioned{
+	*into = append(*into, document{
 		version: head.Version,
 		body:    body,
 	})
@@ -75,16 +75,16 @@
 // HTTPServer builds the platform's HTTP server.
 func (p *Platform) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
-	h.GET("/v1/config", p.watch(kindConfig))
-	h.GET("/v1/list", p.watch(kindList))
-	h.POST("/control/config", p.control(&p.configs))
-	h.POST("/control/list", p.control(&p.lists))
-	h.GET("/control/calls", p.showCalls)
+	h.GET("/v1/config", p.handleWatch(kindConfig))
+	h.GET("/v1/list", p.handleWatch(kindList))
+	h.POST("/control/config", p.handlePublish(&p.configs))
+	h.POST("/control/list", p.handlePublish(&p.lists))
+	h.GET("/control/calls", p.handleCalls)
 	p.faults.register(h)
 	return h
 }
 
-func (p *Platform) control(into *[]versioned) app.HandlerFunc {
+func (p *Platform) handlePublish(into *[]document) app.HandlerFunc {
 	return func(_ context.Context, c *app.RequestContext) {
 		body := append([]byte(nil), c.Request.Body()...)
 		if err := p.publish(into, body); err != nil {
@@ -95,30 +95,30 @@
 	}
 }
 
-func (p *Platform) showCalls(_ context.Context, c *app.RequestContext) {
+func (p *Platform) handleCalls(_ context.Context, c *app.RequestContext) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.JSON(http.StatusOK, map[string]int{"calls": p.calls})
 }
 
-// watch answers with the first value after a version, or waits for one. A list
+// handleWatch answers with the first value after a version, or waits for one. A list
 // comes one version at a time, so that a watcher misses none; of the
 // configuration only the newest counts.
-func (p *Platform) watch(kind int) app.HandlerFunc {
+func (p *Platform) handleWatch(kind int) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		p.countCall()
 		if p.faults.get().Down {
 			c.String(http.StatusServiceUnavailable, "down")
 			return
 		}
-		p.faults.hold(ctx.Done())
+		p.faults.waitForFaults(ctx.Done())
 		after, _ := strconv.ParseUint(c.Query("after"), 10, 64)
 		wait, _ := time.ParseDuration(c.Query("wait"))
 		timeout := time.After(wait)
 		for {
-			found, changed := p.next(kind, after)
+			found, changed := p.nextDocument(kind, after)
 			if found != nil {
-				p.give(c, *found, kind)
+				p.writeDocument(c, *found, kind)
 				return
 			}
 			select {
@@ -143,7 +143,7 @@
 	p.calls++
 }
 
-func (p *Platform) next(kind int, after uint64) (*versioned, <-chan struct{}) {
+func (p *Platform) nextDocument(kind int, after uint64) (*document, <-chan struct{}) {
 	f := p.faults.get()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,9 +152,9 @@
 		all = p.lists
 	}
 	if !f.Stale {
-		p.stale[kind] = len(all)
+		p.staleCount[kind] = len(all)
 	}
-	shown := all[:max(0, min(len(all), p.stale[kind])-f.StaleBy)]
+	shown := all[:max(0, min(len(all), p.staleCount[kind])-f.StaleBy)]
 	for i := range shown {
 		wanted := kind == kindList || i == len(shown)-1
 		if shown[i].version > after && wanted {
@@ -164,13 +164,13 @@
 	return nil, p.changed
 }
 
-func (p *Platform) give(c *app.RequestContext, v versioned, kind int) {
+func (p *Platform) writeDocument(c *app.RequestContext, v document, kind int) {
 	c.Response.Header.Set("Platform-Version", strconv.FormatUint(v.version, 10))
 	body := v.body
 	if kind == kindList {
 		var l core.List
 		if err := json.Unmarshal(body, &l); err == nil {
-			l.Age = time.Since(p.began)
+			l.Age = time.Since(p.startedAt)
 			body, _ = json.Marshal(l)
 		}
 	}
--- a/standin/service.go
+++ b/standin/service.go
@@ -15,24 +15,24 @@
 // requestIDHeader matches an answer to its request.
 const requestIDHeader = "X-Request-Id"
 
-// lateAnswer is how late an answer is that a service was told to delay.
-const lateAnswer = 3 * time.Second
+// lateAnswerDelay is how late an answer is that a service was told to delay.
+const lateAnswerDelay = 3 * time.Second
 
 // Service is a stand-in plain service that counts each effect.
 type Service struct {
 	name    string
-	faults  *faultBox
+	faults  *faultState
 	mu      sync.Mutex
 	effects map[string]int
 	calls   int
-	last    string
+	lastID  string
 }
 
 // NewService starts with no effect.
 func NewService(name string) *Service {
 	return &Service{
 		name:    name,
-		faults:  newFaultBox(),
+		faults:  newFaultState(),
 		effects: make(map[string]int),
 	}
 }
@@ -48,7 +48,7 @@
 	h := newServer(address)
 	h.GET("/control/record", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, s.record()) })
 	s.faults.register(h)
-	h.NoRoute(s.answer)
+	h.NoRoute(s.handleCall)
 	return h
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-func (s *Service) answer(ctx context.Context, c *app.RequestContext) {
+func (s *Service) handleCall(ctx context.Context, c *app.RequestContext) {
 	f := s.faults.get()
 	if f.Refuse {
 		c.String(http.StatusServiceUnavailable, "not started")
@@ -73,12 +73,12 @@
 	}
 	id := string(c.GetHeader(requestIDHeader))
 	text := strings.Join([]string{string(c.Method()), string(c.Path()), string(c.Request.Body())}, " ")
-	previous, calls := s.note(text, id)
+	previous, calls := s.recordCall(text, id)
 	if f.AnswerLate {
-		time.Sleep(lateAnswer)
+		time.Sleep(lateAnswerDelay)
 	}
 	if f.DelayEvery <= 1 || calls%f.DelayEvery == 0 {
-		s.faults.hold(ctx.Done())
+		s.faults.waitForFaults(ctx.Done())
 	}
 	if f.WrongAnswer {
 		id = previous
@@ -90,12 +90,12 @@
 	})
 }
 
-func (s *Service) note(text, id string) (previous string, calls int) {
+func (s *Service) recordCall(text, id string) (previous string, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	s.effects[text]++
-	previous = s.last
-	s.last = id
+	previous = s.lastID
+	s.lastID = id
 	return previous, s.calls
 }
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -36,19 +36,19 @@
 	fs.StringVar(&s.list, "list", "", "platform: list `FILE` to start with")
 	fs.StringVar(&s.name, "name", "standin", "engine, service: `name`")
 	fs.StringVar(&s.models, "models", "", "engine: `names` of models with commas between them")
-	s.engineFlags(fs)
+	s.addEngineFlags(fs)
 	err := ff.Parse(fs, arguments, ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.JSONParser))
 	if err != nil {
 		return err
 	}
-	h, err := s.build()
+	h, err := s.buildServer()
 	if err != nil {
 		return err
 	}
 	return h.Run()
 }
 
-func (s *settings) engineFlags(fs *flag.FlagSet) {
+func (s *settings) addEngineFlags(fs *flag.FlagSet) {
 	e := &s.engine
 	fs.IntVar(&e.Batch.MemoryTokens, "memory", e.Batch.MemoryTokens, "engine: memory in `tokens`")
 	fs.IntVar(&e.Batch.MaxBatch, "batch", e.Batch.MaxBatch, "engine: most `sequences` in a batch")
@@ -65,14 +65,14 @@
 	fs.DurationVar(&e.ResumeWindow, "linger", time.Minute, "engine: `time` for which an ended generation can be read")
 }
 
-func (s *settings) build() (*server.Hertz, error) {
+func (s *settings) buildServer() (*server.Hertz, error) {
 	address, err := netip.ParseAddrPort(s.address)
 	if err != nil {
 		return nil, errors.New(`flag -address must be "IP:port"`)
 	}
 	switch s.role {
 	case "platform":
-		return s.platform(address)
+		return s.buildPlatform(address)
 	case "engine":
 		s.engine.Name = s.name
 		s.engine.Models = strings.Split(s.models, ",")
@@ -83,7 +83,7 @@
 	return nil, errors.New("flag -role must be platform, engine or service")
 }
 
-func (s *settings) platform(address netip.AddrPort) (*server.Hertz, error) {
+func (s *settings) buildPlatform(address netip.AddrPort) (*server.Hertz, error) {
 	config, err := os.ReadFile(s.config)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the file of -config")
--- a/trace/event.go
+++ b/trace/event.go
@@ -46,8 +46,8 @@
 	Budget bool
 }
 
-// kinds are the events that a trace may hold, by name.
-var kinds = kindsOf(
+// eventTypes are the events that a trace may hold, by name.
+var eventTypes = eventTypesByName(
 	HomeBegun{},
 	GenerationBegun{},
 	HoldBegun{},
@@ -99,7 +99,7 @@
 	admission.Ticked{},
 )
 
-func kindsOf(events ...core.Event) map[string]reflect.Type {
+func eventTypesByName(events ...core.Event) map[string]reflect.Type {
 	all := make(map[string]reflect.Type, len(events))
 	for _, ev := range events {
 		t := reflect.TypeOf(ev)
@@ -116,14 +116,14 @@
 
 // encode writes an event; its times count from the trace's start.
 func encode(ev core.Event, start time.Time) (string, json.RawMessage, error) {
-	shifted := shift(reflect.ValueOf(ev), epoch.Sub(start.Round(0)))
+	shifted := shiftTimes(reflect.ValueOf(ev), epoch.Sub(start.Round(0)))
 	data, err := json.Marshal(shifted.Interface())
 	return reflect.TypeOf(ev).Name(), data, err
 }
 
 // Decode reads an event by its name.
 func Decode(name string, data json.RawMessage) (core.Event, error) {
-	t, known := kinds[name]
+	t, known := eventTypes[name]
 	if !known {
 		return nil, errors.Errorf("unknown event %q; this release knows the events of docs/TRACES.md", name)
 	}
@@ -136,9 +136,9 @@
 	return v.Elem().Interface().(core.Event), nil
 }
 
-// shift copies an event with its times moved, so that they can be read in any
+// shiftTimes copies an event with its times moved, so that they can be read in any
 // later run.
-func shift(v reflect.Value, by time.Duration) reflect.Value {
+func shiftTimes(v reflect.Value, by time.Duration) reflect.Value {
 	out := reflect.New(v.Type()).Elem()
 	out.Set(v)
 	for i := range out.NumField() {
@@ -152,7 +152,7 @@
 		}
 		if f.Kind() == reflect.Struct {
 			if _, mark := f.Interface().(core.EventBase); !mark {
-				f.Set(shift(f, by))
+				f.Set(shiftTimes(f, by))
 			}
 		}
 	}
