--- a/soak/callers.go
+++ b/soak/callers.go
@@ -14,12 +14,12 @@
 const (
 	callersPerBox = 4
 	callDeadline  = 1500 * time.Millisecond
-	// streamDeadline is far above a stream's two seconds.
+	// streamDeadline is well above the two seconds that a stream lasts.
 	streamDeadline = 12 * time.Second
 	meanCallPause  = 40 * time.Millisecond
 )
 
-// callResult is one request and what its caller got.
+// callResult is one request, as its caller saw it.
 type callResult struct {
 	emulator.Outcome
 	box       int
@@ -30,7 +30,7 @@
 	isStream  bool
 }
 
-// callerPool bring requests to all boxes until they are told to end.
+// callerPool is a set of concurrent callers that send requests to all boxes until stopped.
 type callerPool struct {
 	mu      sync.Mutex
 	results []callResult
@@ -98,7 +98,7 @@
 	}
 }
 
-// stop ends the callers and gives all that they saw.
+// stop ends all callers and returns their results.
 func (c *callerPool) stop() []callResult {
 	close(c.done)
 	c.workers.Wait()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// firstCrashSeed is the first seed with a request that ends the engines that run it; the
-	// seeds below it keep the faults that they have always had.
+	// firstCrashSeed is the first seed whose run includes a request that crashes every engine
+	// that runs it. Lower seeds keep their original faults.
 	firstCrashSeed = 1000
-	// crashBody is its body.
+	// crashBody is the body of the crashing request.
 	crashBody = "no engine survives this"
-	// meanCrashPause is the mean time between its repeats.
+	// meanCrashPause is the mean time between two sends of the crashing request.
 	meanCrashPause = 400 * time.Millisecond
-	// crashThreshold is how many engines prove it; deadlyRetries, how many more it may reach
-	// later than deadlyKnown after that. Both are the platform's bounds.
+	// crashThreshold is the number of engine crashes after which the request is quarantined.
+	// At most maxLateCrashes further engines may receive it later than quarantineDelay after
+	// that.
 	crashThreshold  = 3
 	maxLateCrashes  = 3
 	quarantineDelay = 3 * time.Second
 )
 
-// crashingCaller is a client that sends one deadly request again and again, to any box.
+// crashingCaller is a client that keeps sending one crashing request to random boxes.
 type crashingCaller struct {
 	mu       sync.Mutex
 	outcomes []emulator.Outcome
@@ -36,7 +37,7 @@
 	done     chan struct{}
 }
 
-// startCrashingCaller begins within the first seconds of a run, if the seed has one.
+// startCrashingCaller starts the client, unless the seed has no crashing request.
 func startCrashingCaller(f *fleet, seed uint64, planned bool) *crashingCaller {
 	p := &crashingCaller{done: make(chan struct{})}
 	if seed < firstCrashSeed || planned {
@@ -77,26 +78,26 @@
 	return p.outcomes
 }
 
-// replaceCrashed lists another server for each that ended under a request, as the platform
-// does.
+// replaceCrashed lists a new server in place of each that crashed during a request, as the
+// platform does.
 func (i *injector) replaceCrashed() {
 	for _, s := range slices.Clone(i.fleet.servers) {
 		if s.leavingSince.IsZero() && s.Ended() {
-			i.recordFault("%s ended", s.ID)
+			i.recordFault("%s crashed during a request", s.ID)
 			s.disturbed = true
 			i.replaceServer(s)
 		}
 	}
 }
 
-// checkCrashingRequest checks that a deadly request was kept from engines once three had ended
-// under it, and that what its caller was told is true.
+// checkCrashingRequest checks that the crashing request is quarantined after crashThreshold
+// crashes, and that a request reported as not run reached no engine.
 func (r *Report) checkCrashingRequest(f *fleet, outcomes []emulator.Outcome) {
 	runs := f.deployment.Runs()
 	var crashRuns []emulator.Run
 	for _, o := range outcomes {
 		if o.NotRun() && len(runs[o.ID]) > 0 {
-			r.addViolation("REFUSED: %s was told %d and ran", o.ID, o.Status)
+			r.addViolation("REFUSED: %s got status %d (not run) but ran", o.ID, o.Status)
 		}
 		crashRuns = append(crashRuns, runs[o.ID]...)
 	}
@@ -113,6 +114,6 @@
 		}
 	}
 	if late > maxLateCrashes {
-		r.addViolation("BUDGET: a request under which three engines had ended reached %d more, %d in all", late, len(crashRuns))
+		r.addViolation("BUDGET: a request that had crashed three engines reached %d more after the quarantine delay, %d in all", late, len(crashRuns))
 	}
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,6 +1,6 @@
-// Package soak runs real boxes as processes of their own before an emulated
-// platform, injects faults from outside by a seed, and checks the promises by
-// what callers and servers saw.
+// Package soak runs real boxes as separate processes against an emulated platform, injects
+// random faults determined by a seed, and checks the guarantees against what callers and
+// servers observed.
 //
-// It ends only processes that it started, by their ids.
+// It signals only processes that it started, by process ID.
 package soak
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -9,19 +9,19 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// injector brings about a series of faults that may overlap; the same seed
-// gives the same series.
+// injector injects a sequence of faults, which may overlap. The same seed gives the same
+// sequence.
 type injector struct {
 	fleet           *fleet
 	r               *rand.Rand
-	planned         bool // planned work only
-	descriptions    []string
+	planned         bool     // planned work only
+	descriptions    []string // the injected faults, for the report
 	version         uint64
-	lastPublished   *emulator.Document // that was published
-	undo            []func()
-	storeFaultTimes []time.Time // when the store or a link to it was troubled
+	lastPublished   *emulator.Document
+	undo            []func()    // end the active faults, oldest first
+	storeFaultTimes []time.Time // starts and ends of faults of the store and its links
 	keyRevokedAt    time.Time
-	unexpectedExits []string // boxes that ended by themselves
+	unexpectedExits []string // violations: boxes that exited without being signalled
 }
 
 func newInjector(f *fleet, seed uint64, planned bool) *injector {
@@ -37,7 +37,7 @@
 	i.descriptions = append(i.descriptions, fmt.Sprintf(format, args...))
 }
 
-// injectRandom brings about one fault, and gives what ends it.
+// injectRandom injects one random fault and queues the function that ends it.
 func (i *injector) injectRandom() {
 	plannedWork := []func(){i.stopBox, i.drainServer, i.publishConfiguration, i.reloadBox}
 	unplanned := []func(){i.killBox, i.pauseBox, i.faultServerLink, i.faultServer, i.crashServer, i.faultStore, i.cutStoreLink, i.unlistServer, i.compactStore}
@@ -50,30 +50,29 @@
 
 func (i *injector) randomBox() *boxProcess { return i.fleet.boxes[i.r.IntN(len(i.fleet.boxes))] }
 
-// maxStartupTime is how long a process may still be without its signal handlers;
-// the runtime starts in some milliseconds, more on a busy machine.
+// maxStartupTime bounds how long a new process may lack its signal handlers, so that a
+// signal ends it.
 const maxStartupTime = 2 * time.Second
 
-// restartExited starts boxes again that ended by themselves, as the platform does. A
-// signal may end a process that is just starting; any other end is a finding.
+// restartExited restarts boxes that exited by themselves, as the platform does. A signal
+// may end a process that is still starting; any other exit is a violation.
 func (i *injector) restartExited() {
 	for _, b := range i.fleet.boxes {
 		exitedUnasked, uptime := b.exitedUnasked()
 		if !exitedUnasked {
 			continue
 		}
-		i.recordFault("%s ended by itself", b.settings.Name)
+		i.recordFault("%s exited by itself", b.settings.Name)
 		if uptime > maxStartupTime {
-			i.unexpectedExits = append(i.unexpectedExits, fmt.Sprintf("%s ended by itself %s after its start", b.settings.Name, uptime))
+			i.unexpectedExits = append(i.unexpectedExits, fmt.Sprintf("%s exited by itself %s after its start", b.settings.Name, uptime))
 		}
 		if err := b.start(i.fleet.program); err != nil {
-			i.recordFault("%s did not start: %v", b.settings.Name, err)
+			i.recordFault("%s failed to start: %v", b.settings.Name, err)
 		}
 	}
 }
 
-// randomServer gives a server that still works, of a service of which another is
-// left.
+// randomServer returns a random server that is still listed as ready.
 func (i *injector) randomServer() *listedServer {
 	for {
 		s := i.fleet.servers[i.r.IntN(len(i.fleet.servers))]
@@ -93,8 +92,8 @@
 	i.restartAfterExit(b, (graceSeconds+1)*time.Second)
 }
 
-// restartAfterExit starts a box again once its process has ended; one that doesn't
-// leave in its time is killed, as the platform does.
+// restartAfterExit queues the restart of a box whose process is ending. A process that
+// hasn't exited within the timeout is killed, as the platform does.
 func (i *injector) restartAfterExit(b *boxProcess, timeout time.Duration) {
 	exited := b.exitChannel()
 	b.markRestarting()
@@ -107,7 +106,7 @@
 		}
 		if b.exitChannel() == exited {
 			if err := b.start(i.fleet.program); err != nil {
-				i.recordFault("%s did not start: %v", b.settings.Name, err)
+				i.recordFault("%s failed to start: %v", b.settings.Name, err)
 			}
 		}
 	})
@@ -153,8 +152,8 @@
 	i.undo = append(i.undo, func() { s.SetFault(emulator.Well, 0) })
 }
 
-// drainServer replaces a server as planned: it is listed as leaving, serves on,
-// and ends.
+// drainServer replaces a server in a planned way: the server is listed as draining and keeps
+// serving, and a new one is listed.
 func (i *injector) drainServer() {
 	s := i.randomServer()
 	i.recordFault("%s drains", s.ID)
@@ -162,18 +161,18 @@
 	s.leavingSince = time.Now()
 	s.announce(func(n *emulator.Notice) { n.Leaving = true })
 	if _, err := i.fleet.addServer(s.service); err != nil {
-		i.recordFault("no new server: %v", err)
+		i.recordFault("replacement server failed to start: %v", err)
 	}
 }
 
 func (i *injector) unlistServer() {
 	s := i.randomServer()
-	i.recordFault("%s goes from the list", s.ID)
+	i.recordFault("%s removed from the list", s.ID)
 	i.fleet.deployment.Unlist(s.ID)
 	s.leavingSince = time.Now()
 	s.disturbed = true
 	if _, err := i.fleet.addServer(s.service); err != nil {
-		i.recordFault("no new server: %v", err)
+		i.recordFault("replacement server failed to start: %v", err)
 	}
 }
 
@@ -185,11 +184,12 @@
 	i.replaceServer(s)
 }
 
+// replaceServer removes a server from the list and lists a new one of the same service.
 func (i *injector) replaceServer(s *listedServer) {
 	i.fleet.deployment.Unlist(s.ID)
 	s.leavingSince = time.Now()
 	if _, err := i.fleet.addServer(s.service); err != nil {
-		i.recordFault("no new server: %v", err)
+		i.recordFault("replacement server failed to start: %v", err)
 	}
 }
 
@@ -198,7 +198,7 @@
 	i.recordFault("configuration %d", i.version)
 	document := emulator.NewDocument(i.version)
 	if i.r.IntN(2) == 0 || !i.keyRevokedAt.IsZero() {
-		// The second customer loses its key, for good.
+		// The second customer's key is revoked for the rest of the run.
 		document.Tenants = document.Tenants[:1]
 		if i.keyRevokedAt.IsZero() {
 			i.keyRevokedAt = time.Now()
@@ -208,7 +208,7 @@
 	i.fleet.deployment.Publish(document)
 }
 
-// republish writes the last configuration once more, which the store may have lost.
+// republish writes the last configuration again, which a restored store may lack.
 func (i *injector) republish() {
 	if i.lastPublished != nil {
 		i.fleet.deployment.Publish(i.lastPublished)
@@ -239,6 +239,6 @@
 }
 
 func (i *injector) compactStore() {
-	i.recordFault("the store drops its history")
+	i.recordFault("store compacted")
 	i.fleet.deployment.Store.Compact()
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -17,15 +17,14 @@
 )
 
 const (
-	// defaultBoxes are the usual size; where there are more, they stand in several zones, and
-	// work in groups of these when there are many.
+	// defaultBoxes is the default fleet size. Larger fleets are spread over zoneCount
+	// availability zones.
 	defaultBoxes      = 3
 	zoneCount         = 3
 	plainServerCount  = 3
 	engineServerCount = 4
-	// graceSeconds is how long a stopping box has; streams last less here.
+	// graceSeconds is the shutdown grace period of a box; it is longer than a stream.
 	graceSeconds = 6
-	// readyTimeout bounds the wait for a box that starts.
 	readyTimeout = 20 * time.Second
 	// streamEvents and eventGap make a stream last about two seconds.
 	streamEvents = 40
@@ -33,7 +32,7 @@
 	workTime     = 15 * time.Millisecond
 )
 
-// boxProcess is one box: its process, and its own link to the store.
+// boxProcess is one box, run as a process, with its own link to the store.
 type boxProcess struct {
 	settings       emulator.BoxSettings
 	settingsPath   string
@@ -46,22 +45,22 @@
 	exited       chan struct{}
 	startedAt    time.Time
 	exitedAt     time.Time
-	restarting   bool        // its restart is under way
-	stopTimes    []time.Time // when it was told to stop
-	disturbances []time.Time // when something unplanned happened to it
+	restarting   bool        // a restart is queued
+	stopTimes    []time.Time // when SIGTERM was sent
+	disturbances []time.Time // when it was killed, paused or resumed
 }
 
-// listedServer is one server and the proxy before it.
+// listedServer is a server that is listed to the boxes at the address of its proxy.
 type listedServer struct {
 	*emulator.Server
 	proxy        *FaultProxy
 	service      string
-	leavingSince time.Time // when its leaving was published
-	disturbed    bool
+	leavingSince time.Time // when it was unlisted or listed as draining; zero before
+	disturbed    bool      // it crashed, or a fault was injected into it or its link
 	notice       emulator.Notice
 }
 
-// fleet is all that a run starts.
+// fleet is the deployment of one run: the store, the servers and the boxes.
 type fleet struct {
 	program          string
 	folder           string
@@ -161,7 +160,7 @@
 	return nil
 }
 
-// zoneOf gives the zone of a box; a few boxes stand in one.
+// zoneOf returns the zone of a box; a fleet of the default size has a single, unnamed zone.
 func zoneOf(box, count int) string {
 	if count <= defaultBoxes {
 		return ""
@@ -169,7 +168,7 @@
 	return fmt.Sprintf("zone-%c", 'a'+box%zoneCount)
 }
 
-// start starts the box's process.
+// start starts the box's process, or starts it again after an exit.
 func (b *boxProcess) start(program string) error {
 	_, port, err := net.SplitHostPort(b.metricsAddress)
 	if err != nil {
@@ -182,11 +181,11 @@
 	c.Stdout = b.log
 	c.Stderr = b.log
 	if err := c.Start(); err != nil {
-		return errors.Wrap(err, "start a box")
+		return errors.Wrap(err, "start box process")
 	}
 	exited := make(chan struct{})
 	go func() {
-		// How a box ended is read from its log.
+		// The exit status is in the box's log.
 		_ = c.Wait()
 		b.mu.Lock()
 		b.exitedAt = time.Now()
@@ -212,11 +211,11 @@
 	case syscall.SIGKILL, syscall.SIGSTOP, syscall.SIGCONT:
 		b.disturbances = append(b.disturbances, time.Now())
 	}
-	// The process may have ended by itself a moment ago.
+	// Fails if the process has already exited.
 	_ = b.process.Process.Signal(s)
 }
 
-// exitedUnasked tells whether the process ended by itself, and how long after its start.
+// exitedUnasked reports whether the process exited without a stop or kill, and its uptime.
 func (b *boxProcess) exitedUnasked() (bool, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// maxBackoff bounds the rest that servers ask for with each refusal.
+	// maxBackoff bounds the backoff that servers request with each refusal.
 	maxBackoff = 3 * time.Second
-	// minLimit and limitMost bound the limits that servers name, in requests a second.
+	// minLimit and maxLimit bound the rate limits of servers, in requests a second.
 	minLimit = 2
 	maxLimit = 8
-	// inFlightTime is how long requests that were under way may still arrive.
+	// inFlightTime is how long requests in flight may still arrive after an answer.
 	inFlightTime = 500 * time.Millisecond
-	// maxBackoffArrivals is how many requests may come within a rest.
+	// maxBackoffArrivals is how many requests of a box may arrive during a backoff.
 	maxBackoffArrivals = 2
-	// limitApplyTime is how long after a limit was named first it must be kept; within
-	// limitSpan, so much more than that may come.
+	// limitApplyTime is how long boxes may take to apply a newly announced limit. After that,
+	// a limitWindow may hold limitTolerance times the limit and limitBurst requests more.
 	limitApplyTime = 3 * time.Second
 	limitWindow    = 4 * time.Second
 	limitTolerance = 1.5
 	limitBurst     = 5
-	// leavingApplyTime is how long after its word a server that leaves may get requests.
+	// leavingApplyTime is how long a box may still send requests to a server after an answer
+	// that announced that it leaves.
 	leavingApplyTime = 2 * time.Second
 )
 
-// announcer lets servers say of themselves what they want: rest with each refusal, limits for
-// some, and that they leave. It has a series of its own, so that the seeds of the other
-// faults stay what they were.
+// announcer makes servers announce notices in their answers: a backoff with each refusal, and
+// a rate limit for some servers. It draws from its own random source, so that the other faults
+// of a seed stay the same.
 type announcer struct {
 	fleet  *fleet
 	r      *rand.Rand
 	limits map[*listedServer]announcedLimit
 }
 
+// announcedLimit is the rate limit of a server and the time in which it is announced.
 type announcedLimit struct {
 	perSecond float64
 	from      time.Time
@@ -53,7 +55,7 @@
 	}
 }
 
-// announceLimits lets one server of each service name a limit.
+// announceLimits makes all servers announce backoffs and one server of each service a limit.
 func (a *announcer) announceLimits() {
 	limited := make(map[string]bool)
 	for _, s := range a.fleet.servers {
@@ -71,7 +73,7 @@
 	}
 }
 
-// clearLimits lets all servers take any number of requests again.
+// clearLimits ends the announcement of all limits.
 func (a *announcer) clearLimits() {
 	for s, n := range a.limits {
 		n.until = time.Now()
@@ -80,13 +82,13 @@
 	}
 }
 
-// announce changes what a server says of itself.
+// announce changes the notices that a server sends with its answers.
 func (l *listedServer) announce(change func(*emulator.Notice)) {
 	change(&l.notice)
 	l.Announce(l.notice)
 }
 
-// sendingBox gives the box that sent a request by the callers' id, or -1.
+// sendingBox returns the box that the request's ID names, or -1 if it names none.
 func sendingBox(a emulator.Arrival) int {
 	for _, part := range strings.Split(a.ID, "-") {
 		if n, ok := strings.CutPrefix(part, "b"); ok {
@@ -98,8 +100,8 @@
 	return -1
 }
 
-// isUndisturbed tells whether nothing happened to a box: one that was stopped, killed or paused
-// may have forgotten, or not heard.
+// isUndisturbed reports whether a box was never stopped, killed or paused. A disturbed box
+// may have missed or lost an announcement.
 func (f *fleet) isUndisturbed(box int) bool {
 	if box < 0 {
 		return false
@@ -110,10 +112,10 @@
 	return len(b.disturbances) == 0 && len(b.stopTimes) == 0
 }
 
-// checkNotices checks that boxes keep to what servers say of themselves.
-func (r *Report) checkNotices(f *fleet, announced *announcer, all []callResult) {
-	startedAt := make(map[string]time.Time, len(all))
-	for _, s := range all {
+// checkNotices checks that boxes follow the notices of servers.
+func (r *Report) checkNotices(f *fleet, announced *announcer, results []callResult) {
+	startedAt := make(map[string]time.Time, len(results))
+	for _, s := range results {
 		startedAt[s.ID] = s.startedAt
 	}
 	for _, s := range f.servers {
@@ -142,7 +144,7 @@
 			}
 		}
 		if count > maxBackoffArrivals {
-			r.addViolation("BUDGET: %s asked box %d for %s of rest and got %d requests from it", server.ID, box, refused.Rest, count)
+			r.addViolation("BUDGET: %s asked box %d to back off for %s and got %d requests from it", server.ID, box, refused.Rest, count)
 		}
 	}
 }
@@ -156,7 +158,7 @@
 	}
 	maxArrivals := limitTolerance*limit.perSecond*limitWindow.Seconds() + limitBurst
 	if got := emulator.MostWithin(counted, limitWindow); float64(got) > maxArrivals {
-		r.addViolation("LIMIT: %s takes %.1f requests a second and got %d in %s", s.ID, limit.perSecond, got, limitWindow)
+		r.addViolation("LIMIT: %s announced a limit of %.1f requests a second and got %d in %s", s.ID, limit.perSecond, got, limitWindow)
 	}
 }
 
@@ -172,17 +174,17 @@
 			continue
 		}
 		if late := startedAt[a.ID].Sub(noticedAt[box].Add(inFlightTime)); late > leavingApplyTime {
-			r.addViolation("DRAIN: %s reached %s, %s after box %d was told that it leaves", a.ID, s.ID, late+inFlightTime, box)
+			r.addViolation("DRAIN: %s reached %s, %s after an answer announced to box %d that the server leaves", a.ID, s.ID, late+inFlightTime, box)
 		}
 	}
 }
 
-// String tells of the limits that were named.
+// String returns the announced limits as text for the report.
 func (a *announcer) String() string {
 	var descriptions []string
 	for _, s := range a.fleet.servers {
 		if n, limited := a.limits[s]; limited {
-			descriptions = append(descriptions, fmt.Sprintf("%s takes %.1f requests a second", s.ID, n.perSecond))
+			descriptions = append(descriptions, fmt.Sprintf("%s limited to %.1f requests a second", s.ID, n.perSecond))
 		}
 	}
 	return strings.Join(descriptions, ", ")
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// LinkFault is what a proxy does to the connections through it.
+// LinkFault is a fault that a proxy injects into the connections through it.
 type LinkFault string
 
-// The troubles of a link.
+// The link faults.
 const (
 	NoFault  LinkFault = ""
-	Delayed  LinkFault = "delayed"  // bytes wait a while, both ways
-	Reset    LinkFault = "reset"    // open connections are reset, new ones too
-	Silent   LinkFault = "silent"   // nothing goes through, nothing closes
-	OneWay   LinkFault = "one way"  // requests go through, answers don't
-	Trickled LinkFault = "trickled" // bytes go through a few at a time
+	Delayed  LinkFault = "delayed"  // data is delayed in both directions
+	Reset    LinkFault = "reset"    // open and new connections are reset
+	Silent   LinkFault = "silent"   // no data passes; connections stay open
+	OneWay   LinkFault = "one way"  // requests pass, responses don't
+	Trickled LinkFault = "trickled" // data passes a few bytes at a time
 )
 
 const (
@@ -27,7 +27,7 @@
 	trickleSize  = 64
 )
 
-// FaultProxy is a link on loopback that can be troubled.
+// FaultProxy is a TCP proxy on loopback that injects link faults.
 type FaultProxy struct {
 	target   string
 	listener net.Listener
@@ -38,7 +38,7 @@
 	closed   bool
 }
 
-// NewFaultProxy starts a proxy before an address.
+// NewFaultProxy starts a proxy to the target address.
 func NewFaultProxy(target string) (*FaultProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,10 +54,10 @@
 	return p, nil
 }
 
-// Address gives where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *FaultProxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the trouble; open connections have it too.
+// Set changes the fault, for open connections too.
 func (p *FaultProxy) Set(t LinkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +82,7 @@
 	_ = c.Close()
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets all connections.
 func (p *FaultProxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +135,7 @@
 	_ = server.Close()
 }
 
-// copyOneWay carries bytes one way until that way ends; a reset on one side becomes
-// a reset on the other.
+// copyOneWay copies data in one direction until EOF. An error resets the other side.
 func (p *FaultProxy) copyOneWay(from, to net.Conn, isRequest bool, done chan struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, bufferSize)
@@ -160,7 +159,8 @@
 	}
 }
 
-// waitUntilOpen waits until the link lets bytes through; false when the proxy closed.
+// waitUntilOpen waits until the fault lets data pass. It returns false if the connection must
+// be reset.
 func (p *FaultProxy) waitUntilOpen(isRequest bool) bool {
 	for {
 		t, changed, closed := p.state()
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -8,27 +8,25 @@
 )
 
 const (
-	// firstRestoreSeed is the first seed in which the store comes back from an older copy; those
-	// before keep what they were.
+	// firstRestoreSeed is the first seed whose run restores the store from a backup. Lower
+	// seeds keep their original faults.
 	firstRestoreSeed = 3000
-	// minCopyAge is how old the copy is, at most.
-	minCopyAge = 3 * time.Second
-	// maxStoreDowntime is how long the store is away, at most.
+	maxCopyAge       = 3 * time.Second
 	maxStoreDowntime = time.Second
-	// maxRewriteDelay is within what servers write their entries again, and lapseTime after
-	// what the entries of servers go that don't.
+	// maxRewriteDelay bounds the time until servers rewrite their entries after a restore.
+	// The entry of a server that doesn't is removed after entryLifetime.
 	maxRewriteDelay = 1200 * time.Millisecond
 	entryLifetime   = 3600 * time.Millisecond
 )
 
-// storeRestorer lets the store come back from an older copy, twice in a run, from a series of its
-// own.
+// storeRestorer restores the store from an older backup, twice in a run. It draws from its
+// own random source, so that the other faults of a seed stay the same.
 type storeRestorer struct {
-	injector   *injector
-	r          *rand.Rand
-	backup     *emulator.StoreCopy
-	backupTime time.Time
-	remaining  int // how many are still to come
+	injector          *injector
+	r                 *rand.Rand
+	backup            *emulator.StoreCopy
+	backupTime        time.Time
+	remainingRestores int // how many are still to come
 }
 
 func newStoreRestorer(i *injector, seed uint64) *storeRestorer {
@@ -37,25 +35,25 @@
 		r:        rand.New(rand.NewPCG(seed, 77)),
 	}
 	if seed >= firstRestoreSeed {
-		d.remaining = 2
+		d.remainingRestores = 2
 	}
 	return d
 }
 
-// step takes a copy, or lets the store come back from the one before.
+// step takes a backup, or restores the store from the previous one if it is recent enough.
 func (d *storeRestorer) step() {
-	if d.remaining == 0 {
+	if d.remainingRestores == 0 {
 		return
 	}
 	i := d.injector
 	store := i.fleet.deployment.Store
-	if d.backup == nil || time.Since(d.backupTime) > minCopyAge {
+	if d.backup == nil || time.Since(d.backupTime) > maxCopyAge {
 		d.backup = store.Copy()
 		d.backupTime = time.Now()
 		return
 	}
-	d.remaining--
-	i.recordFault("the store comes back %s old", time.Since(d.backupTime).Round(time.Millisecond))
+	d.remainingRestores--
+	i.recordFault("store restored from a copy %s old", time.Since(d.backupTime).Round(time.Millisecond))
 	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	store.SetFault(emulator.StoreReset, 0)
 	time.Sleep(time.Duration(d.r.Int64N(int64(maxStoreDowntime))))
@@ -66,7 +64,7 @@
 	d.rewriteEntries()
 }
 
-// rewriteEntries lets the operator and the servers write again what they wrote.
+// rewriteEntries publishes the last configuration again and lists the servers again.
 func (d *storeRestorer) rewriteEntries() {
 	i := d.injector
 	time.Sleep(time.Duration(d.r.Int64N(int64(maxRewriteDelay))))
--- a/soak/run.go
+++ b/soak/run.go
@@ -14,29 +14,29 @@
 	faultCount     = 8
 	meanFaultPause = 700 * time.Millisecond
 	undoDelay      = 2 * time.Second
-	// recoveryTimeout bounds how long boxes take to serve again after all faults;
-	// the platform's own bound.
+	// recoveryTimeout bounds how long boxes may take to serve again after the last fault.
 	recoveryTimeout = 12 * time.Second
-	// applyTimeout is the time in which a published change is in force, with the
-	// slack that a busy machine needs.
+	// applyTimeout bounds the time until a published change is applied, with slack for a busy
+	// machine.
 	applyTimeout = 4 * time.Second
-	// storeSettleTime is how long the store must have been well for bounds to run.
+	// storeSettleTime is how long the store must be free of faults before a change for
+	// applyTimeout to be checked.
 	storeSettleTime = 5 * time.Second
 )
 
-// Report is the verdict on one seed.
+// Report is the result of one seed.
 type Report struct {
 	Seed       uint64
-	Planned    bool
+	Planned    bool // the seed has planned work only
 	Faults     []string
 	Requests   int
 	Served     int
-	CrashRuns  int      // engines that a deadly request reached
-	Violations []string // promises that were broken, with the request
-	LogFolder  string   // of the boxes' logs
+	CrashRuns  int      // how often the crashing request reached an engine
+	Violations []string // the violated guarantees, each with the request
+	LogFolder  string   // folder of the boxes' logs
 }
 
-// String gives the report in a few lines.
+// String formats the report: a summary line, then a line for each violation.
 func (r *Report) String() string {
 	kind := "mixed"
 	if r.Planned {
@@ -44,7 +44,7 @@
 	}
 	line := fmt.Sprintf("seed %d (%s): %d of %d served, %d broken; %s", r.Seed, kind, r.Served, r.Requests, len(r.Violations), strings.Join(r.Faults, ", "))
 	if r.CrashRuns > 0 {
-		line += fmt.Sprintf("; a request that no engine survives reached %d", r.CrashRuns)
+		line += fmt.Sprintf("; the crashing request reached %d engines", r.CrashRuns)
 	}
 	for _, b := range r.Violations {
 		line += "\n  " + b
@@ -52,20 +52,20 @@
 	return line
 }
 
-// Option changes how a seed is played.
+// Option changes how a seed is run.
 type Option func(*options)
 
 type options struct {
 	boxes int
 }
 
-// WithBoxes gives how many boxes run; without it, three.
+// WithBoxes sets the number of boxes; the default is three.
 func WithBoxes(boxes int) Option {
 	return func(o *options) { o.boxes = boxes }
 }
 
-// Run plays one seed with the program of a box; logs go to the folder. Every
-// third seed has planned work only.
+// Run runs one seed with the given box program and writes the boxes' logs to the folder.
+// Every third seed has planned work only.
 func Run(program, folder string, seed uint64, opts ...Option) (*Report, error) {
 	o := options{boxes: defaultBoxes}
 	for _, option := range opts {
@@ -131,7 +131,7 @@
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// checkRecovery checks that each box serves again once nothing troubles it.
+// checkRecovery checks that each box serves again within recoveryTimeout of the last fault.
 func (r *Report) checkRecovery(f *fleet) {
 	deadline := time.Now().Add(recoveryTimeout)
 	for n, b := range f.boxes {
@@ -149,7 +149,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				r.addViolation("RECOVER: %s doesn't serve %s after the last fault: status %d", b.settings.Name, recoveryTimeout, o.Status)
+				r.addViolation("RECOVER: %s does not serve %s after the last fault: status %d", b.settings.Name, recoveryTimeout, o.Status)
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -157,6 +157,8 @@
 	}
 }
 
+// checkCalls checks that each answer is the complete, correct one to its request, and that no
+// request ran more often than allowed.
 func (r *Report) checkCalls(f *fleet, i *injector, results []callResult) {
 	runs := f.deployment.Runs()
 	for _, s := range results {
@@ -168,7 +170,7 @@
 			r.addViolation("MIXED or ORDER: %s", s.Fault)
 		}
 		if s.isStream && s.Status == http.StatusOK && s.Whole && s.Events != streamEvents {
-			r.addViolation("ORDER: stream %s looked complete after %d events", s.ID, s.Events)
+			r.addViolation("ORDER: stream %s ended as complete after %d events", s.ID, s.Events)
 		}
 		starts := 0
 		for _, run := range runs[s.ID] {
@@ -176,17 +178,17 @@
 				starts++
 			}
 			if run.Key != "" {
-				r.addViolation("the key of %s was shown to a server", s.ID)
+				r.addViolation("the key of %s was forwarded to a server", s.ID)
 			}
 		}
 		if s.kind != "repeat" && starts > 1 {
 			r.addViolation("TWICE: %s ran %d times", s.ID, starts)
 		}
 		if s.NotRun() && len(runs[s.ID]) > 0 {
-			r.addViolation("REFUSED: %s was told %d and ran", s.ID, s.Status)
+			r.addViolation("REFUSED: %s got status %d (not run) but ran", s.ID, s.Status)
 		}
 		if s.kind == "repeat" && starts > 2 {
-			r.addViolation("BUDGET: %s ran at %d servers", s.ID, starts)
+			r.addViolation("BUDGET: %s ran on %d servers", s.ID, starts)
 		}
 	}
 	r.checkPlannedWork(i, results, runs)
@@ -194,23 +196,23 @@
 	r.checkRevokedKey(i, results)
 }
 
-// checkPlannedWork checks that planned work cuts no request that a server runs.
+// checkPlannedWork checks that planned work interrupts no request that a server runs.
 func (r *Report) checkPlannedWork(i *injector, results []callResult, runs map[string][]emulator.Run) {
 	if !i.planned {
 		return
 	}
 	for _, s := range results {
 		if s.Status == 0 && len(runs[s.ID]) > 0 && s.endedAt.Sub(s.startedAt) < graceSeconds*time.Second/2 {
-			r.addViolation("LOST: %s was sent on and its connection closed without an answer", s.ID)
+			r.addViolation("LOST: %s was sent to a server and its connection closed without an answer", s.ID)
 		}
 		if s.isStream && s.Status == http.StatusOK && !s.Whole {
-			r.addViolation("LOST: stream %s was cut by planned work after %d events", s.ID, s.Events)
+			r.addViolation("LOST: planned work interrupted stream %s after %d events", s.ID, s.Events)
 		}
 	}
 }
 
-// checkLeavingServers checks that a server that leaves gets no new requests beyond the
-// bound, where the store was calm.
+// checkLeavingServers checks that a leaving server gets no new requests after applyTimeout,
+// unless the store had faults around that time.
 func (r *Report) checkLeavingServers(f *fleet, i *injector, runs map[string][]emulator.Run) {
 	for _, s := range f.servers {
 		if s.leavingSince.IsZero() || i.storeFaultNear(s.leavingSince) {
@@ -219,26 +221,26 @@
 		for id, all := range runs {
 			for _, run := range all {
 				if run.Server == s.ID && run.Continued == "" && run.At.After(s.leavingSince.Add(applyTimeout)) && !i.anyBoxDisturbed(f) {
-					r.addViolation("DRAIN: %s reached %s %s after it was leaving", id, s.ID, run.At.Sub(s.leavingSince))
+					r.addViolation("DRAIN: %s reached %s %s after the server began to leave", id, s.ID, run.At.Sub(s.leavingSince))
 				}
 			}
 		}
 	}
 }
 
-// checkRevokedKey checks that a key that was taken away isn't served beyond the bound.
+// checkRevokedKey checks that no request with a revoked key is served after applyTimeout.
 func (r *Report) checkRevokedKey(i *injector, results []callResult) {
 	if i.keyRevokedAt.IsZero() || i.storeFaultNear(i.keyRevokedAt) {
 		return
 	}
 	for _, s := range results {
 		if s.key == emulator.OtherKey && s.Status == http.StatusOK && s.startedAt.After(i.keyRevokedAt.Add(applyTimeout)) && !i.anyBoxDisturbed(i.fleet) {
-			r.addViolation("CONFIG: %s was served %s after its key was taken away", s.ID, s.startedAt.Sub(i.keyRevokedAt))
+			r.addViolation("CONFIG: %s was served %s after its key was revoked", s.ID, s.startedAt.Sub(i.keyRevokedAt))
 		}
 	}
 }
 
-// storeFaultNear tells whether the store was troubled around a time.
+// storeFaultNear reports whether the store or a link to it had a fault around a time.
 func (i *injector) storeFaultNear(at time.Time) bool {
 	for _, t := range i.storeFaultTimes {
 		if t.After(at.Add(-storeSettleTime)) && t.Before(at.Add(applyTimeout+storeSettleTime)) {
@@ -248,7 +250,7 @@
 	return false
 }
 
-// anyBoxDisturbed tells whether any box was killed or paused: its view may be older.
+// anyBoxDisturbed reports whether any box was killed or paused, so that its view may be outdated.
 func (i *injector) anyBoxDisturbed(f *fleet) bool {
 	for _, b := range f.boxes {
 		if len(b.disturbances) > 0 {
