--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Describe("the soak", func() {
-	// A seed with planned work only, and one with kills, pauses and cuts. Seeds
-	// that broke a promise once are added here, each with a line on the cause.
-	DescribeTable("keeps the promises with seed",
+	// The first two seeds cover planned work, and kills, pauses and link faults. The others cover
+	// one fault each, most of them one that caused a violation.
+	DescribeTable("violates no guarantee with seed",
 		func(seed int) {
 			r, err := soak.Run(program, GinkgoT().TempDir(), uint64(seed))
 			Expect(err).NotTo(HaveOccurred())
@@ -18,11 +18,11 @@
 			Expect(r.Served).To(BeNumerically(">", 0))
 		},
 		Entry("planned work", 3),
-		Entry("kills, links and stores", 7),
-		Entry("servers' faults that would show a request sent twice", 16),
-		Entry("a reload met a starting box, which had no signal handlers yet and ended", 33),
-		Entry("a box that had just started moved a stream without a send to go on with", 2037),
-		Entry("a store that comes back from an older copy", 3001),
-		Entry("a request that no engine survives, whose ends were not told from resets behind a proxy", 1001),
+		Entry("box kills, link faults and store faults", 7),
+		Entry("server faults that reveal a request sent twice", 16),
+		Entry("a SIGHUP ends a starting box that has no signal handlers yet", 33),
+		Entry("a newly started box interrupts a stream to move it, with no send left to resume it", 2037),
+		Entry("the store is restored from an older copy", 3001),
+		Entry("a request crashes every engine, behind proxies that make crashes look like resets", 1001),
 	)
 })
--- a/soak/suite_test.go
+++ b/soak/suite_test.go
@@ -15,7 +15,7 @@
 	ginkgo.RunSpecs(t, "soak")
 }
 
-// program is the program of a box, built for this run.
+// program is the path of the box program, built for this run.
 var program string
 
 var _ = ginkgo.BeforeSuite(func() {
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BatchRules are the sizes and times of one engine.
+// BatchRules configure the memory, batch size and step times of one engine.
 type BatchRules struct {
 	MemoryTokens int
 	BlockTokens  int
@@ -13,11 +13,11 @@
 	StepBase     time.Duration
 	StepPerSeq   time.Duration
 	PrefillToken time.Duration
-	CacheTokens  int // part of the memory kept for prompt prefixes
+	CacheTokens  int // part of the memory reserved for cached prompt prefixes
 }
 
-// DefaultBatchRules gives an engine with a step of 12 ms alone and 30 ms at a
-// batch of 60.
+// DefaultBatchRules returns rules whose step takes 12 ms when empty and 30 ms with 60
+// sequences.
 func DefaultBatchRules() BatchRules {
 	return BatchRules{
 		MemoryTokens: 40000,
@@ -30,22 +30,22 @@
 	}
 }
 
-// Sequence is one generation in an engine.
+// Sequence is one generation in an engine's batch or queue.
 type Sequence struct {
 	ID           string
-	Priority     int // 0 is served first
+	Priority     int // 0 is the highest
 	Prompt       int
 	Prefix       uint64
-	OutputLength int // drawn, unknown to callers
+	OutputLength int // in tokens; unknown to callers
 	Made         int
 	Preempted    int
 	arrival      int
-	Computed     int // prompt tokens computed, those after a preemption included
+	Computed     int // prefill tokens computed, including those repeated after preemptions
 }
 
 func (s *Sequence) blocks(size int) int { return (s.Prompt + s.Made + size) / size }
 
-// Step is what one step of the batch did.
+// Step is the result of one batch step.
 type Step struct {
 	Duration  time.Duration
 	Made      []*Sequence
@@ -53,8 +53,8 @@
 	Preempted []*Sequence
 }
 
-// Batch is an engine's continuous batching over a limited memory of blocks. It
-// is pure: each step tells how long it takes and what it made.
+// Batch simulates an engine's continuous batching over a limited memory of blocks. It reads no
+// clock: each step returns its duration and the sequences that advanced.
 type Batch struct {
 	Rules      BatchRules
 	waiting    []*Sequence
@@ -64,7 +64,7 @@
 	cache      *prefixCache
 }
 
-// NewBatch starts empty.
+// NewBatch returns an empty batch.
 func NewBatch(rules BatchRules) *Batch {
 	return &Batch{
 		Rules: rules,
@@ -72,7 +72,7 @@
 	}
 }
 
-// Submit adds a sequence; it waits by priority, then by arrival.
+// Submit queues a sequence. The queue is ordered by priority, then by arrival.
 func (b *Batch) Submit(s *Sequence) {
 	b.arrivals++
 	s.arrival = b.arrivals
@@ -91,7 +91,7 @@
 	return a.arrival - b.arrival
 }
 
-// Cancel removes a sequence.
+// Cancel removes a sequence from the queue or the batch.
 func (b *Batch) Cancel(id string) {
 	match := func(s *Sequence) bool { return s.ID == id }
 	b.waiting = slices.DeleteFunc(b.waiting, match)
@@ -103,21 +103,21 @@
 	b.running = slices.DeleteFunc(b.running, match)
 }
 
-// Running counts the sequences in the batch.
+// Running returns the number of sequences in the batch.
 func (b *Batch) Running() int { return len(b.running) }
 
-// Waiting counts the sequences before the batch.
+// Waiting returns the number of queued sequences.
 func (b *Batch) Waiting() int { return len(b.waiting) }
 
-// Used gives the memory in use, in tokens.
+// Used returns the memory in use, in tokens.
 func (b *Batch) Used() int { return b.usedBlocks * b.Rules.BlockTokens }
 
 func (b *Batch) totalBlocks() int { return b.Rules.MemoryTokens / b.Rules.BlockTokens }
 
-// IsIdle reports whether there is nothing to do.
+// IsIdle reports whether no sequence is running or queued.
 func (b *Batch) IsIdle() bool { return len(b.running)+len(b.waiting) == 0 }
 
-// Step makes one token for each sequence in the batch.
+// Step admits queued sequences and generates one token for each running sequence.
 func (b *Batch) Step() Step {
 	var out Step
 	prefill := b.admit()
@@ -132,8 +132,8 @@
 	return out
 }
 
-// admit starts waiting sequences while memory and batch have room, and gives
-// the tokens that must be computed first.
+// admit moves queued sequences into the batch while memory and batch size allow, and returns
+// the number of tokens to prefill.
 func (b *Batch) admit() int {
 	prefill := 0
 	for len(b.waiting) > 0 && len(b.running) < b.Rules.MaxBatch {
@@ -170,7 +170,7 @@
 	}
 }
 
-// victim is the least important and latest of the running.
+// victim returns the sequence to preempt: of the lowest priority, the one that arrived last.
 func (b *Batch) victim() *Sequence {
 	if len(b.running) < 2 {
 		return nil
@@ -197,7 +197,7 @@
 	out.Finished = append(out.Finished, s)
 }
 
-// prefixCache remembers the prefixes that were computed last.
+// prefixCache is an LRU cache of prompt prefixes.
 type prefixCache struct {
 	capacity         int
 	leastRecentFirst []uint64
@@ -206,7 +206,7 @@
 	events           []CacheEvent
 }
 
-// CacheEvent tells that a prefix was kept or dropped.
+// CacheEvent records that a prefix was cached or evicted.
 type CacheEvent struct {
 	Sequence int    `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
@@ -220,7 +220,7 @@
 	}
 }
 
-// prefixFraction is the part of a prompt that its prefix stands for.
+// prefixFraction is the fraction of a prompt that its cached prefix covers.
 const prefixFraction = 0.6
 
 func (c *prefixCache) hit(prefix uint64, prompt int) int {
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,5 +1,4 @@
-// Package standin holds small fakes of what the system meets: the platform, a
-// model engine and a plain service. They serve demonstrations, tests and
-// measurements, keep their own record of what happened, and can be told to
-// fail over a control address.
+// Package standin holds small fakes of the external systems: the configuration platform, a
+// model engine and a plain service. They serve demonstrations, tests and benchmarks, record
+// what they ran, and inject faults that are set over a control endpoint.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -8,7 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// EngineRules are the settings of a stand-in engine.
+// EngineRules configure a fake engine.
 type EngineRules struct {
 	Name         string
 	Models       []string
@@ -17,17 +17,17 @@
 	Seed         uint64
 	LoadLag      time.Duration
 	ChecksFences bool
-	ResumeWindow time.Duration // how long an ended generation can be resumed
+	ResumeWindow time.Duration // how long a finished generation can be read again
 	Cache        CacheEventRules
 }
 
-// CacheEventRules say how an engine's cache events fall short.
+// CacheEventRules make an engine's cache event log incomplete.
 type CacheEventRules struct {
-	HeldBack  int // the newest events that are not told yet
-	DropEvery int // each event of so many is never told; 0 tells all
+	HeldBack  int // number of newest events not reported yet
+	DropEvery int // every n-th event is never reported; 0 reports all
 }
 
-// visible gives the events after a number that are told by now.
+// visible returns the reported events with a sequence number above after.
 func (r CacheEventRules) visible(log []CacheEvent, after int) []CacheEvent {
 	out := make([]CacheEvent, 0, len(log))
 	for _, e := range log[:max(0, len(log)-r.HeldBack)] {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// Engine is a stand-in model engine that runs in real time.
+// Engine is a fake model engine that generates tokens in real time.
 type Engine struct {
 	rules        EngineRules
 	incarnation  uint64
@@ -57,7 +57,7 @@
 	preempted    int
 }
 
-// generation is one sequence and who listens to it.
+// generation is one sequence with its progress and readers.
 type generation struct {
 	seq       *Sequence
 	model     string
@@ -70,7 +70,7 @@
 	reason    string
 }
 
-// Load is what an engine reports, with a lag.
+// Load is an engine's load report; it lags behind the engine's state.
 type Load struct {
 	Incarnation  uint64        `json:"incarnation"`
 	Running      int           `json:"running"`
@@ -81,14 +81,14 @@
 	Preempted    int           `json:"preempted"`
 }
 
-// Order is a fenced order to an engine.
+// Order is an instruction to an engine that carries a fence.
 type Order struct {
 	Fence core.Fence `json:"fence"`
 	Do    string     `json:"do"` // load, unload or role
 	What  string     `json:"what"`
 }
 
-// NewEngine starts an engine's batch loop.
+// NewEngine returns an engine and starts its batch loop.
 func NewEngine(rules EngineRules) *Engine {
 	e := &Engine{
 		rules:       rules,
@@ -159,7 +159,7 @@
 	g.changed = make(chan struct{})
 }
 
-// reportLoad copies the load to what is shown, later by the lag.
+// reportLoad copies the current load to the reported load once in each lag interval.
 func (e *Engine) reportLoad() {
 	lag := max(e.rules.LoadLag, 10*time.Millisecond)
 	for range time.Tick(lag) {
@@ -175,8 +175,8 @@
 	}
 }
 
-// discardExpired forgets the texts of generations that ended long ago and that nobody
-// reads; their record stays.
+// discardExpired marks finished generations that have no reader as unreadable once the resume
+// window has passed. Their token counts stay in the record.
 func (e *Engine) discardExpired() {
 	for _, g := range e.generations {
 		if g.ended && g.readers == 0 && time.Since(g.endedAt) > e.rules.ResumeWindow {
@@ -185,8 +185,8 @@
 	}
 }
 
-// start submits a generation, with its first reader; it answers false if the id
-// was used before.
+// start submits a generation and attaches its first reader. It returns false if the ID was
+// used before.
 func (e *Engine) start(id, model string, priority, prompt, most int, prefix uint64) (*generation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -220,7 +220,7 @@
 	return g, true
 }
 
-// attach gives a generation to one more reader, or nil.
+// attach adds a reader to a generation and returns it, or nil if it can't be read.
 func (e *Engine) attach(id string) *generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -232,6 +232,8 @@
 	return g
 }
 
+// cancel stops a generation. It returns false if the ID is unknown; with onlyIdle, a generation
+// that has readers continues.
 func (e *Engine) cancel(id string, onlyIdle bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -252,21 +254,22 @@
 	return true
 }
 
-// detach ends a reading.
+// detach removes a reader from a generation.
 func (e *Engine) detach(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.readers--
 }
 
-// progress gives how many tokens a generation has and a channel that is closed
-// when that changes.
+// progress returns a generation's token count and state, and a channel that is closed when they
+// change.
 func (e *Engine) progress(g *generation) (made int, ended, discarded bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return g.made, g.ended, g.discarded, g.changed
 }
 
+// applyOrder records an order and returns true, unless its fence is outdated.
 func (e *Engine) applyOrder(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -277,7 +280,7 @@
 	return true
 }
 
-// Record is an engine's own record of what it made.
+// Record is an engine's record of its generations and orders.
 type Record struct {
 	Incarnation uint64         `json:"incarnation"`
 	Tokens      map[string]int `json:"tokens"`
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -16,7 +16,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
 )
 
-// completionRequest is the part of a completion request that an engine reads.
+// completionRequest holds the fields of a completion request that the engine uses.
 type completionRequest struct {
 	Model      string          `json:"model"`
 	Prompt     json.RawMessage `json:"prompt"`
@@ -26,13 +26,13 @@
 	Generation string          `json:"generation_id"`
 }
 
-// defaultMaxTokens is used when a request names none.
+// defaultMaxTokens applies to requests without max_tokens.
 const defaultMaxTokens = 32768
 
-// charactersPerToken is the stand-in's tokenizer.
+// charactersPerToken approximates a tokenizer.
 const charactersPerToken = 4
 
-// HTTPServer builds the engine's HTTP server.
+// HTTPServer returns the engine's HTTP server, not yet started.
 func (e *Engine) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
 	h.POST("/v1/completions", e.handleCompletion(false))
@@ -75,7 +75,7 @@
 	}
 }
 
-// prefixBytes is the length of a prompt's start that counts as its prefix.
+// prefixBytes is the length of the prompt prefix that the cache is keyed by.
 const prefixBytes = 64
 
 func hashPrefix(text string) uint64 {
@@ -120,18 +120,18 @@
 func (e *Engine) handleOrder(_ context.Context, c *app.RequestContext) {
 	var o Order
 	if err := json.Unmarshal(c.Request.Body(), &o); err != nil {
-		c.String(http.StatusBadRequest, "not an order")
+		c.String(http.StatusBadRequest, "invalid order")
 		return
 	}
 	if !e.applyOrder(o) {
-		c.String(http.StatusConflict, "an order with a higher fence was taken")
+		c.String(http.StatusConflict, "order rejected: an order with a higher fence was accepted")
 		return
 	}
-	c.String(http.StatusOK, "taken")
+	c.String(http.StatusOK, "order accepted")
 }
 
-// stream writes a generation's frames from an offset until its end, for a reader
-// that start or find counted.
+// stream writes a generation's frames from an offset to its end. The caller has attached the
+// reader; stream detaches it.
 func (e *Engine) stream(ctx context.Context, c *app.RequestContext, g *generation, from int, chat bool) {
 	c.Response.Header.SetContentType("text/event-stream")
 	c.Response.Header.Set("Engine-Incarnation", strconv.FormatUint(e.incarnation, 10))
@@ -183,11 +183,12 @@
 	frames    int
 }
 
-// errCut ends a stream because the stand-in was told to.
+// errCut ends a stream because of an injected fault.
 type errCut struct{}
 
-func (errCut) Error() string { return "cut" }
+func (errCut) Error() string { return "stream cut by an injected fault" }
 
+// writeToken buffers the frame of one token and applies the injected frame faults.
 func (w *frameWriter) writeToken(offset int) error {
 	frame := w.frame(offset, TokenText(w.g.seq.ID, offset), "null")
 	f := w.engine.faults.get()
@@ -244,6 +245,7 @@
 	return w.body.Flush()
 }
 
+// writeEnd writes the last frame, the token usage and the end marker.
 func (w *frameWriter) writeEnd(made int) {
 	w.engine.faults.waitForFaults(nil)
 	last := w.frame(made, "", strconv.Quote(w.g.reason))
@@ -256,7 +258,7 @@
 	_ = w.body.Flush()
 }
 
-// closeMidStream closes the connection in the middle of a stream.
+// closeMidStream writes the buffered frames and closes the connection without an end marker.
 func (w *frameWriter) closeMidStream(c *app.RequestContext) {
 	_, _ = w.body.Write(w.buffer)
 	_ = w.body.Flush()
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Faults says what a stand-in does wrong from now on.
+// Faults are the faults that a fake injects until they are replaced.
 type Faults struct {
-	Stall          bool `json:"stall"`      // stop answering without closing
-	DelayMS        int  `json:"delay_ms"`   // answer so much later
-	DelayEvery     int  `json:"delay_nth"`  // a service delays every n-th answer only
-	DuplicateEvery int  `json:"duplicate"`  // send every n-th frame twice
-	ReorderEvery   int  `json:"reorder"`    // swap every n-th frame with the next
-	CutEvery       int  `json:"cut"`        // break the link after so many frames
-	Refuse         bool `json:"refuse"`     // refuse new work
-	WrongAnswer    bool `json:"cross"`      // answer with another request's answer
-	Down           bool `json:"down"`       // the platform answers 503
-	Stale          bool `json:"stale"`      // the platform shows what it had
-	StaleBy        int  `json:"stale_by"`   // the platform shows so many versions less
-	AnswerLate     bool `json:"late_after"` // a service acts, then answers late
-	Exit           bool `json:"die"`        // end the process at once
+	Stall          bool `json:"stall"`      // don't answer, and keep connections open
+	DelayMS        int  `json:"delay_ms"`   // delay answers by this time
+	DelayEvery     int  `json:"delay_nth"`  // service: delay every n-th answer only
+	DuplicateEvery int  `json:"duplicate"`  // engine: send every n-th frame twice
+	ReorderEvery   int  `json:"reorder"`    // engine: swap every n-th frame with the next
+	CutEvery       int  `json:"cut"`        // engine: close the connection at every n-th frame
+	Refuse         bool `json:"refuse"`     // refuse new requests
+	WrongAnswer    bool `json:"cross"`      // service: label the answer with the previous request's ID
+	Down           bool `json:"down"`       // platform: answer 503
+	Stale          bool `json:"stale"`      // platform: don't show new versions
+	StaleBy        int  `json:"stale_by"`   // platform: hide this many of the newest versions
+	AnswerLate     bool `json:"late_after"` // service: run the request, then answer late
+	Exit           bool `json:"die"`        // exit the process at once
 }
 
+// faultState holds the current faults and wakes waiting handlers when they change.
 type faultState struct {
 	mu      sync.Mutex
 	current Faults
@@ -52,8 +53,8 @@
 	return b.current, b.changed
 }
 
-// waitForFaults waits while the stand-in is told to stall, and for its delay; stop ends
-// the wait.
+// waitForFaults blocks while a stall is injected, until stop is closed, and then for the injected
+// delay.
 func (b *faultState) waitForFaults(stop <-chan struct{}) {
 	f, changed := b.watch()
 	for f.Stall {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,9 +17,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Platform is a stand-in of the configuration service and of the list of live
-// and leaving boxes and endpoints. It only answers reads; what it holds is
-// changed over its control paths.
+// Platform is a fake of the configuration service and of the list of boxes and endpoints. Its
+// documents are published over control endpoints.
 type Platform struct {
 	faults     *faultState
 	startedAt  time.Time
@@ -27,11 +26,11 @@
 	changed    chan struct{}
 	configs    []document
 	lists      []document
-	staleCount [2]int // what is shown while stale
+	staleCount [2]int // documents of each kind shown while stale
 	calls      int
 }
 
-// The two kinds of value that the platform publishes.
+// The kinds of document that the platform publishes.
 const (
 	kindConfig = iota
 	kindList
@@ -42,7 +41,7 @@
 	body    []byte
 }
 
-// NewPlatform starts with a configuration and a list.
+// NewPlatform returns a platform with an initial configuration and list.
 func NewPlatform(config, list []byte) (*Platform, error) {
 	p := &Platform{
 		faults:    newFaultState(),
@@ -59,7 +58,7 @@
 	var head struct {
 		Version uint64 `json:"version"`
 	}
-	// A faulty document is published all the same: the readers must cope.
+	// An invalid document is published too, as a test of the readers.
 	_ = json.Unmarshal(body, &head)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// HTTPServer builds the platform's HTTP server.
+// HTTPServer returns the platform's HTTP server, not yet started.
 func (p *Platform) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
 	h.GET("/v1/config", p.handleWatch(kindConfig))
@@ -101,9 +100,9 @@
 	c.JSON(http.StatusOK, map[string]int{"calls": p.calls})
 }
 
-// handleWatch answers with the first value after a version, or waits for one. A list
-// comes one version at a time, so that a watcher misses none; of the
-// configuration only the newest counts.
+// handleWatch answers with a document newer than the requested version, or waits for one. Lists
+// are served one version at a time, so that a watcher sees all; of the configurations only the
+// newest is served.
 func (p *Platform) handleWatch(kind int) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		p.countCall()
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,13 +12,13 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 )
 
-// requestIDHeader matches an answer to its request.
+// requestIDHeader is echoed in answers, so that callers can match them to requests.
 const requestIDHeader = "X-Request-Id"
 
-// lateAnswerDelay is how late an answer is that a service was told to delay.
+// lateAnswerDelay is the delay of answers under the AnswerLate fault.
 const lateAnswerDelay = 3 * time.Second
 
-// Service is a stand-in plain service that counts each effect.
+// Service is a fake plain service that counts its runs of each request.
 type Service struct {
 	name    string
 	faults  *faultState
@@ -28,7 +28,7 @@
 	lastID  string
 }
 
-// NewService starts with no effect.
+// NewService returns a service without recorded calls.
 func NewService(name string) *Service {
 	return &Service{
 		name:    name,
@@ -37,13 +37,13 @@
 	}
 }
 
-// ServiceRecord is a service's own record.
+// ServiceRecord is a service's record of the calls that it ran.
 type ServiceRecord struct {
 	Calls   int            `json:"calls"`
 	Effects map[string]int `json:"effects"` // by method, path and body
 }
 
-// HTTPServer builds the service's HTTP server.
+// HTTPServer returns the service's HTTP server, not yet started.
 func (s *Service) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
 	h.GET("/control/record", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, s.record()) })
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// settings are the flags of the stand-in's program.
+// settings holds the flags of the fakes' program.
 type settings struct {
 	role    string
 	address string
@@ -24,7 +24,7 @@
 	engine  EngineRules
 }
 
-// Run starts one stand-in by its role and serves until the process ends.
+// Run starts the fake that the role flag names and serves until the process ends.
 func Run(arguments []string) error {
 	hlog.SetLevel(hlog.LevelError)
 	s := &settings{engine: EngineRules{Batch: DefaultBatchRules()}}
@@ -35,7 +35,7 @@
 	fs.StringVar(&s.config, "config", "", "platform: configuration `FILE` to start with")
 	fs.StringVar(&s.list, "list", "", "platform: list `FILE` to start with")
 	fs.StringVar(&s.name, "name", "standin", "engine, service: `name`")
-	fs.StringVar(&s.models, "models", "", "engine: `names` of models with commas between them")
+	fs.StringVar(&s.models, "models", "", "engine: comma-separated model `names`")
 	s.addEngineFlags(fs)
 	err := ff.Parse(fs, arguments, ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.JSONParser))
 	if err != nil {
@@ -51,18 +51,18 @@
 func (s *settings) addEngineFlags(fs *flag.FlagSet) {
 	e := &s.engine
 	fs.IntVar(&e.Batch.MemoryTokens, "memory", e.Batch.MemoryTokens, "engine: memory in `tokens`")
-	fs.IntVar(&e.Batch.MaxBatch, "batch", e.Batch.MaxBatch, "engine: most `sequences` in a batch")
-	fs.DurationVar(&e.Batch.StepBase, "step", e.Batch.StepBase, "engine: `time` of a step alone")
-	fs.DurationVar(&e.Batch.StepPerSeq, "step-sequence", e.Batch.StepPerSeq, "engine: `time` of a step for each sequence")
+	fs.IntVar(&e.Batch.MaxBatch, "batch", e.Batch.MaxBatch, "engine: maximum `sequences` in a batch")
+	fs.DurationVar(&e.Batch.StepBase, "step", e.Batch.StepBase, "engine: base `time` of a batch step")
+	fs.DurationVar(&e.Batch.StepPerSeq, "step-sequence", e.Batch.StepPerSeq, "engine: additional step `time` for each sequence")
 	fs.Float64Var(&e.OutputLength.Median, "median", 60, "engine: median output length in `tokens`")
-	fs.Float64Var(&e.OutputLength.Sigma, "spread", 0.8, "engine: `spread` of the output length's logarithm")
-	fs.IntVar(&e.OutputLength.Most, "longest", 20000, "engine: longest output in `tokens`")
-	fs.Uint64Var(&e.Seed, "seed", 1, "engine: `seed` of the output lengths")
+	fs.Float64Var(&e.OutputLength.Sigma, "spread", 0.8, "engine: `sigma` of the log-normal output length")
+	fs.IntVar(&e.OutputLength.Most, "longest", 20000, "engine: maximum output length in `tokens`")
+	fs.Uint64Var(&e.Seed, "seed", 1, "engine: random `seed` of the output lengths")
 	fs.DurationVar(&e.LoadLag, "load-lag", 200*time.Millisecond, "engine: `lag` of the load report")
-	fs.IntVar(&e.Cache.HeldBack, "cache-lag", 2, "engine: newest cache `events` that are not told yet")
-	fs.IntVar(&e.Cache.DropEvery, "cache-gap", 7, "engine: each cache event of so `many` is never told; 0 tells all")
-	fs.BoolVar(&e.ChecksFences, "checks-fences", true, "engine: refuse an order with an older fence")
-	fs.DurationVar(&e.ResumeWindow, "linger", time.Minute, "engine: `time` for which an ended generation can be read")
+	fs.IntVar(&e.Cache.HeldBack, "cache-lag", 2, "engine: number of newest cache `events` not reported yet")
+	fs.IntVar(&e.Cache.DropEvery, "cache-gap", 7, "engine: never report every `n`-th cache event; 0 reports all")
+	fs.BoolVar(&e.ChecksFences, "checks-fences", true, "engine: reject orders with an older fence")
+	fs.DurationVar(&e.ResumeWindow, "linger", time.Minute, "engine: `time` for which a finished generation can be read")
 }
 
 func (s *settings) buildServer() (*server.Hertz, error) {
@@ -86,11 +86,11 @@
 func (s *settings) buildPlatform(address netip.AddrPort) (*server.Hertz, error) {
 	config, err := os.ReadFile(s.config)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the file of -config")
+		return nil, errors.Wrap(err, "read configuration file (flag -config)")
 	}
 	list, err := os.ReadFile(s.list)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the file of -list")
+		return nil, errors.Wrap(err, "read list file (flag -list)")
 	}
 	p, err := NewPlatform(config, list)
 	if err != nil {
--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,3 +1,3 @@
-// Package trace records the events that a node's core was given, one JSON line
-// each, and reads them back for replay.
+// Package trace records the events handled by a node's core, one JSON object per line, and
+// decodes them for replay.
 package trace
--- a/trace/event.go
+++ b/trace/event.go
@@ -11,42 +11,42 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// HomeBegun starts a claims' home in a trace.
+// HomeBegun is the first event of a claim owner.
 type HomeBegun struct {
 	core.EventBase
 	Self  core.Box
 	Rules core.ClaimRules
 }
 
-// GenerationBegun starts a stream in a trace.
+// GenerationBegun is the first event of a stream.
 type GenerationBegun struct {
 	core.EventBase
 	Repeatable bool
 	Rules      core.GenerationRules
 }
 
-// HoldBegun starts an owner's hold in a trace.
+// HoldBegun is the first event of the ownership of an endpoint's slot.
 type HoldBegun struct {
 	core.EventBase
 	Rules core.LeaseRules
 }
 
-// ModelBegun starts a model's admission in a trace.
+// ModelBegun is the first event of a model's admission.
 type ModelBegun struct {
 	core.EventBase
 	ExpectTokens int
 	MaxWait      time.Duration
 }
 
-// CallBegun starts a request on the operators' platform in a trace; Budget says
-// whether the retry budget has room for it.
+// CallBegun is the first event of a call to the operators' platform. Budget is whether the retry
+// budget has room for it.
 type CallBegun struct {
 	core.EventBase
 	Rules  core.CallRules
 	Budget bool
 }
 
-// eventTypes are the events that a trace may hold, by name.
+// eventTypes holds the types of the events in a trace by name.
 var eventTypes = eventTypesByName(
 	HomeBegun{},
 	GenerationBegun{},
@@ -108,36 +108,36 @@
 	return all
 }
 
-// epoch is the moment that a trace's times are written from.
+// epoch is the start time to which recorded times are shifted.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Epoch gives the moment at which a replay starts.
+// Epoch returns the virtual time at which a replay starts.
 func Epoch() time.Time { return epoch }
 
-// encode writes an event; its times count from the trace's start.
+// encode returns an event's type name and JSON, with its times shifted from start to epoch.
 func encode(ev core.Event, start time.Time) (string, json.RawMessage, error) {
 	shifted := shiftTimes(reflect.ValueOf(ev), epoch.Sub(start.Round(0)))
 	data, err := json.Marshal(shifted.Interface())
 	return reflect.TypeOf(ev).Name(), data, err
 }
 
-// Decode reads an event by its name.
+// Decode decodes an event by its type name.
 func Decode(name string, data json.RawMessage) (core.Event, error) {
 	t, known := eventTypes[name]
 	if !known {
-		return nil, errors.Errorf("unknown event %q; this release knows the events of docs/TRACES.md", name)
+		return nil, errors.Errorf("unknown event %q: not among the events of docs/TRACES.md", name)
 	}
 	v := reflect.New(t)
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, v.Interface()); err != nil {
-			return nil, errors.Wrapf(err, "read the data of %s", name)
+			return nil, errors.Wrapf(err, "decode data of event %s", name)
 		}
 	}
 	return v.Elem().Interface().(core.Event), nil
 }
 
-// shiftTimes copies an event with its times moved, so that they can be read in any
-// later run.
+// shiftTimes returns a copy of a struct with its times moved by a duration, so that a trace does
+// not depend on when it was recorded.
 func shiftTimes(v reflect.Value, by time.Duration) reflect.Value {
 	out := reflect.New(v.Type()).Elem()
 	out.Set(v)
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -11,7 +11,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Line is one line of a trace.
+// Line is one line of a trace. It holds an event for the state machine that On names, the
+// expected outcome of that machine's events so far, or both.
 type Line struct {
 	At     Duration        `json:"at"`
 	On     string          `json:"on"`
@@ -21,15 +22,15 @@
 	Note   string          `json:"note,omitempty"`
 }
 
-// Duration is a time since a trace's start, written as "1.5s".
+// Duration is a time since the start of a trace, encoded as text such as "1.5s".
 type Duration time.Duration
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON encodes the duration as text.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads the duration from text.
+// UnmarshalJSON decodes the duration from text.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -40,7 +41,7 @@
 	return err
 }
 
-// The names of a node's aggregates in a trace.
+// The names of a node's state machines in a trace; those with a slash are prefixes of an ID.
 const (
 	ClaimOwner = "home"
 	Versions   = "versions"
@@ -49,21 +50,21 @@
 	Model      = "model/"
 )
 
-// Recorder writes a trace; a nil recorder writes nothing.
+// Recorder writes a trace to a file. A nil Recorder discards all events.
 type Recorder struct {
 	mu    sync.Mutex
 	file  *os.File
 	start time.Time
 }
 
-// NewRecorder appends to a file, or gives nil for an empty name.
+// NewRecorder returns a recorder that appends to a file, or nil if the name is empty.
 func NewRecorder(name string) (*Recorder, error) {
 	if name == "" {
 		return nil, nil
 	}
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, errors.Wrap(err, "open the trace file; give a path that can be written")
+		return nil, errors.Wrap(err, "open trace file (its path must be writable)")
 	}
 	return &Recorder{
 		file:  f,
@@ -71,7 +72,7 @@
 	}, nil
 }
 
-// RecordClaimOwnerStart records the start of a claims' home.
+// RecordClaimOwnerStart records the first event of a claim owner.
 func (r *Recorder) RecordClaimOwnerStart(now time.Time, self core.Box, rules core.ClaimRules) {
 	r.Event(now, ClaimOwner, HomeBegun{
 		Self:  self,
@@ -79,7 +80,8 @@
 	})
 }
 
-// Event records one event of an aggregate.
+// Event records one event of the state machine with the given name. Events that can't be encoded
+// are dropped.
 func (r *Recorder) Event(now time.Time, on string, ev core.Event) {
 	if r == nil {
 		return
