--- a/soak/crash.go
+++ b/soak/crash.go
@@ -82,7 +82,7 @@
 // platform does.
 func (i *injector) replaceCrashed() {
 	for _, s := range slices.Clone(i.fleet.servers) {
-		if s.leavingSince.IsZero() && s.Ended() {
+		if s.leavingSince.IsZero() && s.Stopped() {
 			i.recordFault("%s crashed during a request", s.ID)
 			s.disturbed = true
 			i.replaceServer(s)
@@ -96,20 +96,20 @@
 	runs := f.deployment.Runs()
 	var crashRuns []emulator.Run
 	for _, o := range outcomes {
-		if o.NotRun() && len(runs[o.ID]) > 0 {
+		if o.PromisesNotRun() && len(runs[o.ID]) > 0 {
 			r.addViolation("REFUSED: %s got status %d (not run) but ran", o.ID, o.Status)
 		}
 		crashRuns = append(crashRuns, runs[o.ID]...)
 	}
-	slices.SortFunc(crashRuns, func(a, b emulator.Run) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	slices.SortFunc(crashRuns, func(a, b emulator.Run) int { return cmp.Compare(a.StartedAt.UnixNano(), b.StartedAt.UnixNano()) })
 	r.CrashRuns = len(crashRuns)
 	if len(crashRuns) <= crashThreshold {
 		return
 	}
-	quarantinedAt := crashRuns[crashThreshold-1].At.Add(workTime + quarantineDelay)
+	quarantinedAt := crashRuns[crashThreshold-1].StartedAt.Add(workTime + quarantineDelay)
 	late := 0
 	for _, run := range crashRuns {
-		if run.At.After(quarantinedAt) {
+		if run.StartedAt.After(quarantinedAt) {
 			late++
 		}
 	}
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -143,13 +143,13 @@
 
 func (i *injector) faultServer() {
 	s := i.randomServer()
-	all := []emulator.Fault{emulator.Cut, emulator.Reset, emulator.Mute, emulator.Garble, emulator.Extra, emulator.Trailing,
-		emulator.Unframed, emulator.Fails, emulator.Shed, emulator.Lies, emulator.Unsigned, emulator.Elsewhere}
+	all := []emulator.Fault{emulator.Cut, emulator.Reset, emulator.NoAnswer, emulator.Garble, emulator.ExtraAnswer, emulator.Trailing,
+		emulator.Unframed, emulator.InternalError, emulator.Shed, emulator.RanButRefused, emulator.Unsigned, emulator.Misdirected}
 	fault := all[i.r.IntN(len(all))]
 	i.recordFault("%s answers with the fault %s", s.ID, fault)
 	s.disturbed = true
 	s.SetFault(fault, 8)
-	i.undo = append(i.undo, func() { s.SetFault(emulator.Well, 0) })
+	i.undo = append(i.undo, func() { s.SetFault(emulator.NoFault, 0) })
 }
 
 // drainServer replaces a server in a planned way: the server is listed as draining and keeps
@@ -159,7 +159,7 @@
 	i.recordFault("%s drains", s.ID)
 	i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
 	s.leavingSince = time.Now()
-	s.announce(func(n *emulator.Notice) { n.Leaving = true })
+	s.announce(func(n *emulator.StatusHeaders) { n.IsLeaving = true })
 	if _, err := i.fleet.addServer(s.service); err != nil {
 		i.recordFault("replacement server failed to start: %v", err)
 	}
@@ -216,12 +216,12 @@
 }
 
 func (i *injector) faultStore() {
-	fault := []emulator.StoreFault{emulator.StoreBusy, emulator.StoreMany, emulator.StoreSilent, emulator.StoreReset}[i.r.IntN(4)]
+	fault := []emulator.StoreFault{emulator.StoreUnavailable, emulator.StoreTooManyRequests, emulator.StoreSilent, emulator.StoreReset}[i.r.IntN(4)]
 	i.recordFault("store %s", fault)
 	i.fleet.deployment.Store.SetFault(fault, 0)
 	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	i.undo = append(i.undo, func() {
-		i.fleet.deployment.Store.SetFault(emulator.StoreWell, 0)
+		i.fleet.deployment.Store.SetFault(emulator.StoreNoFault, 0)
 		i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	})
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -57,7 +57,7 @@
 	service      string
 	leavingSince time.Time // when it was unlisted or listed as draining; zero before
 	disturbed    bool      // it crashed, or a fault was injected into it or its link
-	notice       emulator.Notice
+	notice       emulator.StatusHeaders
 }
 
 // fleet is the deployment of one run: the store, the servers and the boxes.
@@ -81,12 +81,12 @@
 		deployment: d,
 	}
 	for range plainServerCount {
-		if _, err := f.addServer(emulator.Plain); err != nil {
+		if _, err := f.addServer(emulator.PlainService); err != nil {
 			return f, err
 		}
 	}
 	for range engineServerCount {
-		if _, err := f.addServer(emulator.Model); err != nil {
+		if _, err := f.addServer(emulator.ModelService); err != nil {
 			return f, err
 		}
 	}
@@ -99,8 +99,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Events, s.EventGap, s.WorkTime = streamEvents, eventGap, workTime
-	s.Deadly = crashBody
+	s.Events, s.EventInterval, s.WorkTime = streamEvents, eventGap, workTime
+	s.CrashBody = crashBody
 	proxy, err := NewFaultProxy(s.Address())
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		proxy:   proxy,
 		service: service,
 	}
-	f.deployment.Adopt(s)
+	f.deployment.AddStarted(s)
 	f.deployment.ListAt(s, proxy.Address(), service, "ready")
 	f.servers = append(f.servers, l)
 	return l, nil
@@ -129,14 +129,14 @@
 		}
 		b := &boxProcess{
 			settings: emulator.BoxSettings{
-				Name:  fmt.Sprintf("box-%d", i),
-				Zone:  zoneOf(i, count),
-				Front: own[0],
-				Ready: own[1],
-				Peer:  own[2],
-				Store: proxy.Address(),
-				Seeds: []string{addresses[2], addresses[6]},
-				Grace: graceSeconds,
+				Name:         fmt.Sprintf("box-%d", i),
+				Zone:         zoneOf(i, count),
+				Front:        own[0],
+				Ready:        own[1],
+				Peer:         own[2],
+				Store:        proxy.Address(),
+				Seeds:        []string{addresses[2], addresses[6]},
+				GraceSeconds: graceSeconds,
 			},
 			metricsAddress: own[3],
 			storeProxy:     proxy,
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -59,7 +59,7 @@
 func (a *announcer) announceLimits() {
 	limited := make(map[string]bool)
 	for _, s := range a.fleet.servers {
-		s.announce(func(n *emulator.Notice) { n.Rest = time.Duration(a.r.Int64N(int64(maxBackoff))) })
+		s.announce(func(n *emulator.StatusHeaders) { n.Backoff = time.Duration(a.r.Int64N(int64(maxBackoff))) })
 		if limited[s.service] {
 			continue
 		}
@@ -69,7 +69,7 @@
 			from:      time.Now(),
 		}
 		a.limits[s] = limit
-		s.announce(func(n *emulator.Notice) { n.Limit = strconv.FormatFloat(limit.perSecond, 'f', 1, 64) })
+		s.announce(func(n *emulator.StatusHeaders) { n.RateLimit = strconv.FormatFloat(limit.perSecond, 'f', 1, 64) })
 	}
 }
 
@@ -78,14 +78,14 @@
 	for s, n := range a.limits {
 		n.until = time.Now()
 		a.limits[s] = n
-		s.announce(func(n *emulator.Notice) { n.Limit = "" })
+		s.announce(func(n *emulator.StatusHeaders) { n.RateLimit = "" })
 	}
 }
 
 // announce changes the notices that a server sends with its answers.
-func (l *listedServer) announce(change func(*emulator.Notice)) {
+func (l *listedServer) announce(change func(*emulator.StatusHeaders)) {
 	change(&l.notice)
-	l.Announce(l.notice)
+	l.SetStatusHeaders(l.notice)
 }
 
 // sendingBox returns the box that the request's ID names, or -1 if it names none.
@@ -124,7 +124,7 @@
 		if n, limited := announced.limits[s]; limited && !s.disturbed {
 			r.checkLimit(f, s, arrivals, n)
 		}
-		if s.notice.Leaving && !s.disturbed {
+		if s.notice.IsLeaving && !s.disturbed {
 			r.checkLeavingNotice(f, s, arrivals, startedAt)
 		}
 	}
@@ -133,18 +133,18 @@
 func (r *Report) checkBackoff(f *fleet, server *listedServer, arrivals []emulator.Arrival) {
 	for _, refused := range arrivals {
 		box := sendingBox(refused)
-		if refused.Rest == 0 || !f.isUndisturbed(box) {
+		if refused.Backoff == 0 || !f.isUndisturbed(box) {
 			continue
 		}
 		count := 0
 		for _, a := range arrivals {
-			after := a.At.Sub(refused.Refused)
-			if sendingBox(a) == box && after > inFlightTime && after < refused.Rest {
+			after := a.At.Sub(refused.RefusedAt)
+			if sendingBox(a) == box && after > inFlightTime && after < refused.Backoff {
 				count++
 			}
 		}
 		if count > maxBackoffArrivals {
-			r.addViolation("BUDGET: %s asked box %d to back off for %s and got %d requests from it", server.ID, box, refused.Rest, count)
+			r.addViolation("BUDGET: %s asked box %d to back off for %s and got %d requests from it", server.ID, box, refused.Backoff, count)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 		}
 	}
 	maxArrivals := limitTolerance*limit.perSecond*limitWindow.Seconds() + limitBurst
-	if got := emulator.MostWithin(counted, limitWindow); float64(got) > maxArrivals {
+	if got := emulator.MaxArrivalsWithin(counted, limitWindow); float64(got) > maxArrivals {
 		r.addViolation("LIMIT: %s announced a limit of %.1f requests a second and got %d in %s", s.ID, limit.perSecond, got, limitWindow)
 	}
 }
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -24,7 +24,7 @@
 type storeRestorer struct {
 	injector          *injector
 	r                 *rand.Rand
-	backup            *emulator.StoreCopy
+	backup            *emulator.StoreSnapshot
 	backupTime        time.Time
 	remainingRestores int // how many are still to come
 }
@@ -48,7 +48,7 @@
 	i := d.injector
 	store := i.fleet.deployment.Store
 	if d.backup == nil || time.Since(d.backupTime) > maxCopyAge {
-		d.backup = store.Copy()
+		d.backup = store.Snapshot()
 		d.backupTime = time.Now()
 		return
 	}
@@ -57,8 +57,8 @@
 	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	store.SetFault(emulator.StoreReset, 0)
 	time.Sleep(time.Duration(d.r.Int64N(int64(maxStoreDowntime))))
-	store.Return(d.backup)
-	store.SetFault(emulator.StoreWell, 0)
+	store.Restore(d.backup)
+	store.SetFault(emulator.StoreNoFault, 0)
 	d.backup = nil
 	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	d.rewriteEntries()
@@ -73,7 +73,7 @@
 		switch {
 		case s.leavingSince.IsZero():
 			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "ready")
-		case s.notice.Leaving:
+		case s.notice.IsLeaving:
 			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
 		default:
 			time.AfterFunc(entryLifetime, func() { i.fleet.deployment.Unlist(s.ID) })
--- a/soak/run.go
+++ b/soak/run.go
@@ -163,18 +163,18 @@
 	runs := f.deployment.Runs()
 	for _, s := range results {
 		r.Requests++
-		if s.Status == http.StatusOK && s.Whole && s.Fault == "" {
+		if s.Status == http.StatusOK && s.IsComplete && s.Fault == "" {
 			r.Served++
 		}
 		if s.Fault != "" {
 			r.addViolation("MIXED or ORDER: %s", s.Fault)
 		}
-		if s.isStream && s.Status == http.StatusOK && s.Whole && s.Events != streamEvents {
+		if s.isStream && s.Status == http.StatusOK && s.IsComplete && s.Events != streamEvents {
 			r.addViolation("ORDER: stream %s ended as complete after %d events", s.ID, s.Events)
 		}
 		starts := 0
 		for _, run := range runs[s.ID] {
-			if run.Continued == "" {
+			if run.ResumedFrom == "" {
 				starts++
 			}
 			if run.Key != "" {
@@ -184,7 +184,7 @@
 		if s.kind != "repeat" && starts > 1 {
 			r.addViolation("TWICE: %s ran %d times", s.ID, starts)
 		}
-		if s.NotRun() && len(runs[s.ID]) > 0 {
+		if s.PromisesNotRun() && len(runs[s.ID]) > 0 {
 			r.addViolation("REFUSED: %s got status %d (not run) but ran", s.ID, s.Status)
 		}
 		if s.kind == "repeat" && starts > 2 {
@@ -205,7 +205,7 @@
 		if s.Status == 0 && len(runs[s.ID]) > 0 && s.endedAt.Sub(s.startedAt) < graceSeconds*time.Second/2 {
 			r.addViolation("LOST: %s was sent to a server and its connection closed without an answer", s.ID)
 		}
-		if s.isStream && s.Status == http.StatusOK && !s.Whole {
+		if s.isStream && s.Status == http.StatusOK && !s.IsComplete {
 			r.addViolation("LOST: planned work interrupted stream %s after %d events", s.ID, s.Events)
 		}
 	}
@@ -220,8 +220,8 @@
 		}
 		for id, all := range runs {
 			for _, run := range all {
-				if run.Server == s.ID && run.Continued == "" && run.At.After(s.leavingSince.Add(applyTimeout)) && !i.anyBoxDisturbed(f) {
-					r.addViolation("DRAIN: %s reached %s %s after the server began to leave", id, s.ID, run.At.Sub(s.leavingSince))
+				if run.Server == s.ID && run.ResumedFrom == "" && run.StartedAt.After(s.leavingSince.Add(applyTimeout)) && !i.anyBoxDisturbed(f) {
+					r.addViolation("DRAIN: %s reached %s %s after the server began to leave", id, s.ID, run.StartedAt.Sub(s.leavingSince))
 				}
 			}
 		}
