--- a/bench/engine.go
+++ b/bench/engine.go
@@ -78,7 +78,7 @@
 	}
 	s := e.batch.Step()
 	n.after(s.Duration, func() {
-		for _, q := range s.Made {
+		for _, q := range s.Emitted {
 			n.token(n.live[q.ID])
 		}
 		for _, q := range s.Finished {
@@ -132,11 +132,11 @@
 		r.stall += max(0, gap-stallAfter)
 	}
 	r.last = n.now
-	if r.seq.Made-r.counted >= reportEvery {
-		r.counted = r.seq.Made
+	if r.seq.Emitted-r.counted >= reportEvery {
+		r.counted = r.seq.Emitted
 		n.boxes[r.arrival.Box].Step(n.now, admission.TokensMade{
 			ID:        r.id,
-			Generated: r.seq.Made,
+			Generated: r.seq.Emitted,
 		})
 	}
 }
@@ -145,7 +145,7 @@
 	delete(n.live, r.id)
 	made := 0
 	if r.seq != nil {
-		made = r.seq.Made
+		made = r.seq.Emitted
 	}
 	n.perform(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
 		ID:        r.id,
--- a/bench/outcome.go
+++ b/bench/outcome.go
@@ -140,8 +140,8 @@
 		g.stalls = append(g.stalls, r.stall)
 	}
 	if r.met(n.start) {
-		g.out.tokens += float64(r.seq.Made)
-		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Made) / n.c.Duration.Seconds()
+		g.out.tokens += float64(r.seq.Emitted)
+		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Emitted) / n.c.Duration.Seconds()
 	}
 }
 
