--- a/soak/callers.go
+++ b/soak/callers.go
@@ -47,14 +47,14 @@
 				key = emulator.OtherKey
 			}
 			c.workers.Go(func() {
-				c.run(i, b.settings.Front, key, rand.New(rand.NewPCG(seed, uint64(i*callersPerBox+n))), fmt.Sprintf("s%d-b%d-c%d", seed, i, n))
+				c.runCaller(i, b.settings.Front, key, rand.New(rand.NewPCG(seed, uint64(i*callersPerBox+n))), fmt.Sprintf("s%d-b%d-c%d", seed, i, n))
 			})
 		}
 	}
 	return c
 }
 
-func (c *callerPool) run(box int, front, key string, r *rand.Rand, name string) {
+func (c *callerPool) runCaller(box int, front, key string, r *rand.Rand, name string) {
 	caller := emulator.NewCaller(front, key)
 	for n := 0; ; n++ {
 		select {
--- a/soak/run.go
+++ b/soak/run.go
@@ -19,8 +19,8 @@
 	// applyTimeout bounds the time until a published change is applied, with slack for a busy
 	// machine.
 	applyTimeout = 4 * time.Second
-	// storeSettleTime is how long the store must be free of faults before a change for
-	// applyTimeout to be checked.
+	// storeSettleTime is the time before and after applyTimeout in which a store fault exempts a
+	// change from the check of applyTimeout.
 	storeSettleTime = 5 * time.Second
 )
 
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -33,12 +33,12 @@
 // Sequence is one generation in an engine's batch or queue.
 type Sequence struct {
 	ID           string
-	Priority     int // 0 is the highest
-	Prompt       int
-	Prefix       uint64
-	OutputLength int // in tokens; unknown to callers
-	Emitted      int
-	Preempted    int
+	Priority     int    // 0 is the highest
+	Prompt       int    // length of the prompt in tokens
+	Prefix       uint64 // hash of the prompt prefix; 0 for none
+	OutputLength int    // in tokens; unknown to callers
+	Emitted      int    // tokens generated so far
+	Preempted    int    // number of preemptions
 	arrival      int
 	Computed     int // prefill tokens computed, including those repeated after preemptions
 }
@@ -48,13 +48,13 @@
 // Step is the result of one batch step.
 type Step struct {
 	Duration  time.Duration
-	Emitted   []*Sequence
-	Finished  []*Sequence
-	Preempted []*Sequence
+	Emitted   []*Sequence // generated a token
+	Finished  []*Sequence // reached their output length
+	Preempted []*Sequence // lost their memory and were queued again
 }
 
 // Batch simulates an engine's continuous batching over a limited memory of blocks. It reads no
-// clock: each step returns its duration and the sequences that advanced.
+// clock: each step returns its duration and the sequences that it advanced.
 type Batch struct {
 	Rules      BatchRules
 	waiting    []*Sequence
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -47,10 +47,10 @@
 	batch        *Batch
 	random       *rand.Rand
 	generations  map[string]*generation
-	starts       map[string]int
-	wake         chan struct{}
+	starts       map[string]int // start requests by generation ID, including rejected ones
+	wake         chan struct{}  // ends the batch loop's idle wait
 	currentLoad  Load
-	reportedLoad Load
+	reportedLoad Load // currentLoad of an earlier time
 	fenceCheck   *core.FenceCheck
 	orders       []Order
 	cancels      int
@@ -62,12 +62,12 @@
 	seq       *Sequence
 	model     string
 	changed   chan struct{}
-	made      int
+	emitted   int
 	ended     bool
-	discarded bool
+	discarded bool // can't be read any more
 	endedAt   time.Time
 	readers   int
-	reason    string
+	reason    string // the finish reason in its last frame
 }
 
 // Load is an engine's load report; it lags behind the engine's state.
@@ -150,7 +150,7 @@
 
 func (e *Engine) updateProgress(q *Sequence) {
 	g := e.generations[q.ID]
-	g.made = q.Emitted
+	g.emitted = q.Emitted
 	g.notify()
 }
 
@@ -187,28 +187,28 @@
 
 // start submits a generation and attaches its first reader. It returns false if the ID was
 // used before.
-func (e *Engine) start(id, model string, priority, prompt, most int, prefix uint64) (*generation, bool) {
+func (e *Engine) start(id, model string, priority, prompt, maxTokens int, prefix uint64) (*generation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.starts[id]++
 	if e.generations[id] != nil {
 		return nil, false
 	}
-	drawn := e.rules.OutputLength.Sample(e.random)
+	sampledLength := e.rules.OutputLength.Sample(e.random)
 	g := &generation{
 		seq: &Sequence{
 			ID:           id,
 			Priority:     priority,
 			Prompt:       prompt,
 			Prefix:       prefix,
-			OutputLength: min(drawn, most),
+			OutputLength: min(sampledLength, maxTokens),
 		},
 		model:   model,
 		changed: make(chan struct{}),
 		readers: 1,
 		reason:  "stop",
 	}
-	if drawn > most {
+	if sampledLength > maxTokens {
 		g.reason = "length"
 	}
 	e.generations[id] = g
@@ -263,10 +263,10 @@
 
 // progress returns a generation's token count and state, and a channel that is closed when they
 // change.
-func (e *Engine) progress(g *generation) (made int, ended, discarded bool, changed <-chan struct{}) {
+func (e *Engine) progress(g *generation) (emitted int, ended, discarded bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return g.made, g.ended, g.discarded, g.changed
+	return g.emitted, g.ended, g.discarded, g.changed
 }
 
 // applyOrder records an order and returns true, unless its fence is outdated.
@@ -302,7 +302,7 @@
 		Preempted:   e.preempted,
 	}
 	for id, g := range e.generations {
-		r.Tokens[id] = g.made
+		r.Tokens[id] = g.emitted
 	}
 	for id, n := range e.starts {
 		r.Starts[id] = n
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -147,8 +147,8 @@
 		return
 	}
 	for sent := from; ; {
-		made, ended, discarded, changed := e.progress(g)
-		for ; sent < made; sent++ {
+		emitted, ended, discarded, changed := e.progress(g)
+		for ; sent < emitted; sent++ {
 			if w.writeToken(sent) != nil {
 				return
 			}
@@ -162,7 +162,7 @@
 			return
 		}
 		if ended {
-			w.writeEnd(made)
+			w.writeEnd(emitted)
 			return
 		}
 		select {
@@ -246,12 +246,12 @@
 }
 
 // writeEnd writes the last frame, the token usage and the end marker.
-func (w *frameWriter) writeEnd(made int) {
+func (w *frameWriter) writeEnd(emitted int) {
 	w.engine.faults.waitForFaults(nil)
-	last := w.frame(made, "", strconv.Quote(w.g.reason))
+	last := w.frame(emitted, "", strconv.Quote(w.g.reason))
 	last = append(w.heldFrame, last...)
 	usage := `{"id":"` + w.g.seq.ID + `","choices":[],"usage":{"prompt_tokens":` + strconv.Itoa(w.g.seq.Prompt) +
-		`,"completion_tokens":` + strconv.Itoa(made) + `,"total_tokens":` + strconv.Itoa(made+w.g.seq.Prompt) +
+		`,"completion_tokens":` + strconv.Itoa(emitted) + `,"total_tokens":` + strconv.Itoa(emitted+w.g.seq.Prompt) +
 		`},"preempted":` + strconv.Itoa(w.g.seq.Preempted) + `}`
 	last = append(last, "data: "+usage+"\n\ndata: [DONE]\n\n"...)
 	_, _ = w.body.Write(last)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -53,8 +53,8 @@
 	return b.current, b.changed
 }
 
-// waitForFaults blocks while a stall is injected, until stop is closed, and then for the injected
-// delay.
+// waitForFaults waits until no stall is injected, then sleeps for the injected delay. It returns
+// early if stop is closed during a stall.
 func (b *faultState) waitForFaults(stop <-chan struct{}) {
 	f, changed := b.watch()
 	for f.Stall {
