--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -120,14 +120,14 @@
 func (e *Engine) handleOrder(_ context.Context, c *app.RequestContext) {
 	var o Order
 	if err := json.Unmarshal(c.Request.Body(), &o); err != nil {
-		c.String(http.StatusBadRequest, "invalid order")
+		c.String(http.StatusBadRequest, "not an order")
 		return
 	}
 	if !e.applyOrder(o) {
-		c.String(http.StatusConflict, "order rejected: an order with a higher fence was accepted")
+		c.String(http.StatusConflict, "an order with a higher fence was taken")
 		return
 	}
-	c.String(http.StatusOK, "order accepted")
+	c.String(http.StatusOK, "taken")
 }
 
 // stream writes a generation's frames from an offset to its end. The caller has attached the
--- a/standin/http.go
+++ b/standin/http.go
@@ -28,7 +28,7 @@
 	h.POST("/control/fault", func(_ context.Context, c *app.RequestContext) {
 		var f Faults
 		if err := json.Unmarshal(c.Request.Body(), &f); err != nil {
-			c.String(http.StatusBadRequest, "invalid faults: %v", err)
+			c.String(http.StatusBadRequest, "not a fault document: %v", err)
 			return
 		}
 		if f.Exit {
