--- /dev/null
+++ b/soak/crash.go
@@ -0,0 +1,119 @@
+package soak
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"dillsaddle.example/dillsaddle/platform/emulator"
+)
+
+const (
+	// firstCrashSeed is the first seed whose run includes a request that crashes every engine
+	// that runs it. Lower seeds keep their original faults.
+	firstCrashSeed = 1000
+	// crashBody is the body of the crashing request.
+	crashBody = "no engine survives this"
+	// meanCrashPause is the mean time between two sends of the crashing request.
+	meanCrashPause = 400 * time.Millisecond
+	// crashThreshold is the number of engine crashes after which the request is quarantined.
+	// At most maxLateCrashes further engines may receive it later than quarantineDelay after
+	// that.
+	crashThreshold  = 3
+	maxLateCrashes  = 3
+	quarantineDelay = 3 * time.Second
+)
+
+// crashingCaller is a client that keeps sending one crashing request to random boxes.
+type crashingCaller struct {
+	mu       sync.Mutex
+	outcomes []emulator.Outcome
+	worker   sync.WaitGroup
+	done     chan struct{}
+}
+
+// startCrashingCaller starts the client, unless the seed has no crashing request.
+func startCrashingCaller(f *fleet, seed uint64, planned bool) *crashingCaller {
+	p := &crashingCaller{done: make(chan struct{})}
+	if seed < firstCrashSeed || planned {
+		return p
+	}
+	r := rand.New(rand.NewPCG(seed, 7))
+	p.worker.Go(func() {
+		for n := 0; ; n++ {
+			select {
+			case <-p.done:
+				return
+			case <-time.After(time.Duration(r.Int64N(int64(2 * meanCrashPause)))):
+			}
+			p.send(f.boxes[r.IntN(len(f.boxes))], fmt.Sprintf("s%d-deadly-%d", seed, n))
+		}
+	})
+	return p
+}
+
+func (p *crashingCaller) send(b *boxProcess, id string) {
+	ctx, cancel := context.WithTimeout(context.Background(), callDeadline)
+	defer cancel()
+	o := emulator.NewCaller(b.settings.Front, emulator.Key).Do(ctx, emulator.Call{
+		ID:       id,
+		Method:   http.MethodPost,
+		Path:     emulator.StreamPath,
+		Body:     crashBody,
+		Deadline: callDeadline,
+	})
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.outcomes = append(p.outcomes, o)
+}
+
+func (p *crashingCaller) stop() []emulator.Outcome {
+	close(p.done)
+	p.worker.Wait()
+	return p.outcomes
+}
+
+// replaceCrashed lists a new server in place of each that crashed during a request, as the
+// platform does.
+func (i *injector) replaceCrashed() {
+	for _, s := range slices.Clone(i.fleet.servers) {
+		if s.leavingSince.IsZero() && s.Stopped() {
+			i.recordFault("%s crashed during a request", s.ID)
+			s.disturbed = true
+			i.replaceServer(s)
+		}
+	}
+}
+
+// checkCrashingRequest checks that the crashing request is quarantined after crashThreshold
+// crashes, and that a request reported as not run reached no engine.
+func (r *Report) checkCrashingRequest(f *fleet, outcomes []emulator.Outcome) {
+	runs := f.deployment.Runs()
+	var crashRuns []emulator.Run
+	for _, o := range outcomes {
+		if o.PromisesNotRun() && len(runs[o.ID]) > 0 {
+			r.addViolation("REFUSED: %s got status %d (not run) but ran", o.ID, o.Status)
+		}
+		crashRuns = append(crashRuns, runs[o.ID]...)
+	}
+	slices.SortFunc(crashRuns, func(a, b emulator.Run) int { return cmp.Compare(a.StartedAt.UnixNano(), b.StartedAt.UnixNano()) })
+	r.CrashRuns = len(crashRuns)
+	if len(crashRuns) <= crashThreshold {
+		return
+	}
+	quarantinedAt := crashRuns[crashThreshold-1].StartedAt.Add(workTime + quarantineDelay)
+	late := 0
+	for _, run := range crashRuns {
+		if run.StartedAt.After(quarantinedAt) {
+			late++
+		}
+	}
+	if late > maxLateCrashes {
+		r.addViolation("BUDGET: a request that had crashed three engines reached %d more after the quarantine delay, %d in all", late, len(crashRuns))
+	}
+}
--- /dev/null
+++ b/soak/restore.go
@@ -0,0 +1,82 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"dillsaddle.example/dillsaddle/platform/emulator"
+)
+
+const (
+	// firstRestoreSeed is the first seed whose run restores the store from a backup. Lower
+	// seeds keep their original faults.
+	firstRestoreSeed = 3000
+	maxCopyAge       = 3 * time.Second
+	maxStoreDowntime = time.Second
+	// maxRewriteDelay bounds the time until servers rewrite their entries after a restore.
+	// The entry of a server that doesn't is removed after entryLifetime.
+	maxRewriteDelay = 1200 * time.Millisecond
+	entryLifetime   = 3600 * time.Millisecond
+)
+
+// storeRestorer restores the store from an older backup, twice in a run. It draws from its
+// own random source, so that the other faults of a seed stay the same.
+type storeRestorer struct {
+	injector          *injector
+	r                 *rand.Rand
+	backup            *emulator.StoreSnapshot
+	backupTime        time.Time
+	remainingRestores int // how many are still to come
+}
+
+func newStoreRestorer(i *injector, seed uint64) *storeRestorer {
+	d := &storeRestorer{
+		injector: i,
+		r:        rand.New(rand.NewPCG(seed, 77)),
+	}
+	if seed >= firstRestoreSeed {
+		d.remainingRestores = 2
+	}
+	return d
+}
+
+// step takes a backup, or restores the store from the previous one if it is recent enough.
+func (d *storeRestorer) step() {
+	if d.remainingRestores == 0 {
+		return
+	}
+	i := d.injector
+	store := i.fleet.deployment.Store
+	if d.backup == nil || time.Since(d.backupTime) > maxCopyAge {
+		d.backup = store.Snapshot()
+		d.backupTime = time.Now()
+		return
+	}
+	d.remainingRestores--
+	i.recordFault("store restored from a copy %s old", time.Since(d.backupTime).Round(time.Millisecond))
+	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
+	store.SetFault(emulator.StoreReset, 0)
+	time.Sleep(time.Duration(d.r.Int64N(int64(maxStoreDowntime))))
+	store.Restore(d.backup)
+	store.SetFault(emulator.StoreNoFault, 0)
+	d.backup = nil
+	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
+	d.rewriteEntries()
+}
+
+// rewriteEntries publishes the last configuration again and lists the servers again.
+func (d *storeRestorer) rewriteEntries() {
+	i := d.injector
+	time.Sleep(time.Duration(d.r.Int64N(int64(maxRewriteDelay))))
+	i.republish()
+	for _, s := range i.fleet.servers {
+		switch {
+		case s.leavingSince.IsZero():
+			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "ready")
+		case s.notice.IsLeaving:
+			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
+		default:
+			time.AfterFunc(entryLifetime, func() { i.fleet.deployment.Unlist(s.ID) })
+		}
+	}
+}
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BatchRules are the sizes and times of one engine.
+// BatchRules configure the memory, batch size and step times of one engine.
 type BatchRules struct {
 	MemoryTokens int
 	BlockTokens  int
@@ -13,11 +13,11 @@
 	StepBase     time.Duration
 	StepPerSeq   time.Duration
 	PrefillToken time.Duration
-	CacheTokens  int // part of the memory kept for prompt prefixes
+	CacheTokens  int // part of the memory reserved for cached prompt prefixes
 }
 
-// DefaultBatchRules gives an engine with a step of 12 ms alone and 30 ms at a
-// batch of 60.
+// DefaultBatchRules returns rules whose step takes 12 ms when empty and 30 ms with 60
+// sequences.
 func DefaultBatchRules() BatchRules {
 	return BatchRules{
 		MemoryTokens: 40000,
@@ -30,41 +30,41 @@
 	}
 }
 
-// Sequence is one generation in an engine.
+// Sequence is one generation in an engine's batch or queue.
 type Sequence struct {
 	ID           string
-	Priority     int // 0 is served first
-	Prompt       int
-	Prefix       uint64
-	OutputLength int // drawn, unknown to callers
-	Emitted      int
-	Preempted    int
+	Priority     int    // 0 is the highest
+	Prompt       int    // length of the prompt in tokens
+	Prefix       uint64 // hash of the prompt prefix; 0 for none
+	OutputLength int    // in tokens; unknown to callers
+	Emitted      int    // tokens generated so far
+	Preempted    int    // number of preemptions
 	arrival      int
-	Computed     int // prompt tokens computed, those after a preemption included
+	Computed     int // prefill tokens computed, including those repeated after preemptions
 }
 
 func (s *Sequence) blocks(size int) int { return (s.Prompt + s.Emitted + size) / size }
 
-// Step is what one step of the batch did.
+// Step is the result of one batch step.
 type Step struct {
 	Duration  time.Duration
-	Emitted   []*Sequence
-	Finished  []*Sequence
-	Preempted []*Sequence
+	Emitted   []*Sequence // generated a token
+	Finished  []*Sequence // reached their output length
+	Preempted []*Sequence // lost their memory and were queued again
 }
 
-// Batch is an engine's continuous batching over a limited memory of blocks. It
-// is pure: each step tells how long it takes and what it made.
+// Batch simulates an engine's continuous batching over a limited memory of blocks. It reads no
+// clock: each step returns its duration and the sequences that it advanced.
 type Batch struct {
-	Rules    BatchRules
-	waiting  []*Sequence
-	running  []*Sequence
-	used     int
-	arrivals int
-	cache    *prefixCache
+	Rules      BatchRules
+	waiting    []*Sequence
+	running    []*Sequence
+	usedBlocks int
+	arrivals   int
+	cache      *prefixCache
 }
 
-// NewBatch starts empty.
+// NewBatch returns an empty batch.
 func NewBatch(rules BatchRules) *Batch {
 	return &Batch{
 		Rules: rules,
@@ -72,7 +72,7 @@
 	}
 }
 
-// Submit adds a sequence; it waits by priority, then by arrival.
+// Submit queues a sequence. The queue is ordered by priority, then by arrival.
 func (b *Batch) Submit(s *Sequence) {
 	b.arrivals++
 	s.arrival = b.arrivals
@@ -80,44 +80,44 @@
 }
 
 func (b *Batch) enqueue(s *Sequence) {
-	at, _ := slices.BinarySearchFunc(b.waiting, s, before)
+	at, _ := slices.BinarySearchFunc(b.waiting, s, compareQueueOrder)
 	b.waiting = slices.Insert(b.waiting, at, s)
 }
 
-func before(a, b *Sequence) int {
+func compareQueueOrder(a, b *Sequence) int {
 	if a.Priority != b.Priority {
 		return a.Priority - b.Priority
 	}
 	return a.arrival - b.arrival
 }
 
-// Cancel removes a sequence.
+// Cancel removes a sequence from the queue or the batch.
 func (b *Batch) Cancel(id string) {
 	match := func(s *Sequence) bool { return s.ID == id }
 	b.waiting = slices.DeleteFunc(b.waiting, match)
 	for _, s := range b.running {
 		if s.ID == id {
-			b.used -= s.blocks(b.Rules.BlockTokens)
+			b.usedBlocks -= s.blocks(b.Rules.BlockTokens)
 		}
 	}
 	b.running = slices.DeleteFunc(b.running, match)
 }
 
-// Running counts the sequences in the batch.
+// Running returns the number of sequences in the batch.
 func (b *Batch) Running() int { return len(b.running) }
 
-// Waiting counts the sequences before the batch.
+// Waiting returns the number of queued sequences.
 func (b *Batch) Waiting() int { return len(b.waiting) }
 
-// Used gives the memory in use, in tokens.
-func (b *Batch) Used() int { return b.used * b.Rules.BlockTokens }
+// Used returns the memory in use, in tokens.
+func (b *Batch) Used() int { return b.usedBlocks * b.Rules.BlockTokens }
 
-func (b *Batch) total() int { return b.Rules.MemoryTokens / b.Rules.BlockTokens }
+func (b *Batch) totalBlocks() int { return b.Rules.MemoryTokens / b.Rules.BlockTokens }
 
-// IsIdle reports whether there is nothing to do.
+// IsIdle reports whether no sequence is running or queued.
 func (b *Batch) IsIdle() bool { return len(b.running)+len(b.waiting) == 0 }
 
-// Step makes one token for each sequence in the batch.
+// Step admits queued sequences and generates one token for each running sequence.
 func (b *Batch) Step() Step {
 	var out Step
 	prefill := b.admit()
@@ -125,25 +125,25 @@
 		if !slices.Contains(b.running, s) {
 			continue
 		}
-		b.grow(s, &out)
+		b.generateToken(s, &out)
 	}
 	size := len(b.running) + len(out.Finished)
 	out.Duration = b.Rules.StepBase + time.Duration(size)*b.Rules.StepPerSeq + time.Duration(prefill)*b.Rules.PrefillToken
 	return out
 }
 
-// admit starts waiting sequences while memory and batch have room, and gives
-// the tokens that must be computed first.
+// admit moves queued sequences into the batch while memory and batch size allow, and returns
+// the number of tokens to prefill.
 func (b *Batch) admit() int {
 	prefill := 0
 	for len(b.waiting) > 0 && len(b.running) < b.Rules.MaxBatch {
 		next := b.waiting[0]
 		need := next.blocks(b.Rules.BlockTokens)
-		if b.used+need > b.total() && len(b.running) > 0 {
+		if b.usedBlocks+need > b.totalBlocks() && len(b.running) > 0 {
 			break
 		}
 		b.waiting = b.waiting[1:]
-		b.used += need
+		b.usedBlocks += need
 		b.running = append(b.running, next)
 		missing := max(0, next.Prompt+next.Emitted-b.cache.hit(next.Prefix, next.Prompt))
 		next.Computed += missing
@@ -152,12 +152,12 @@
 	return prefill
 }
 
-func (b *Batch) grow(s *Sequence, out *Step) {
+func (b *Batch) generateToken(s *Sequence, out *Step) {
 	before := s.blocks(b.Rules.BlockTokens)
 	s.Emitted++
 	need := s.blocks(b.Rules.BlockTokens) - before
-	b.used += need
-	for b.used > b.total() {
+	b.usedBlocks += need
+	for b.usedBlocks > b.totalBlocks() {
 		victim := b.victim()
 		if victim == nil {
 			break
@@ -170,16 +170,16 @@
 	}
 }
 
-// victim is the least important and latest of the running.
+// victim returns the sequence to preempt: of the lowest priority, the one that arrived last.
 func (b *Batch) victim() *Sequence {
 	if len(b.running) < 2 {
 		return nil
 	}
-	return slices.MaxFunc(b.running, before)
+	return slices.MaxFunc(b.running, compareQueueOrder)
 }
 
 func (b *Batch) preempt(s *Sequence, out *Step) {
-	b.used -= s.blocks(b.Rules.BlockTokens)
+	b.usedBlocks -= s.blocks(b.Rules.BlockTokens)
 	b.running = slices.DeleteFunc(b.running, func(r *Sequence) bool { return r == s })
 	s.Preempted++
 	b.enqueue(s)
@@ -190,38 +190,38 @@
 	at := slices.Index(b.running, s)
 	if at >= 0 {
 		b.running = slices.Delete(b.running, at, at+1)
-		b.used -= s.blocks(b.Rules.BlockTokens)
+		b.usedBlocks -= s.blocks(b.Rules.BlockTokens)
 	} else {
 		b.waiting = slices.DeleteFunc(b.waiting, func(w *Sequence) bool { return w == s })
 	}
 	out.Finished = append(out.Finished, s)
 }
 
-// prefixCache remembers the prefixes that were computed last.
+// prefixCache is an LRU cache of prompt prefixes.
 type prefixCache struct {
-	room  int
-	order []uint64
-	size  map[uint64]int
-	used  int
-	log   []CacheEvent
+	capacity         int
+	leastRecentFirst []uint64
+	size             map[uint64]int
+	usedTokens       int
+	events           []CacheEvent
 }
 
-// CacheEvent tells that a prefix was kept or dropped.
+// CacheEvent records that a prefix was cached or evicted.
 type CacheEvent struct {
 	Sequence int    `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
 	Dropped  bool   `json:"dropped,omitempty"`
 }
 
-func newPrefixCache(room int) *prefixCache {
+func newPrefixCache(capacity int) *prefixCache {
 	return &prefixCache{
-		room: room,
-		size: make(map[uint64]int),
+		capacity: capacity,
+		size:     make(map[uint64]int),
 	}
 }
 
-// prefixPart is the part of a prompt that its prefix stands for.
-const prefixPart = 0.6
+// prefixFraction is the fraction of a prompt that its cached prefix covers.
+const prefixFraction = 0.6
 
 func (c *prefixCache) hit(prefix uint64, prompt int) int {
 	if prefix == 0 {
@@ -229,31 +229,31 @@
 	}
 	size, held := c.size[prefix]
 	if held {
-		at := slices.Index(c.order, prefix)
-		c.order = append(slices.Delete(c.order, at, at+1), prefix)
+		at := slices.Index(c.leastRecentFirst, prefix)
+		c.leastRecentFirst = append(slices.Delete(c.leastRecentFirst, at, at+1), prefix)
 		return min(size, prompt)
 	}
-	c.keep(prefix, int(float64(prompt)*prefixPart))
+	c.insert(prefix, int(float64(prompt)*prefixFraction))
 	return 0
 }
 
-func (c *prefixCache) keep(prefix uint64, size int) {
-	for c.used+size > c.room && len(c.order) > 0 {
-		oldest := c.order[0]
-		c.order = c.order[1:]
-		c.used -= c.size[oldest]
+func (c *prefixCache) insert(prefix uint64, size int) {
+	for c.usedTokens+size > c.capacity && len(c.leastRecentFirst) > 0 {
+		oldest := c.leastRecentFirst[0]
+		c.leastRecentFirst = c.leastRecentFirst[1:]
+		c.usedTokens -= c.size[oldest]
 		delete(c.size, oldest)
-		c.note(oldest, true)
+		c.addEvent(oldest, true)
 	}
 	c.size[prefix] = size
-	c.order = append(c.order, prefix)
-	c.used += size
-	c.note(prefix, false)
+	c.leastRecentFirst = append(c.leastRecentFirst, prefix)
+	c.usedTokens += size
+	c.addEvent(prefix, false)
 }
 
-func (c *prefixCache) note(prefix uint64, dropped bool) {
-	c.log = append(c.log, CacheEvent{
-		Sequence: len(c.log) + 1,
+func (c *prefixCache) addEvent(prefix uint64, dropped bool) {
+	c.events = append(c.events, CacheEvent{
+		Sequence: len(c.events) + 1,
 		Prefix:   prefix,
 		Dropped:  dropped,
 	})
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -8,7 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// EngineRules are the settings of a stand-in engine.
+// EngineRules configure a fake engine.
 type EngineRules struct {
 	Name         string
 	Models       []string
@@ -17,60 +17,60 @@
 	Seed         uint64
 	LoadLag      time.Duration
 	ChecksFences bool
-	ResumeWindow time.Duration // how long an ended generation can be resumed
+	ResumeWindow time.Duration // how long a finished generation can be read again
 	Cache        CacheEventRules
 }
 
-// CacheEventRules say how an engine's cache events fall short.
+// CacheEventRules make an engine's cache event log incomplete.
 type CacheEventRules struct {
-	HeldBack  int // the newest events that are not told yet
-	DropEvery int // each event of so many is never told; 0 tells all
+	HeldBack  int // number of newest events not reported yet
+	DropEvery int // every n-th event is never reported; 0 reports all
 }
 
-// seen gives the events after a number that are told by now.
-func (r CacheEventRules) seen(log []CacheEvent, after int) []CacheEvent {
-	told := make([]CacheEvent, 0, len(log))
+// visible returns the reported events with a sequence number above after.
+func (r CacheEventRules) visible(log []CacheEvent, after int) []CacheEvent {
+	out := make([]CacheEvent, 0, len(log))
 	for _, e := range log[:max(0, len(log)-r.HeldBack)] {
 		if e.Sequence > after && (r.DropEvery == 0 || e.Sequence%r.DropEvery != 0) {
-			told = append(told, e)
+			out = append(out, e)
 		}
 	}
-	return told
+	return out
 }
 
-// Engine is a stand-in model engine that runs in real time.
+// Engine is a fake model engine that generates tokens in real time.
 type Engine struct {
-	rules       EngineRules
-	incarnation uint64
-	faults      *faultBox
-	mu          sync.Mutex
-	batch       *Batch
-	random      *rand.Rand
-	generations map[string]*generation
-	starts      map[string]int
-	wake        chan struct{}
-	load        Load
-	shown       Load
-	gate        *core.FenceCheck
-	orders      []Order
-	cancels     int
-	preempted   int
+	rules        EngineRules
+	incarnation  uint64
+	faults       *faultState
+	mu           sync.Mutex
+	batch        *Batch
+	random       *rand.Rand
+	generations  map[string]*generation
+	starts       map[string]int // start requests by generation ID, including rejected ones
+	wake         chan struct{}  // ends the batch loop's idle wait
+	currentLoad  Load
+	reportedLoad Load // currentLoad of an earlier time
+	fenceCheck   *core.FenceCheck
+	orders       []Order
+	cancels      int
+	preempted    int
 }
 
-// generation is one sequence and who listens to it.
+// generation is one sequence with its progress and readers.
 type generation struct {
-	seq     *Sequence
-	model   string
-	changed chan struct{}
-	made    int
-	ended   bool
-	gone    bool
-	endedAt time.Time
-	readers int
-	reason  string
+	seq       *Sequence
+	model     string
+	changed   chan struct{}
+	emitted   int
+	ended     bool
+	discarded bool // can't be read any more
+	endedAt   time.Time
+	readers   int
+	reason    string // the finish reason in its last frame
 }
 
-// Load is what an engine reports, with a lag.
+// Load is an engine's load report; it lags behind the engine's state.
 type Load struct {
 	Incarnation  uint64        `json:"incarnation"`
 	Running      int           `json:"running"`
@@ -81,28 +81,28 @@
 	Preempted    int           `json:"preempted"`
 }
 
-// Order is a fenced order to an engine.
+// Order is an instruction to an engine that carries a fence.
 type Order struct {
 	Fence core.Fence `json:"fence"`
 	Do    string     `json:"do"` // load, unload or role
 	What  string     `json:"what"`
 }
 
-// NewEngine starts an engine's batch loop.
+// NewEngine returns an engine and starts its batch loop.
 func NewEngine(rules EngineRules) *Engine {
 	e := &Engine{
 		rules:       rules,
 		incarnation: uint64(time.Now().UnixNano()),
-		faults:      newFaultBox(),
+		faults:      newFaultState(),
 		batch:       NewBatch(rules.Batch),
 		random:      rand.New(rand.NewPCG(rules.Seed, 1)),
 		generations: make(map[string]*generation),
 		starts:      make(map[string]int),
 		wake:        make(chan struct{}, 1),
 	}
-	e.gate = core.NewFenceCheck()
+	e.fenceCheck = core.NewFenceCheck()
 	if !rules.ChecksFences {
-		e.gate = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
+		e.fenceCheck = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
 	}
 	go e.run()
 	go e.reportLoad()
@@ -129,14 +129,14 @@
 	s := e.batch.Step()
 	e.preempted += len(s.Preempted)
 	for _, q := range s.Emitted {
-		e.publish(q)
+		e.updateProgress(q)
 	}
 	for _, q := range s.Finished {
 		e.generations[q.ID].ended = true
 		e.generations[q.ID].endedAt = time.Now()
 		e.generations[q.ID].notify()
 	}
-	e.load = Load{
+	e.currentLoad = Load{
 		Incarnation:  e.incarnation,
 		Running:      e.batch.Running(),
 		Waiting:      e.batch.Waiting(),
@@ -148,9 +148,9 @@
 	return s.Duration, false
 }
 
-func (e *Engine) publish(q *Sequence) {
+func (e *Engine) updateProgress(q *Sequence) {
 	g := e.generations[q.ID]
-	g.made = q.Emitted
+	g.emitted = q.Emitted
 	g.notify()
 }
 
@@ -159,56 +159,56 @@
 	g.changed = make(chan struct{})
 }
 
-// reportLoad copies the load to what is shown, later by the lag.
+// reportLoad copies the current load to the reported load once in each lag interval.
 func (e *Engine) reportLoad() {
 	lag := max(e.rules.LoadLag, 10*time.Millisecond)
 	for range time.Tick(lag) {
 		e.mu.Lock()
 		if e.batch.IsIdle() {
-			e.load.Running, e.load.Waiting, e.load.UsedTokens = 0, 0, 0
+			e.currentLoad.Running, e.currentLoad.Waiting, e.currentLoad.UsedTokens = 0, 0, 0
 		}
-		e.shown = e.load
-		e.shown.Incarnation = e.incarnation
-		e.shown.MemoryTokens = e.rules.Batch.MemoryTokens
-		e.sweep()
+		e.reportedLoad = e.currentLoad
+		e.reportedLoad.Incarnation = e.incarnation
+		e.reportedLoad.MemoryTokens = e.rules.Batch.MemoryTokens
+		e.discardExpired()
 		e.mu.Unlock()
 	}
 }
 
-// sweep forgets the texts of generations that ended long ago and that nobody
-// reads; their record stays.
-func (e *Engine) sweep() {
+// discardExpired marks finished generations that have no reader as unreadable once the resume
+// window has passed. Their token counts stay in the record.
+func (e *Engine) discardExpired() {
 	for _, g := range e.generations {
 		if g.ended && g.readers == 0 && time.Since(g.endedAt) > e.rules.ResumeWindow {
-			g.gone = true
+			g.discarded = true
 		}
 	}
 }
 
-// start submits a generation, with its first reader; it answers false if the id
-// was used before.
-func (e *Engine) start(id, model string, priority, prompt, most int, prefix uint64) (*generation, bool) {
+// start submits a generation and attaches its first reader. It returns false if the ID was
+// used before.
+func (e *Engine) start(id, model string, priority, prompt, maxTokens int, prefix uint64) (*generation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.starts[id]++
 	if e.generations[id] != nil {
 		return nil, false
 	}
-	drawn := e.rules.OutputLength.Sample(e.random)
+	sampledLength := e.rules.OutputLength.Sample(e.random)
 	g := &generation{
 		seq: &Sequence{
 			ID:           id,
 			Priority:     priority,
 			Prompt:       prompt,
 			Prefix:       prefix,
-			OutputLength: min(drawn, most),
+			OutputLength: min(sampledLength, maxTokens),
 		},
 		model:   model,
 		changed: make(chan struct{}),
 		readers: 1,
 		reason:  "stop",
 	}
-	if drawn > most {
+	if sampledLength > maxTokens {
 		g.reason = "length"
 	}
 	e.generations[id] = g
@@ -220,18 +220,20 @@
 	return g, true
 }
 
-// find gives a generation to one more reader, or nil.
-func (e *Engine) find(id string) *generation {
+// attach adds a reader to a generation and returns it, or nil if it can't be read.
+func (e *Engine) attach(id string) *generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g := e.generations[id]
-	if g == nil || g.gone {
+	if g == nil || g.discarded {
 		return nil
 	}
 	g.readers++
 	return g
 }
 
+// cancel stops a generation. It returns false if the ID is unknown; with onlyIdle, a generation
+// that has readers continues.
 func (e *Engine) cancel(id string, onlyIdle bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -246,38 +248,39 @@
 	e.batch.Cancel(id)
 	if !g.ended {
 		g.ended = true
-		g.gone = true
+		g.discarded = true
 		g.notify()
 	}
 	return true
 }
 
-// leave ends a reading.
-func (e *Engine) leave(g *generation) {
+// detach removes a reader from a generation.
+func (e *Engine) detach(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.readers--
 }
 
-// progress gives how many tokens a generation has and a channel that is closed
-// when that changes.
-func (e *Engine) progress(g *generation) (made int, ended, gone bool, changed <-chan struct{}) {
+// progress returns a generation's token count and state, and a channel that is closed when they
+// change.
+func (e *Engine) progress(g *generation) (emitted int, ended, discarded bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return g.made, g.ended, g.gone, g.changed
+	return g.emitted, g.ended, g.discarded, g.changed
 }
 
-func (e *Engine) order(o Order) bool {
+// applyOrder records an order and returns true, unless its fence is outdated.
+func (e *Engine) applyOrder(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.gate.Admit(o.Fence) {
+	if !e.fenceCheck.Admit(o.Fence) {
 		return false
 	}
 	e.orders = append(e.orders, o)
 	return true
 }
 
-// Record is an engine's own record of what it made.
+// Record is an engine's record of its generations and orders.
 type Record struct {
 	Incarnation uint64         `json:"incarnation"`
 	Tokens      map[string]int `json:"tokens"`
@@ -299,7 +302,7 @@
 		Preempted:   e.preempted,
 	}
 	for id, g := range e.generations {
-		r.Tokens[id] = g.made
+		r.Tokens[id] = g.emitted
 	}
 	for id, n := range e.starts {
 		r.Starts[id] = n
