--- a/box/box.go
+++ b/box/box.go
@@ -97,7 +97,7 @@
 		Address:  s.Peer,
 		Life:     rand.Uint64(),
 		LinkMbps: s.LinkMbps,
-	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithReports(reports), fleet.WithPlacements(b.placed), fleet.WithEvacuations(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithLook(b.clock.Look))
+	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithReports(reports), fleet.WithPlacements(b.placed), fleet.WithEvacuations(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Look))
 	if err != nil {
 		return nil, err
 	}
@@ -110,22 +110,22 @@
 			Window: s.RetryWindow,
 			Safety: retrySafety,
 		},
-		MemoryBytes: s.MemoryBytes,
-		Fresh:       s.FirstStart,
-		Cold:        s.Cold,
-		Regions:     s.Regions,
+		MemoryBytes:  s.MemoryBytes,
+		FirstProcess: s.FirstStart,
+		Cold:         s.Cold,
+		Regions:      s.Regions,
 	},
 		gateway.WithLog(log.Named("gateway")),
 		gateway.WithMover(engines),
 		gateway.WithBoxes(b.peers.Sharers),
-		gateway.WithUnitShare(b.peers.UnitShare),
+		gateway.WithRateShare(b.peers.UnitShare),
 		gateway.WithOnPlaced(b.peers.Tell),
 		gateway.WithOnEvacuating(b.peers.Evacuate),
 		gateway.WithOnLeaving(b.peers.EndpointLeaves),
 		gateway.WithBorrow(b.peers.BorrowNow),
 		gateway.WithQuarantine(b.quarantine),
 		gateway.WithLimits(b.limits),
-		gateway.WithLook(b.clock.Look),
+		gateway.WithSuspensionCheck(b.clock.Look),
 	)
 	b.peers.SetBudgets(b.gateway)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -178,7 +178,7 @@
 	}
 	b.log.Info(string(c.Kind), fields...)
 	if b.gateway != nil {
-		b.gateway.Changed(c)
+		b.gateway.HandleChange(c)
 	}
 }
 
@@ -195,7 +195,7 @@
 // placed hands a partner's placement to the gateway.
 func (b *Box) placed(now time.Time, p fleet.Placement) {
 	if b.gateway != nil {
-		b.gateway.Placed(now, p)
+		b.gateway.HandlePlacement(now, p)
 	}
 }
 
@@ -209,19 +209,19 @@
 // noticed hands what an engine says of itself to the gateway.
 func (b *Box) noticed(e routing.Endpoint, n gateway.Notice) {
 	if b.gateway != nil {
-		b.gateway.Noticed(time.Now(), e, n)
+		b.gateway.HandleNotice(time.Now(), e, n)
 	}
 }
 
 // mayAsk tells whether an engine may be asked for its load now.
 func (b *Box) mayAsk(e routing.Endpoint) bool {
-	return b.gateway == nil || b.gateway.MayAsk(time.Now(), e)
+	return b.gateway == nil || b.gateway.AllowLoadQuery(time.Now(), e)
 }
 
 // reported hands an engine's report to the gateway.
 func (b *Box) reported(at time.Time, r routing.Report) {
 	if b.gateway != nil {
-		b.gateway.Reported(at, r)
+		b.gateway.HandleReport(at, r)
 	}
 }
 
--- a/box/operators.go
+++ b/box/operators.go
@@ -125,7 +125,7 @@
 
 func (b *Box) restrained() []Restrained {
 	var all []Restrained
-	for _, r := range b.gateway.Restraints(time.Now()) {
+	for _, r := range b.gateway.Throttles(time.Now()) {
 		if len(all) == restrainedMost {
 			break
 		}
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -65,7 +65,7 @@
 	if !ended {
 		return
 	}
-	l.entry.log.Info("endpoint ended under a request",
+	l.entry.log.Info("endpoint crashed during a request",
 		zap.String("request", l.request),
 		zap.String("endpoint", l.life),
 		zap.String("port", string(sign)),
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -88,9 +88,9 @@
 	return func(p *Peers) { p.onPlaced = onPlaced }
 }
 
-// WithLook gives what looks whether the machine was suspended and calls Suspended if it
+// WithSuspensionCheck gives what looks whether the machine was suspended and calls Suspended if it
 // was; it is called before other boxes are told how old anything is.
-func WithLook(look func()) PeersOption {
+func WithSuspensionCheck(look func()) PeersOption {
 	return func(p *Peers) { p.look = look }
 }
 
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -49,7 +49,7 @@
 	}
 	b.belief = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) {
 		if b.gateway != nil {
-			b.gateway.Changed(c)
+			b.gateway.HandleChange(c)
 		}
 	}))
 	b.gateway = gateway.New("zone-a", platform.Protocol{}, b.belief.View, gateway.Rules{
@@ -59,12 +59,12 @@
 			Window: 10 * time.Second,
 			Safety: 1,
 		},
-		MemoryBytes: 64 << 20,
-		Fresh:       fresh,
+		MemoryBytes:  64 << 20,
+		FirstProcess: fresh,
 	}, append([]gateway.Option{
 		gateway.WithLog(zap.New(kept)),
 		gateway.WithMover(platform.NewEngines()),
-		gateway.WithLook(func() {
+		gateway.WithSuspensionCheck(func() {
 			if b.look != nil {
 				b.look()
 			}
@@ -93,7 +93,7 @@
 
 // ends counts the lines on endpoints that ended under a request.
 func (b *bench) ends(request string) int {
-	return b.log.FilterMessage("endpoint ended under a request").FilterField(zap.String("request", request)).Len()
+	return b.log.FilterMessage("endpoint crashed during a request").FilterField(zap.String("request", request)).Len()
 }
 
 func (b *bench) refresh() {
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -92,7 +92,7 @@
 
 func (p *passage) endpointEnded(r run, sign engine.Presence) {
 	p.gateway.counts.ends.Inc()
-	p.note("endpoint ended under a request",
+	p.note("endpoint crashed during a request",
 		zap.String("endpoint", r.endpoint.ID),
 		zap.String("port", string(sign)),
 		zap.Stringer("content", p.content),
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -154,7 +154,7 @@
 	out.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	h := passedOn(r.Header)
 	o := Outbound{
-		Left:       time.Until(p.until()),
+		TimeLeft:   time.Until(p.until()),
 		Endpoint:   p.endpoint.Name(),
 		Rank:       p.rank(),
 		ContinueAt: copyName,
@@ -202,7 +202,7 @@
 			continue
 		}
 		says := p.gateway.protocol.Answer(head.StatusCode, head.Header)
-		p.gateway.Noticed(time.Now(), p.endpoint, says.Notice)
+		p.gateway.HandleNotice(time.Now(), p.endpoint, says.Notice)
 		mine := says.ID == p.in.ID || (says.ID == "" && a.link.fresh && strays == 0)
 		if mine {
 			a.head = head
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,11 +22,11 @@
 
 // Rules bound what a gateway holds and spends.
 type Rules struct {
-	Retry       core.BudgetRules
-	MemoryBytes int64 // of the box
-	Fresh       bool  // no process ran on the box before, which may have spent its budget
-	Cold        routing.ColdAllowance
-	Regions     routing.Regions
+	Retry        core.BudgetRules
+	MemoryBytes  int64 // of the box
+	FirstProcess bool  // no process ran on the box before, which may have spent its budget
+	Cold         routing.ColdAllowance
+	Regions      routing.Regions
 }
 
 // Gateway carries requests between callers and endpoints.
@@ -74,9 +74,9 @@
 	return func(g *Gateway) { g.boxes = boxes }
 }
 
-// WithUnitShare gives this box's share of the sends that an endpoint takes in a while from
+// WithRateShare gives this box's share of the sends that an endpoint takes in a while from
 // all boxes together.
-func WithUnitShare(share func(endpoint string, units int) int) Option {
+func WithRateShare(share func(endpoint string, units int) int) Option {
 	return func(g *Gateway) {
 		g.gate.cold.share = share
 		g.gate.limits.share = share
@@ -123,9 +123,9 @@
 	return func(g *Gateway) { g.quarantine = q }
 }
 
-// WithLook gives what looks whether the machine was suspended and calls Suspended if it
+// WithSuspensionCheck gives what looks whether the machine was suspended and calls Suspended if it
 // was; it is called before each decision that goes by ages.
-func WithLook(look func()) Option {
+func WithSuspensionCheck(look func()) Option {
 	return func(g *Gateway) { g.look = look }
 }
 
@@ -200,11 +200,11 @@
 // SetShare tells which engines the box's group uses first.
 func (g *Gateway) SetShare(share map[string]bool) { g.spread.SetShare(share) }
 
-// Reported takes an engine's report and when it was true.
-func (g *Gateway) Reported(at time.Time, r routing.Report) { g.spread.Memory(at, r) }
+// HandleReport takes an engine's report and when it was true.
+func (g *Gateway) HandleReport(at time.Time, r routing.Report) { g.spread.Memory(at, r) }
 
-// Placed takes what another box sent to an engine.
-func (g *Gateway) Placed(now time.Time, p fleet.Placement) {
+// HandlePlacement takes what another box sent to an engine.
+func (g *Gateway) HandlePlacement(now time.Time, p fleet.Placement) {
 	switch {
 	case p.Broke:
 		g.brokeOff(now)
@@ -225,7 +225,7 @@
 	defer g.mu.Unlock()
 	b := g.budgets[service]
 	if b == nil {
-		b = core.NewSharedBudget(now, g.rules.Retry, g.rules.Fresh)
+		b = core.NewSharedBudget(now, g.rules.Retry, g.rules.FirstProcess)
 		g.budgets[service] = b
 	}
 	action(b)
--- a/gateway/inbound.go
+++ b/gateway/inbound.go
@@ -59,8 +59,8 @@
 	if t <= 0 {
 		t = unknownTimeout
 	}
-	if p.in.Patience > 0 {
-		t = min(t, p.in.Patience)
+	if p.in.CallerTimeout > 0 {
+		t = min(t, p.in.CallerTimeout)
 	}
 	return t
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -152,5 +152,5 @@
 	}
 }
 
-// MayAsk tells whether an endpoint may be asked for its load now, and counts that.
-func (g *Gateway) MayAsk(now time.Time, e routing.Endpoint) bool { return g.gate.check(now, e) }
+// AllowLoadQuery tells whether an endpoint may be asked for its load now, and counts that.
+func (g *Gateway) AllowLoadQuery(now time.Time, e routing.Endpoint) bool { return g.gate.check(now, e) }
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -70,9 +70,9 @@
 		case errors.Is(err, errSourceFull):
 			return true
 		case !errors.As(err, &refusal):
-			p.note("engine of a move is gone", zap.String("endpoint", source), zap.Error(err))
+			p.note("move failed: engine unreachable", zap.String("endpoint", source), zap.Error(err))
 			return false
-		case refusal.Why == RunUnknown, refusal.Why == MoveUnderWay:
+		case refusal.Reason == RunUnknown, refusal.Reason == MoveInProgress:
 			return true
 		default:
 			full[target.ID] = true
@@ -152,19 +152,19 @@
 var errSourceFull = errors.New("the engine takes no more calls now; ask for the move later")
 
 // askMove sends one call for the run's move, if the engine that runs it takes one.
-func (p *passage) askMove(ctx context.Context, m Move) (Moved, error) {
+func (p *passage) askMove(ctx context.Context, m Move) (MoveResult, error) {
 	if !p.gateway.gate.move(time.Now(), m.Source) {
-		return Moved{}, errSourceFull
+		return MoveResult{}, errSourceFull
 	}
 	return p.gateway.mover.Move(ctx, m)
 }
 
 // copyAlong copies while the run goes on, until a copy waited for no other: then
 // the last one, for which the run stops, is short too.
-func (p *passage) copyAlong(ctx context.Context, m Move) (Moved, error) {
+func (p *passage) copyAlong(ctx context.Context, m Move) (MoveResult, error) {
 	until := time.Now().Add(copyTime)
 	expected := p.copying()
-	var last Moved
+	var last MoveResult
 	for {
 		begun := time.Now()
 		moved, err := p.askMove(ctx, m)
@@ -229,7 +229,7 @@
 
 // stayed gives where a run goes on that stopped and whose memory stayed: where it was,
 // or from the copy before if its zone is drained, since that would be a new request there.
-func (p *passage) stayed(source, target routing.Endpoint, moved, along Moved) (routing.Endpoint, string) {
+func (p *passage) stayed(source, target routing.Endpoint, moved, along MoveResult) (routing.Endpoint, string) {
 	if p.gateway.view().Drained(source.Zone) {
 		return target, along.Copy
 	}
@@ -239,9 +239,9 @@
 // stopAndCopy stops the run and copies what it made since the copy before. Where
 // that waits for another copy, the stream goes on from the copy before, and the
 // target reads the last events anew.
-func (p *passage) stopAndCopy(ctx context.Context, m Move, along Moved) (Moved, error) {
+func (p *passage) stopAndCopy(ctx context.Context, m Move, along MoveResult) (MoveResult, error) {
 	type result struct {
-		moved Moved
+		moved MoveResult
 		err   error
 	}
 	m.Last = true
--- a/gateway/mover.go
+++ b/gateway/mover.go
@@ -15,8 +15,8 @@
 	Last    bool // the run stops before the copy
 }
 
-// Moved is the answer to a move.
-type Moved struct {
+// MoveResult is the answer to a move.
+type MoveResult struct {
 	Copy   string // the copy's name, as it is sent to go on from it
 	Events int    // that the run had made
 }
@@ -26,15 +26,15 @@
 
 // The refusals of moves.
 const (
-	RunUnknown   EngineRefusal = "no such run" // it has not begun, or it ended
-	MoveUnderWay EngineRefusal = "another move is under way"
-	NoRoom       EngineRefusal = "no room, or no way there"
+	RunUnknown     EngineRefusal = "no such run" // it has not begun, or it ended
+	MoveInProgress EngineRefusal = "another move is under way"
+	NoRoom         EngineRefusal = "no room, or no way there"
 )
 
 // EngineError reports that an engine turned a call away.
 type EngineError struct {
 	Status int
-	Why    EngineRefusal // empty for others
+	Reason EngineRefusal // empty for others
 }
 
 // Error names the status and the remedy.
@@ -46,9 +46,9 @@
 type Mover interface {
 	// Move copies a run's memory; a run that stopped can go on at the target,
 	// or at the source if the copy failed and a name is given all the same.
-	Move(ctx context.Context, m Move) (Moved, error)
-	// Alive asks whether an engine answers at all.
-	Alive(ctx context.Context, e routing.Endpoint) error
+	Move(ctx context.Context, m Move) (MoveResult, error)
+	// Ping asks whether an engine answers at all.
+	Ping(ctx context.Context, e routing.Endpoint) error
 	// CopyName gives the name of a run's copy at the endpoint that its memory
 	// was sent to as it grew.
 	CopyName(id string, backup routing.Endpoint) string
--- a/gateway/protocol.go
+++ b/gateway/protocol.go
@@ -18,17 +18,17 @@
 
 // Inbound is what a caller's headers say.
 type Inbound struct {
-	ID           string        // of this attempt of the caller
-	Patience     time.Duration // how long the caller waits; 0 when it didn't say
-	Key          string
-	PromptTokens int
-	MaxTokens    int // the most to be generated
-	LengthHint   int // the caller's guess of the tokens to be generated; 0 without
+	ID            string        // of this attempt of the caller
+	CallerTimeout time.Duration // how long the caller waits; 0 when it didn't say
+	Key           string
+	PromptTokens  int
+	MaxTokens     int // the most to be generated
+	LengthHint    int // the caller's guess of the tokens to be generated; 0 without
 }
 
 // Outbound is what the system tells an endpoint.
 type Outbound struct {
-	Left       time.Duration // until nobody waits any more
+	TimeLeft   time.Duration // until nobody waits any more
 	Endpoint   string        // the incarnation that is meant
 	Customer   string        // empty on anonymous routes
 	Rank       int
@@ -52,7 +52,7 @@
 	Limited bool          // it takes so many requests only
 	Limit   float64       // requests a second, from all boxes together
 	Leaving bool          // it is on its way out
-	Rest    time.Duration // it wants nothing from this box for so long; 0 when it didn't say
+	Backoff time.Duration // it wants nothing from this box for so long; 0 when it didn't say
 }
 
 // Load is what an endpoint tells of itself with an answer.
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -64,7 +64,7 @@
 		other := newBench()
 		third := other.add("e-3", emulator.Model)
 		fourth := other.add("e-4", emulator.Model)
-		other.gateway.Placed(time.Now(), fleet.Placement{
+		other.gateway.HandlePlacement(time.Now(), fleet.Placement{
 			Endpoint: "e-9",
 			Broke:    true,
 		})
@@ -74,7 +74,7 @@
 	})
 
 	It("goes on from its backup when its engine breaks off within an event", func() {
-		b.gateway.Placed(time.Now(), fleet.Placement{
+		b.gateway.HandlePlacement(time.Now(), fleet.Placement{
 			Endpoint: "e-9",
 			Broke:    true,
 		})
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Changed takes a change of belief about endpoints.
-func (g *Gateway) Changed(c fleet.Change) {
+// HandleChange takes a change of belief about endpoints.
+func (g *Gateway) HandleChange(c fleet.Change) {
 	switch c.Kind {
 	case fleet.EndpointLeaving:
 		go g.evacuate(c.Endpoint)
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(p.request.Context(), aliveTime)
 	defer cancel()
 	begun := time.Now()
-	err := p.gateway.mover.Alive(ctx, d.engine)
+	err := p.gateway.mover.Ping(ctx, d.engine)
 	if err == nil || p.request.Context().Err() != nil {
 		d.timer.Reset(d.after)
 		return
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -25,7 +25,7 @@
 	stutters  = `{"at":"2026-07-19T05:50:19Z","event":"streamed","request":"R","route":"long","customer":"one","rank":1,"status":200,"first_event":"400ms","longest_pause":"300ms","pause_after":"40","late":true}`
 	whole     = `{"at":"2026-07-19T05:50:19Z","event":"streamed","request":"R","route":"long","customer":"one","rank":1,"status":200,"first_event":"400ms","longest_pause":"30ms","pause_after":"40","late":false}`
 	badKey    = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","route":"long","why":"the key is not known","status":401}`
-	ended     = `{"at":"2026-07-19T05:50:13Z","event":"endpoint ended under a request","request":"R","endpoint":"e-1","after":"240ms","events":0}`
+	ended     = `{"at":"2026-07-19T05:50:13Z","event":"endpoint crashed during a request","request":"R","endpoint":"e-1","after":"240ms","events":0}`
 	kept      = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","route":"long","why":"endpoints end under the request","status":503}`
 	unknown   = `{"at":"2026-07-19T05:50:13Z","event":"refused","request":"R","why":"no configuration is known yet","status":503}`
 )
--- a/losses/request.go
+++ b/losses/request.go
@@ -82,7 +82,7 @@
 	case "placed":
 		r.placed = true
 		r.endpoint = l.Endpoint
-	case "moved", "copy failed", "no target to move to", "engine of a move is gone":
+	case "moved", "copy failed", "no target to move to", "move failed: engine unreachable":
 		r.moving = true
 	case "continued from a copy", "resumed in another run":
 		r.moved = true
@@ -91,7 +91,7 @@
 		r.seams[l.LastEvent] = true
 	case "answer overdue":
 		r.overdue = true
-	case "endpoint ended under a request":
+	case "endpoint crashed during a request":
 		r.ended = l.Endpoint == r.endpoint
 	case "answered", "streamed", "cut", "given up", "refused", "caller left":
 		r.end = &l
