--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -218,7 +218,7 @@
 
 var _ = Describe("the shares of an endpoint", func() {
 	owner := func() *admission.Shares {
-		hold := core.NewHold("engine", core.DefaultLeaseRules())
+		hold := core.NewOwnership("engine", core.DefaultLeaseRules())
 		hold.Step(start, core.HoldTaken{Fresh: true})
 		hold.Step(start, core.ListConfirmed{At: start})
 		return admission.NewShares(hold, 20000, 64, 30*time.Millisecond)
@@ -239,7 +239,7 @@
 
 	It("give nothing of an endpoint that leaves", func() {
 		s := owner()
-		s.Hold().Step(start, core.EndpointLeaving{Leaving: true})
+		s.Ownership().Step(start, core.EndpointLeaving{Leaving: true})
 		Expect(s.Grant(start, "box-0", admission.Wish{})).To(Equal(admission.Grant{}))
 	})
 
@@ -247,7 +247,7 @@
 		s := owner()
 		late := start.Add(time.Minute)
 		for at := start; at.Before(late); at = at.Add(time.Second) {
-			s.Hold().Step(at, core.HoldTicked{})
+			s.Ownership().Step(at, core.HoldTicked{})
 		}
 		Expect(s.Grant(late, "box-0", admission.Wish{}).Tokens).To(Equal(5000))
 	})
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -32,7 +32,7 @@
 type Shares struct {
 	Capacity int // of the whole endpoint
 	Slots    int
-	hold     *core.Hold
+	hold     *core.Ownership
 	boxes    map[string]*share
 	names    []string // of the boxes, sorted: sums come out the same in every run
 	fit      StepFit
@@ -54,7 +54,7 @@
 
 // NewShares divides an endpoint on whose hold it depends. Target is the longest
 // wanted time between tokens.
-func NewShares(hold *core.Hold, capacity, slots int, target time.Duration) *Shares {
+func NewShares(hold *core.Ownership, capacity, slots int, target time.Duration) *Shares {
 	return &Shares{
 		Capacity: capacity,
 		Slots:    slots,
@@ -64,8 +64,8 @@
 	}
 }
 
-// Hold gives the owner's hold on the endpoint.
-func (s *Shares) Hold() *core.Hold { return s.hold }
+// Ownership gives the owner's hold on the endpoint.
+func (s *Shares) Ownership() *core.Ownership { return s.hold }
 
 // Boxes counts the boxes that use the endpoint.
 func (s *Shares) Boxes() int { return len(s.boxes) }
--- a/bench/engine.go
+++ b/bench/engine.go
@@ -31,7 +31,7 @@
 		batch: standin.NewBatch(EngineRules()),
 	}
 	for slot := range e.shares {
-		hold := core.NewHold(name, core.DefaultLeaseRules())
+		hold := core.NewOwnership(name, core.DefaultLeaseRules())
 		hold.Step(n.now, core.HoldTaken{Fresh: true})
 		e.shares[slot] = admission.NewShares(hold, EngineRules().MemoryTokens, slotCount, targetStep)
 	}
--- a/bench/run.go
+++ b/bench/run.go
@@ -188,7 +188,7 @@
 		Waiting:   w.Waiting,
 	})
 	n.after(controlDelay, func() {
-		e.shares[slot].Hold().Step(n.now, core.ListConfirmed{At: n.now})
+		e.shares[slot].Ownership().Step(n.now, core.ListConfirmed{At: n.now})
 		g := e.shares[slot].Grant(n.now, name, w.Wish)
 		n.count(wire.LeaseGrant{
 			Endpoint:       w.Endpoint,
--- a/core/budget.go
+++ b/core/budget.go
@@ -45,14 +45,14 @@
 	return int64(now.Sub(b.start) / (b.rules.Window / budgetSlots))
 }
 
-// Request counts a request's first send.
-func (b *SharedBudget) Request(now time.Time) {
+// CountRequest counts a request's first send.
+func (b *SharedBudget) CountRequest(now time.Time) {
 	b.requests.add(b.slot(now))
 }
 
-// Left gives how many more sends the box has itself. Boxes is how many share
+// Remaining gives how many more sends the box has itself. Boxes is how many share
 // the slack.
-func (b *SharedBudget) Left(now time.Time, boxes int) int {
+func (b *SharedBudget) Remaining(now time.Time, boxes int) int {
 	requests := float64(b.requests.sum(b.slot(now)))
 	share := float64(b.rules.Slack) / float64(max(boxes, 1))
 	if b.amnesia && now.Sub(b.start) < b.rules.Window {
@@ -68,24 +68,24 @@
 		return true
 	}
 	b.borrowed = 0
-	if b.Left(now, boxes) < 1 {
+	if b.Remaining(now, boxes) < 1 {
 		return false
 	}
 	b.spent.add(b.slot(now))
 	return true
 }
 
-// Lend gives up to some sends to another box, and keeps some for itself.
-func (b *SharedBudget) Lend(now time.Time, boxes, sends, keep int) int {
-	given := max(0, min(sends, b.Left(now, boxes)-keep))
+// TransferOut gives up to some sends to another box, and keeps some for itself.
+func (b *SharedBudget) TransferOut(now time.Time, boxes, sends, keep int) int {
+	given := max(0, min(sends, b.Remaining(now, boxes)-keep))
 	for range given {
 		b.spent.add(b.slot(now))
 	}
 	return given
 }
 
-// Borrow takes sends that another box gave.
-func (b *SharedBudget) Borrow(now time.Time, sends int) {
+// TransferIn takes sends that another box gave.
+func (b *SharedBudget) TransferIn(now time.Time, sends int) {
 	if now.Sub(b.lentAt) >= borrowedLife {
 		b.borrowed = 0
 	}
@@ -97,12 +97,12 @@
 // counted it as spent longer ago than a window.
 func (b *SharedBudget) Suspended() { b.borrowed = 0 }
 
-// Has gives how many sends the box may make now, borrowed ones included.
-func (b *SharedBudget) Has(now time.Time, boxes int) int {
+// Available gives how many sends the box may make now, borrowed ones included.
+func (b *SharedBudget) Available(now time.Time, boxes int) int {
 	if now.Sub(b.lentAt) < borrowedLife {
-		return b.borrowed + b.Left(now, boxes)
+		return b.borrowed + b.Remaining(now, boxes)
 	}
-	return b.Left(now, boxes)
+	return b.Remaining(now, boxes)
 }
 
 // window counts in slots of a sliding window; it holds one slot more than the
--- a/core/budget_test.go
+++ b/core/budget_test.go
@@ -26,7 +26,7 @@
 		}
 		Expect(spent).To(Equal(5))
 		for range 50 {
-			b.Request(noon)
+			b.CountRequest(noon)
 		}
 		for b.Allow(noon, 4) {
 			spent++
@@ -43,11 +43,11 @@
 	It("lends what it counts as spent, and borrows for a second", func() {
 		lender := core.NewSharedBudget(noon, rules, true)
 		borrower := core.NewSharedBudget(noon, rules, false)
-		Expect(lender.Lend(noon, 4, 4, 2)).To(Equal(3))
-		Expect(lender.Left(noon, 4)).To(Equal(2))
-		borrower.Borrow(noon, 3)
+		Expect(lender.TransferOut(noon, 4, 4, 2)).To(Equal(3))
+		Expect(lender.Remaining(noon, 4)).To(Equal(2))
+		borrower.TransferIn(noon, 3)
 		Expect(borrower.Allow(noon, 4)).To(BeTrue())
-		Expect(borrower.Has(noon, 4)).To(Equal(2))
+		Expect(borrower.Available(noon, 4)).To(Equal(2))
 		Expect(borrower.Allow(noon.Add(2*time.Second), 4)).To(BeFalse())
 	})
 
@@ -59,7 +59,7 @@
 			for range rapid.IntRange(1, 200).Draw(t, "steps") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 				if rapid.Bool().Draw(t, "request") {
-					b.Request(now)
+					b.CountRequest(now)
 					requests = append(requests, now)
 					continue
 				}
--- a/core/call.go
+++ b/core/call.go
@@ -89,7 +89,7 @@
 	if c.state == CallEnded {
 		return nil
 	}
-	if c.state == CallStreaming && c.guards.on(GuardCallPart) {
+	if c.state == CallStreaming && c.guards.on(GuardCallPartial) {
 		return c.stepStream(ev)
 	}
 	switch e := ev.(type) {
--- a/core/claim.go
+++ b/core/claim.go
@@ -61,12 +61,12 @@
 	VerdictInFlight ClaimVerdict = "in-flight"
 	VerdictRan      ClaimVerdict = "ran"
 	VerdictUnknown  ClaimVerdict = "unknown"
-	VerdictNotHome  ClaimVerdict = "not-home"
+	VerdictNotOwner ClaimVerdict = "not-home"
 	VerdictNotYet   ClaimVerdict = "not-yet"
 )
 
-// Home keeps the claims whose keys belong to one box.
-type Home struct {
+// ClaimOwner keeps the claims whose keys belong to one box.
+type ClaimOwner struct {
 	self      Box
 	rules     ClaimRules
 	started   time.Time
@@ -78,9 +78,9 @@
 	lastSweep time.Time
 }
 
-// NewHome starts with empty memory.
-func NewHome(self Box, rules ClaimRules, now time.Time, options ...Option) *Home {
-	return &Home{
+// NewClaimOwner starts with empty memory.
+func NewClaimOwner(self Box, rules ClaimRules, now time.Time, options ...Option) *ClaimOwner {
+	return &ClaimOwner{
 		self:    self,
 		rules:   rules,
 		started: now,
@@ -91,7 +91,7 @@
 }
 
 // Step applies one event.
-func (h *Home) Step(now time.Time, ev Event) []Command {
+func (h *ClaimOwner) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case ListAdopted:
 		return h.adopted(now, e)
@@ -118,13 +118,13 @@
 }
 
 // Self gives the life of the box that this home is on.
-func (h *Home) Self() Box { return h.self }
+func (h *ClaimOwner) Self() Box { return h.self }
 
 // Len gives the number of records held.
-func (h *Home) Len() int { return len(h.records) }
+func (h *ClaimOwner) Len() int { return len(h.records) }
 
 // Open counts the claims that were granted and not settled.
-func (h *Home) Open() int {
+func (h *ClaimOwner) Open() int {
 	open := 0
 	for _, r := range h.records {
 		if r.State == ClaimGranted {
@@ -134,13 +134,13 @@
 	return open
 }
 
-func (h *Home) confirmed(e ListConfirmed) {
+func (h *ClaimOwner) confirmed(e ListConfirmed) {
 	if h.reading.List != nil && e.Version == h.reading.List.Version && e.At.After(h.reading.ConfirmedAt) {
 		h.reading.ConfirmedAt = e.At
 	}
 }
 
-func (h *Home) asked(now time.Time, e ClaimAsked) []Command {
+func (h *ClaimOwner) asked(now time.Time, e ClaimAsked) []Command {
 	if h.reading.List == nil {
 		return h.answer(e, VerdictNotYet, nil)
 	}
@@ -153,8 +153,8 @@
 	if r := h.records[e.Key]; r != nil && r.State != ClaimNotRun {
 		return h.answerKnown(e, r)
 	}
-	if h.retired || h.reading.List.Home(ClaimScope(e.Key), nil) != h.self.Name {
-		return h.answer(e, VerdictNotHome, nil)
+	if h.retired || h.reading.List.ClaimOwner(ClaimScope(e.Key), nil) != h.self.Name {
+		return h.answer(e, VerdictNotOwner, nil)
 	}
 	if !h.reading.Fresh(now, h.rules.Fresh) && h.guards.on(GuardClaimFresh) {
 		return h.answer(e, VerdictNotYet, nil)
@@ -171,7 +171,7 @@
 // ClaimScope is the text by which a key's home is found.
 func ClaimScope(key ClaimKey) string { return key.Customer + "\x00" + key.Key }
 
-func (h *Home) answerKnown(e ClaimAsked, r *ClaimRecord) []Command {
+func (h *ClaimOwner) answerKnown(e ClaimAsked, r *ClaimRecord) []Command {
 	if !h.guards.on(GuardClaimRecord) {
 		return h.answer(e, VerdictGranted, nil)
 	}
@@ -187,7 +187,7 @@
 	return h.answer(e, VerdictInFlight, nil)
 }
 
-func (h *Home) grant(now time.Time, e ClaimAsked) []Command {
+func (h *ClaimOwner) grant(now time.Time, e ClaimAsked) []Command {
 	r := h.records[e.Key]
 	if r == nil {
 		r = &ClaimRecord{
@@ -203,11 +203,11 @@
 	return h.answer(e, VerdictGranted, nil)
 }
 
-func (h *Home) answer(e ClaimAsked, verdict ClaimVerdict, r *ClaimRecord) []Command {
+func (h *ClaimOwner) answer(e ClaimAsked, verdict ClaimVerdict, r *ClaimRecord) []Command {
 	a := ClaimAnswered{
-		Attempt: e.Attempt,
-		Verdict: verdict,
-		Home:    h.self,
+		Attempt:    e.Attempt,
+		Verdict:    verdict,
+		ClaimOwner: h.self,
 	}
 	if verdict == VerdictGranted {
 		a.ValidFor = h.rules.GrantTTL
@@ -219,7 +219,7 @@
 	return []Command{a}
 }
 
-func (h *Home) settled(now time.Time, e ClaimSettled) {
+func (h *ClaimOwner) settled(now time.Time, e ClaimSettled) {
 	r := h.records[e.Key]
 	if r == nil || r.Attempt != e.Attempt {
 		return
@@ -240,7 +240,7 @@
 }
 
 // boxLost turns what a lost entry held into unknown: it may have sent.
-func (h *Home) boxLost(now time.Time, e BoxLost) {
+func (h *ClaimOwner) boxLost(now time.Time, e BoxLost) {
 	for _, r := range h.records {
 		if r.State == ClaimGranted && r.Asker.Name == e.Box.Name && r.Asker.Incarnation <= e.Box.Incarnation {
 			_ = claimLifecycle.Fire(&r.State, claimLose)
@@ -250,7 +250,7 @@
 }
 
 // sweep forgets records older than the retention time; a granted one stays.
-func (h *Home) sweep(now time.Time) {
+func (h *ClaimOwner) sweep(now time.Time) {
 	if now.Sub(h.lastSweep) < h.rules.Retention/60 {
 		return
 	}
--- a/core/claim_event.go
+++ b/core/claim_event.go
@@ -55,12 +55,12 @@
 // ClaimAnswered asks the shell to answer a claim.
 type ClaimAnswered struct {
 	CommandBase
-	Attempt  string
-	Verdict  ClaimVerdict
-	Status   int
-	Response []byte
-	ValidFor time.Duration
-	Home     Box
+	Attempt    string
+	Verdict    ClaimVerdict
+	Status     int
+	Response   []byte
+	ValidFor   time.Duration
+	ClaimOwner Box
 }
 
 // ListWanted asks the shell to fetch a newer list.
--- a/core/claim_history_test.go
+++ b/core/claim_history_test.go
@@ -62,7 +62,7 @@
 func history(seed uint64, options ...core.Option) []porcupine.Operation {
 	r := rand.New(rand.NewPCG(seed, 1))
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
-	home := core.NewHome(core.Box{Name: "box-1", Incarnation: 1}, core.DefaultClaimRules(), now, options...)
+	home := core.NewClaimOwner(core.Box{Name: "box-1", Incarnation: 1}, core.DefaultClaimRules(), now, options...)
 	home.Step(now, core.ListAdopted{
 		List: &core.List{Version: 1, Boxes: []core.Member{{Name: "box-1"}}},
 		At:   now,
--- a/core/claim_start_test.go
+++ b/core/claim_start_test.go
@@ -14,7 +14,7 @@
 // homes are the claims' homes of a list, as their schedulers drive them.
 type homes struct {
 	list  *core.List
-	homes map[string]*core.Home
+	homes map[string]*core.ClaimOwner
 }
 
 func startHomes(now time.Time, age time.Duration, boxes int) *homes {
@@ -23,7 +23,7 @@
 			Version: 1,
 			Age:     age,
 		},
-		homes: make(map[string]*core.Home),
+		homes: make(map[string]*core.ClaimOwner),
 	}
 	for i := range boxes {
 		h.list.Boxes = append(h.list.Boxes, core.Member{Name: fmt.Sprintf("box-%d", i)})
@@ -39,7 +39,7 @@
 		Name:        name,
 		Incarnation: core.Incarnation(now.UnixNano()),
 	}
-	home := core.NewHome(self, core.DefaultClaimRules(), now)
+	home := core.NewClaimOwner(self, core.DefaultClaimRules(), now)
 	home.Step(now, core.ListAdopted{
 		List: h.list,
 		At:   now,
@@ -80,7 +80,7 @@
 		Customer: "customer",
 		Key:      key,
 	}
-	home := h.list.Home(core.ClaimScope(k), nil)
+	home := h.list.ClaimOwner(core.ClaimScope(k), nil)
 	for _, command := range h.homes[home].Step(now, core.ClaimAsked{
 		Key:         k,
 		Attempt:     "attempt of " + key,
--- a/core/digest.go
+++ b/core/digest.go
@@ -13,8 +13,8 @@
 // Digest names what a request asks for, the same at every box and for every repeat.
 type Digest [digestBytes]byte
 
-// DigestOf gives the digest of a request's parts, in their order.
-func DigestOf(parts ...[]byte) Digest {
+// NewDigest gives the digest of a request's parts, in their order.
+func NewDigest(parts ...[]byte) Digest {
 	h := sha256.New()
 	for _, part := range parts {
 		// The length goes first, so that no two lists of parts read the same.
--- a/core/drain.go
+++ b/core/drain.go
@@ -31,9 +31,9 @@
 	},
 })
 
-// StopAsked tells that a planned stop was asked for; a second one changes
+// StopRequested tells that a planned stop was asked for; a second one changes
 // nothing.
-type StopAsked struct{ EventBase }
+type StopRequested struct{ EventBase }
 
 // WorkChanged tells how much work is in progress and what is not handed over.
 type WorkChanged struct {
@@ -42,11 +42,11 @@
 	Pending int
 }
 
-// StopTaking asks the shell to refuse new work and to hand over.
-type StopTaking struct{ CommandBase }
+// RefuseNewWork asks the shell to refuse new work and to hand over.
+type RefuseNewWork struct{ CommandBase }
 
-// Leave asks the shell to end the process.
-type Leave struct{ CommandBase }
+// Exit asks the shell to end the process.
+type Exit struct{ CommandBase }
 
 // Drain decides when a process that was asked to stop may leave.
 type Drain struct {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Taking reports whether new work is taken.
-func (d *Drain) Taking() bool { return d.State == DrainServing }
+// Accepting reports whether new work is taken.
+func (d *Drain) Accepting() bool { return d.State == DrainServing }
 
 // Since gives the moment of the first stop.
 func (d *Drain) Since() time.Time { return d.since }
@@ -73,7 +73,7 @@
 // Step applies one event.
 func (d *Drain) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
-	case StopAsked:
+	case StopRequested:
 		return d.stop(now)
 	case WorkChanged:
 		d.work = e
@@ -88,7 +88,7 @@
 	}
 	d.since = now
 	_ = drainLifecycle.Fire(&d.State, drainStop)
-	return append([]Command{StopTaking{}}, d.leaveIfEmpty()...)
+	return append([]Command{RefuseNewWork{}}, d.leaveIfEmpty()...)
 }
 
 func (d *Drain) leaveIfEmpty() []Command {
@@ -99,5 +99,5 @@
 		return nil
 	}
 	_ = drainLifecycle.Fire(&d.State, drainEmpty)
-	return []Command{Leave{}}
+	return []Command{Exit{}}
 }
--- a/core/evacuation.go
+++ b/core/evacuation.go
@@ -27,28 +27,28 @@
 
 // EvacuatedRun is a run that is to be moved off an engine that leaves.
 type EvacuatedRun struct {
-	ID      string
-	Rank    int           // lower ones go first
-	Worth   float64       // in any unit that all boxes use
-	Copying time.Duration // what the copy of its memory takes on a free link
+	ID       string
+	Rank     int           // lower ones go first
+	Value    float64       // in any unit that all boxes use
+	CopyTime time.Duration // what the copy of its memory takes on a free link
 }
 
-// RunsFound says that runs are at the engine, of this box or of another one.
-type RunsFound struct {
+// RunsAdded says that runs are at the engine, of this box or of another one.
+type RunsAdded struct {
 	EventBase
 	Runs []EvacuatedRun
 	Own  bool
 }
 
-// RunOver says that a run is at the engine no more, or that its move failed for
+// RunFinished says that a run is at the engine no more, or that its move failed for
 // good.
-type RunOver struct {
+type RunFinished struct {
 	EventBase
 	ID string
 }
 
-// TurnPassed says that a time came which the plan asked to be woken at.
-type TurnPassed struct{ EventBase }
+// WakeTimeReached says that a time came which the plan asked to be woken at.
+type WakeTimeReached struct{ EventBase }
 
 // MoveRun asks the shell to move one of its runs now.
 type MoveRun struct {
@@ -94,11 +94,11 @@
 // Step takes an event and gives what is to be done.
 func (v *Evacuation) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
-	case RunsFound:
+	case RunsAdded:
 		for _, r := range e.Runs {
 			v.find(r, e.Own)
 		}
-	case RunOver:
+	case RunFinished:
 		v.over(e.ID)
 	}
 	return v.next(now)
@@ -156,7 +156,7 @@
 
 // turnEnds gives when the next run goes on although the one before isn't over.
 func (v *Evacuation) turnEnds() time.Time {
-	return v.turnAt.Add(2*v.turn.Copying + v.rules.Slack)
+	return v.turnAt.Add(2*v.turn.CopyTime + v.rules.Slack)
 }
 
 // first gives the run that goes next: by rank, then by what a second of the link
@@ -180,5 +180,5 @@
 }
 
 func (r *evacuated) density() float64 {
-	return r.Worth / max(r.Copying, time.Millisecond).Seconds()
+	return r.Value / max(r.CopyTime, time.Millisecond).Seconds()
 }
--- a/core/evacuation_test.go
+++ b/core/evacuation_test.go
@@ -17,10 +17,10 @@
 
 func run(id string, rank int, worth float64, copying time.Duration) core.EvacuatedRun {
 	return core.EvacuatedRun{
-		ID:      id,
-		Rank:    rank,
-		Worth:   worth,
-		Copying: copying,
+		ID:       id,
+		Rank:     rank,
+		Value:    worth,
+		CopyTime: copying,
 	}
 }
 
@@ -46,44 +46,44 @@
 		b := core.NewEvacuation(evacuationNow, rules)
 		ofA := []core.EvacuatedRun{run("a1", 1, 4, 200*time.Millisecond), run("a2", 0, 1, 200*time.Millisecond)}
 		ofB := []core.EvacuatedRun{run("b1", 1, 5, 200*time.Millisecond)}
-		a.Step(evacuationNow, core.RunsFound{Runs: ofA, Own: true})
-		b.Step(evacuationNow, core.RunsFound{Runs: ofB, Own: true})
-		a.Step(evacuationNow, core.RunsFound{Runs: ofB})
-		b.Step(evacuationNow, core.RunsFound{Runs: ofA})
+		a.Step(evacuationNow, core.RunsAdded{Runs: ofA, Own: true})
+		b.Step(evacuationNow, core.RunsAdded{Runs: ofB, Own: true})
+		a.Step(evacuationNow, core.RunsAdded{Runs: ofB})
+		b.Step(evacuationNow, core.RunsAdded{Runs: ofA})
 
-		at, _ := moves(a.Step(settled, core.TurnPassed{}))
+		at, _ := moves(a.Step(settled, core.WakeTimeReached{}))
 		Expect(at).To(Equal([]string{"a2"}), "the lowest rank goes first")
-		at, _ = moves(b.Step(settled, core.TurnPassed{}))
+		at, _ = moves(b.Step(settled, core.WakeTimeReached{}))
 		Expect(at).To(BeEmpty())
 
 		later := settled.Add(210 * time.Millisecond)
-		at, _ = moves(b.Step(later, core.RunOver{ID: "a2"}))
+		at, _ = moves(b.Step(later, core.RunFinished{ID: "a2"}))
 		Expect(at).To(Equal([]string{"b1"}), "then the one that saves most for its time")
-		at, _ = moves(a.Step(later, core.RunOver{ID: "a2"}))
+		at, _ = moves(a.Step(later, core.RunFinished{ID: "a2"}))
 		Expect(at).To(BeEmpty())
-		at, _ = moves(a.Step(later.Add(210*time.Millisecond), core.RunOver{ID: "b1"}))
+		at, _ = moves(a.Step(later.Add(210*time.Millisecond), core.RunFinished{ID: "b1"}))
 		Expect(at).To(Equal([]string{"a1"}))
 	})
 
 	It("waits for the other boxes' word first, and not for ever for their moves", func() {
 		v := core.NewEvacuation(evacuationNow, rules)
-		v.Step(evacuationNow, core.RunsFound{Runs: []core.EvacuatedRun{run("x", 1, 9, 100*time.Millisecond)}})
-		at, wake := moves(v.Step(evacuationNow, core.RunsFound{Runs: []core.EvacuatedRun{run("own", 1, 1, 100*time.Millisecond)}, Own: true}))
+		v.Step(evacuationNow, core.RunsAdded{Runs: []core.EvacuatedRun{run("x", 1, 9, 100*time.Millisecond)}})
+		at, wake := moves(v.Step(evacuationNow, core.RunsAdded{Runs: []core.EvacuatedRun{run("own", 1, 1, 100*time.Millisecond)}, Own: true}))
 		Expect(at).To(BeEmpty())
 		Expect(wake).To(Equal(settled))
-		at, wake = moves(v.Step(settled, core.TurnPassed{}))
+		at, wake = moves(v.Step(settled, core.WakeTimeReached{}))
 		Expect(at).To(BeEmpty())
 		Expect(wake).To(Equal(settled.Add(200*time.Millisecond + rules.Slack)))
-		at, _ = moves(v.Step(wake, core.TurnPassed{}))
+		at, _ = moves(v.Step(wake, core.WakeTimeReached{}))
 		Expect(at).To(Equal([]string{"own"}))
 	})
 
 	It("takes a run in again whose move is to be tried once more", func() {
 		v := core.NewEvacuation(evacuationNow, rules)
-		own := core.RunsFound{Runs: []core.EvacuatedRun{run("own", 1, 1, 100*time.Millisecond)}, Own: true}
+		own := core.RunsAdded{Runs: []core.EvacuatedRun{run("own", 1, 1, 100*time.Millisecond)}, Own: true}
 		v.Step(evacuationNow, own)
-		v.Step(settled, core.TurnPassed{})
-		at, _ := moves(v.Step(settled, core.RunOver{ID: "own"}))
+		v.Step(settled, core.WakeTimeReached{})
+		at, _ := moves(v.Step(settled, core.RunFinished{ID: "own"}))
 		Expect(at).To(BeEmpty())
 		at, _ = moves(v.Step(settled.Add(time.Millisecond), own))
 		Expect(at).To(Equal([]string{"own"}))
@@ -137,11 +137,11 @@
 				id := fmt.Sprintf("%d-%d", b, i)
 				r := run(id, rapid.IntRange(0, 1).Draw(t, "rank"), rapid.Float64Range(0, 9).Draw(t, "worth"), time.Duration(rapid.IntRange(1, 300).Draw(t, "ms"))*time.Millisecond)
 				owner[id] = b
-				copying[id] = r.Copying
+				copying[id] = r.CopyTime
 				own = append(own, r)
 			}
-			step(b, core.RunsFound{Runs: own, Own: true})
-			tell(b, core.RunsFound{Runs: own})
+			step(b, core.RunsAdded{Runs: own, Own: true})
+			tell(b, core.RunsAdded{Runs: own})
 		}
 		for range 200 {
 			var next time.Time
@@ -162,13 +162,13 @@
 			now = next
 			if over != "" {
 				delete(ends, over)
-				step(owner[over], core.RunOver{ID: over})
-				tell(owner[over], core.RunOver{ID: over})
+				step(owner[over], core.RunFinished{ID: over})
+				tell(owner[over], core.RunFinished{ID: over})
 				continue
 			}
 			for b, at := range wakes {
 				if !at.IsZero() && !at.After(now) {
-					step(b, core.TurnPassed{})
+					step(b, core.WakeTimeReached{})
 				}
 			}
 		}
--- a/core/fence.go
+++ b/core/fence.go
@@ -22,19 +22,19 @@
 	)
 }
 
-// Gate is the check that an endpoint or its stand-in makes.
-type Gate struct {
+// FenceCheck is the check that an endpoint or its stand-in makes.
+type FenceCheck struct {
 	Highest Fence
 	guards  Guards
 }
 
-// NewGate starts with the lowest fence.
-func NewGate(options ...Option) *Gate {
-	return &Gate{guards: newGuards(options)}
+// NewFenceCheck starts with the lowest fence.
+func NewFenceCheck(options ...Option) *FenceCheck {
+	return &FenceCheck{guards: newGuards(options)}
 }
 
 // Admit reports whether an order with a fence is taken.
-func (g *Gate) Admit(f Fence) bool {
+func (g *FenceCheck) Admit(f Fence) bool {
 	if f.Compare(g.Highest) < 0 && g.guards.on(GuardFence) {
 		return false
 	}
@@ -49,8 +49,8 @@
 	Fresh time.Duration
 }
 
-// Orders says when the owner of one endpoint may send it orders.
-type Orders struct {
+// OrderPermission says when the owner of one endpoint may send it orders.
+type OrderPermission struct {
 	takenAt time.Time
 	owner   bool
 	reading time.Time
@@ -58,16 +58,16 @@
 	guards  Guards
 }
 
-// NewOrders starts as no owner.
-func NewOrders(rules OrderRules, options ...Option) *Orders {
-	return &Orders{
+// NewOrderPermission starts as no owner.
+func NewOrderPermission(rules OrderRules, options ...Option) *OrderPermission {
+	return &OrderPermission{
 		rules:  rules,
 		guards: newGuards(options),
 	}
 }
 
 // Step applies one event.
-func (o *Orders) Step(now time.Time, ev Event) []Command {
+func (o *OrderPermission) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
 		if !o.owner {
@@ -88,7 +88,7 @@
 // Permitted reports whether an order may be sent now. Towards an endpoint that
 // doesn't check, an owner with an old reading stops, and a new owner waits
 // until the old one has stopped.
-func (o *Orders) Permitted(now time.Time, checks bool) bool {
+func (o *OrderPermission) Permitted(now time.Time, checks bool) bool {
 	if !o.owner {
 		return false
 	}
--- a/core/generation.go
+++ b/core/generation.go
@@ -95,9 +95,9 @@
 	Repeatable bool
 	Attempt    int
 	Origin     Origin
-	Next       uint64
-	BytesLeft  bool
-	MaybeRan   bool
+	NextOffset uint64
+	BytesSent  bool
+	MayHaveRun bool
 	Outcome    Outcome
 	Code       EndCode
 	cutAt      time.Time
@@ -121,9 +121,9 @@
 	g := NewGeneration(true, rules, options...)
 	g.State = GenerationResuming
 	g.Origin = origin
-	g.Next = next
+	g.NextOffset = next
 	g.Attempt = 1
-	g.BytesLeft = true
+	g.BytesSent = true
 	return g
 }
 
@@ -136,7 +136,7 @@
 	case Placed:
 		return g.placed(e)
 	case Sending:
-		g.BytesLeft = g.BytesLeft || e.Attempt == g.Attempt
+		g.BytesSent = g.BytesSent || e.Attempt == g.Attempt
 		return nil
 	case Refused:
 		return g.refused(e)
@@ -161,7 +161,7 @@
 		return nil
 	}
 	g.Attempt++
-	g.BytesLeft = false
+	g.BytesSent = false
 	g.Origin = Origin{
 		Endpoint:   e.Endpoint,
 		Generation: e.Generation,
@@ -178,7 +178,7 @@
 	if e.Attempt != g.Attempt || g.State != GenerationPlaced {
 		return nil
 	}
-	g.BytesLeft = false
+	g.BytesSent = false
 	if g.Attempt >= g.rules.Attempts {
 		return g.end(g.unstarted(), EndRefused)
 	}
@@ -188,7 +188,7 @@
 // unstarted is the outcome when no attempt is running now: an earlier one that
 // was given up on may still have run.
 func (g *Generation) unstarted() Outcome {
-	if g.MaybeRan && g.guards.on(GuardBytesLeft) {
+	if g.MayHaveRun && g.guards.on(GuardBytesSent) {
 		return Unknown
 	}
 	return NotRun
@@ -200,19 +200,19 @@
 	return []Command{PlaceAgain{Avoid: avoid}}
 }
 
-// Accept judges one frame without building commands; it is the path that every
+// CheckFrame judges one frame without building commands; it is the path that every
 // token takes.
-func (g *Generation) Accept(attempt int, origin Origin, offset uint64) DropReason {
+func (g *Generation) CheckFrame(attempt int, origin Origin, offset uint64) DropReason {
 	if attempt != g.Attempt || g.State == GenerationWaiting || g.State == GenerationEnded {
 		return DropLate
 	}
 	if !g.sameOrigin(origin) {
 		return DropForeign
 	}
-	if offset < g.Next && g.guards.on(GuardOffset) {
+	if offset < g.NextOffset && g.guards.on(GuardOffset) {
 		return DropDuplicate
 	}
-	if offset > g.Next && g.guards.on(GuardOffset) {
+	if offset > g.NextOffset && g.guards.on(GuardOffset) {
 		return DropGap
 	}
 	if g.State != GenerationStreaming {
@@ -232,14 +232,14 @@
 	return g.Origin.Incarnation == 0 || origin.Incarnation == g.Origin.Incarnation
 }
 
-// Forwarded counts the frame that Accept let through.
-func (g *Generation) Forwarded() { g.Next++ }
+// CountForwarded counts the frame that Accept let through.
+func (g *Generation) CountForwarded() { g.NextOffset++ }
 
 func (g *Generation) arrived(e FrameArrived) []Command {
-	if e.Final && e.Attempt == g.Attempt && e.Offset+1 == g.Next && g.sameOrigin(e.Origin) {
+	if e.Final && e.Attempt == g.Attempt && e.Offset+1 == g.NextOffset && g.sameOrigin(e.Origin) {
 		return g.end(Ran, EndDone) // the caller had the end already and asked again
 	}
-	reason := g.Accept(e.Attempt, e.Origin, e.Offset)
+	reason := g.CheckFrame(e.Attempt, e.Origin, e.Offset)
 	if reason == DropGap {
 		g.Origin = e.Origin // a resume must find this life of the endpoint
 		return append([]Command{DropFrame{Reason: reason}}, g.resumeAt(0)...)
@@ -250,7 +250,7 @@
 	if e.Final {
 		return g.end(Ran, EndDone)
 	}
-	g.Forwarded()
+	g.CountForwarded()
 	return []Command{ForwardToken{
 		Offset: e.Offset,
 		Origin: e.Origin,
--- a/core/generation_loss.go
+++ b/core/generation_loss.go
@@ -14,16 +14,16 @@
 	if g.State == GenerationWaiting {
 		return nil
 	}
-	if g.cutAt.IsZero() || g.Next > g.lastEnd {
+	if g.cutAt.IsZero() || g.NextOffset > g.lastEnd {
 		g.cutAt = now
-		g.lastEnd = g.Next
+		g.lastEnd = g.NextOffset
 	}
 	if now.Sub(g.cutAt) > g.rules.ResumeWindow {
 		return append([]Command{CancelAttempt{Origin: g.Origin}}, g.end(Ran, EndLost)...)
 	}
 	if !g.guards.on(GuardNoSplice) && g.Repeatable {
 		g.State = GenerationWaiting
-		g.MaybeRan = true
+		g.MayHaveRun = true
 		g.Origin = Origin{}
 		return []Command{PlaceAgain{Avoid: g.Origin.Endpoint}}
 	}
@@ -31,13 +31,13 @@
 }
 
 func (g *Generation) lostBeforeToken() []Command {
-	if !g.BytesLeft {
+	if !g.BytesSent {
 		return g.again()
 	}
-	g.MaybeRan = true
+	g.MayHaveRun = true
 	cancel := CancelAttempt{Origin: g.Origin}
 	if !g.Repeatable {
-		if !g.guards.on(GuardBytesLeft) {
+		if !g.guards.on(GuardBytesSent) {
 			return append([]Command{cancel}, g.end(NotRun, EndLost)...)
 		}
 		return append([]Command{cancel}, g.end(Unknown, EndNotRepeatable)...)
@@ -54,7 +54,7 @@
 	return []Command{Resume{
 		Attempt: g.Attempt,
 		Origin:  g.Origin,
-		From:    g.Next,
+		From:    g.NextOffset,
 		Delay:   delay,
 	}}
 }
@@ -66,7 +66,7 @@
 	if g.State == GenerationPlaced {
 		return g.lostBeforeToken()
 	}
-	if !g.guards.on(GuardWholeAnswer) {
+	if !g.guards.on(GuardCompleteAnswer) {
 		return g.end(Ran, EndDone)
 	}
 	return g.end(Ran, EndLost)
@@ -77,7 +77,7 @@
 		return g.end(g.unstarted(), EndCancelled)
 	}
 	outcome := Ran
-	if g.Next == 0 {
+	if g.NextOffset == 0 {
 		outcome = Unknown
 	}
 	return append([]Command{CancelAttempt{Origin: g.Origin}}, g.end(outcome, EndCancelled)...)
--- a/core/handover.go
+++ b/core/handover.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Epoch is a list that was replaced, kept while its homes may still matter.
-type Epoch struct {
+// ReplacedList is a list that was replaced, kept while its homes may still matter.
+type ReplacedList struct {
 	List *List
 	Next uint64        // version of the list that replaced it
 	Age  time.Duration // since it was replaced, in a message
@@ -24,7 +24,7 @@
 	Blind       bool // From lost what was before, BlindAge ago
 	BlindAge    time.Duration
 	Records     []ClaimRecord
-	Epochs      []Epoch
+	Epochs      []ReplacedList
 	Earlier     bool // From met an earlier life of To
 }
 
@@ -60,7 +60,7 @@
 	ListVersion uint64
 }
 
-func (h *Home) handoverAsked(now time.Time, e HandoverAsked) []Command {
+func (h *ClaimOwner) handoverAsked(now time.Time, e HandoverAsked) []Command {
 	earlier := h.meet(now, e.From)
 	if h.reading.List == nil {
 		return nil
@@ -74,7 +74,7 @@
 	return []Command{HandoverSent{Handover: h.handover(now, e.From.Name, earlier)}}
 }
 
-func (h *Home) handover(now time.Time, to string, earlier bool) Handover {
+func (h *ClaimOwner) handover(now time.Time, to string, earlier bool) Handover {
 	out := Handover{
 		From:        h.self,
 		To:          to,
@@ -102,13 +102,13 @@
 	return out
 }
 
-func (h *Home) successor(key ClaimKey) string {
-	return h.reading.List.Home(ClaimScope(key), func(box string) bool {
+func (h *ClaimOwner) successor(key ClaimKey) string {
+	return h.reading.List.ClaimOwner(ClaimScope(key), func(box string) bool {
 		return h.retired && box == h.self.Name
 	})
 }
 
-func (h *Home) sortedKeys() []ClaimKey {
+func (h *ClaimOwner) sortedKeys() []ClaimKey {
 	keys := make([]ClaimKey, 0, len(h.records))
 	for key := range h.records {
 		keys = append(keys, key)
@@ -117,7 +117,7 @@
 	return keys
 }
 
-func (h *Home) handoverArrived(now time.Time, e HandoverArrived) {
+func (h *ClaimOwner) handoverArrived(now time.Time, e HandoverArrived) {
 	in := e.Handover
 	h.meet(now, in.From)
 	if h.reading.List == nil || h.take.known[in.From.Name].incarnation != in.From.Incarnation {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (h *Home) learn(now time.Time, r ClaimRecord) {
+func (h *ClaimOwner) learn(now time.Time, r ClaimRecord) {
 	mine := h.records[r.Key]
 	ended := mine != nil && mine.Attempt == r.Attempt && mine.State == ClaimGranted
 	if mine != nil && mine.State != ClaimNotRun && !ended {
@@ -148,7 +148,7 @@
 	h.records[r.Key] = &r
 }
 
-func (h *Home) learnEpoch(now time.Time, ep Epoch) {
+func (h *ClaimOwner) learnEpoch(now time.Time, ep ReplacedList) {
 	for _, known := range h.take.epochs {
 		if known.Next == ep.Next && known.List.Version == ep.List.Version {
 			return
@@ -159,7 +159,7 @@
 }
 
 // retire hands everything to the successors and grants nothing more.
-func (h *Home) retire(now time.Time) []Command {
+func (h *ClaimOwner) retire(now time.Time) []Command {
 	h.retired = true
 	if h.reading.List == nil {
 		return nil
--- a/core/join.go
+++ b/core/join.go
@@ -7,8 +7,8 @@
 
 // A starting box asks its peers, then serves.
 const (
-	JoinAsking  JoinState = "asking"
-	JoinServing JoinState = "serving"
+	JoinQuerying JoinState = "asking"
+	JoinServing  JoinState = "serving"
 )
 
 type joinTrigger string
@@ -16,17 +16,17 @@
 const joinAnswered joinTrigger = "answered"
 
 var joinLifecycle = NewLifecycle(map[JoinState]map[joinTrigger]JoinState{
-	JoinAsking:  {joinAnswered: JoinServing},
-	JoinServing: {joinAnswered: JoinServing},
+	JoinQuerying: {joinAnswered: JoinServing},
+	JoinServing:  {joinAnswered: JoinServing},
 })
 
 // JoinRules bound how long a starting box asks.
 type JoinRules struct {
-	Patience time.Duration
+	Timeout time.Duration
 }
 
-// PeersNamed tells whom a starting box can ask.
-type PeersNamed struct {
+// PeersListed tells whom a starting box can ask.
+type PeersListed struct {
 	EventBase
 	Boxes []string
 }
@@ -38,8 +38,8 @@
 	Box string
 }
 
-// PeerSilent tells that a peer can't be reached or didn't answer.
-type PeerSilent struct {
+// PeerUnreachable tells that a peer can't be reached or didn't answer.
+type PeerUnreachable struct {
 	EventBase
 	Box string
 }
@@ -61,7 +61,7 @@
 // NewJoin starts to ask.
 func NewJoin(now time.Time, rules JoinRules, options ...Option) *Join {
 	return &Join{
-		State:   JoinAsking,
+		State:   JoinQuerying,
 		started: now,
 		waiting: make(map[string]bool),
 		rules:   rules,
@@ -72,18 +72,18 @@
 // Step applies one event.
 func (j *Join) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
-	case PeersNamed:
+	case PeersListed:
 		j.named = true
 		for _, box := range e.Boxes {
 			j.waiting[box] = true
 		}
 	case PeerAnswered:
 		delete(j.waiting, e.Box)
-	case PeerSilent:
+	case PeerUnreachable:
 		delete(j.waiting, e.Box)
 	}
-	patient := now.Sub(j.started) < j.rules.Patience
-	if patient && j.guards.on(GuardVersionAsk) && (!j.named || len(j.waiting) > 0) {
+	patient := now.Sub(j.started) < j.rules.Timeout
+	if patient && j.guards.on(GuardVersionQuery) && (!j.named || len(j.waiting) > 0) {
 		return nil
 	}
 	_ = joinLifecycle.Fire(&j.State, joinAnswered)
--- a/core/lease.go
+++ b/core/lease.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// Hold is an owner's right to lease out one half of an endpoint. Each endpoint
+// Ownership is an owner's right to lease out one half of an endpoint. Each endpoint
 // has two owners with a half each, so that one's death leaves the other's half
 // in use at once. The hold says how much may be leased; who gets how much is
 // the matter of admission.Shares.
-type Hold struct {
+type Ownership struct {
 	State     LeaseState
 	Endpoint  string
 	leaving   bool
@@ -101,9 +101,9 @@
 // which a reading is fresh.
 type HoldTicked struct{ EventBase }
 
-// NewHold starts closed.
-func NewHold(endpoint string, rules LeaseRules, options ...Option) *Hold {
-	return &Hold{
+// NewOwnership starts closed.
+func NewOwnership(endpoint string, rules LeaseRules, options ...Option) *Ownership {
+	return &Ownership{
 		State:    LeaseClosed,
 		Endpoint: endpoint,
 		rules:    rules,
@@ -112,7 +112,7 @@
 }
 
 // Step applies one event.
-func (h *Hold) Step(now time.Time, ev Event) []Command {
+func (h *Ownership) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
 	case HoldTaken:
 		h.taken(now, e)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (h *Hold) taken(now time.Time, e HoldTaken) {
+func (h *Ownership) taken(now time.Time, e HoldTaken) {
 	if leaseLifecycle.Fire(&h.State, leaseOpen) != nil {
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // clear lets the hold grant all when the predecessor's last leases have ended.
-func (h *Hold) clear(now time.Time) {
+func (h *Ownership) clear(now time.Time) {
 	if h.cleared || h.State == LeaseFull {
 		return
 	}
@@ -156,14 +156,14 @@
 // ticked notices a pause: who wakes from one may believe in what changed in the
 // meantime, and grants nothing until a reading is confirmed anew. An outage of
 // the platform alone is no pause.
-func (h *Hold) ticked(now time.Time) {
+func (h *Ownership) ticked(now time.Time) {
 	if !h.tickedAt.IsZero() && now.Sub(h.tickedAt) > h.rules.Fresh && h.guards.on(GuardLeasePause) {
 		h.wokeAt = now
 	}
 	h.tickedAt = now
 }
 
-func (h *Hold) confirmed(e ListConfirmed) {
+func (h *Ownership) confirmed(e ListConfirmed) {
 	if e.At.After(h.reading) {
 		h.reading = e.At
 	}
@@ -178,7 +178,7 @@
 
 // Grantable gives how many of an endpoint's units may be leased now, and until
 // when at the longest.
-func (h *Hold) Grantable(now time.Time, capacity int) (int, time.Duration) {
+func (h *Ownership) Grantable(now time.Time, capacity int) (int, time.Duration) {
 	if h.State == LeaseClosed || h.leaving && h.guards.on(GuardLeaseLeaving) {
 		return 0, 0
 	}
@@ -194,7 +194,7 @@
 }
 
 // advance moves on when the predecessor's leases have ended.
-func (h *Hold) advance(now time.Time) {
+func (h *Ownership) advance(now time.Time) {
 	if h.cleared && !now.Before(h.clearAt) && h.State != LeaseFull {
 		_ = leaseLifecycle.Fire(&h.State, leaseClear)
 	}
--- a/core/member.go
+++ b/core/member.go
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// forHomes is the part of a list by which claims find their homes. It is what is
+// forClaimOwners is the part of a list by which claims find their homes. It is what is
 // kept and handed over of a replaced list, for an hour and to every newcomer.
-func (l *List) forHomes() *List {
+func (l *List) forClaimOwners() *List {
 	short := &List{
 		Version: l.Version,
 		Age:     l.Age,
@@ -72,8 +72,8 @@
 	return short
 }
 
-// Homes are the boxes that can be home to claims: all that are not leaving.
-func (l *List) Homes() map[string]bool {
+// ClaimOwners are the boxes that can be home to claims: all that are not leaving.
+func (l *List) ClaimOwners() map[string]bool {
 	homes := make(map[string]bool, len(l.Boxes))
 	for i := range l.Boxes {
 		if !l.Boxes[i].Leaving {
@@ -93,9 +93,9 @@
 	return true
 }
 
-// Home gives the box that a key belongs to: the live box with the highest
+// ClaimOwner gives the box that a key belongs to: the live box with the highest
 // rendezvous score. Boxes for which skip answers true are passed over.
-func (l *List) Home(key string, skip func(box string) bool) string {
+func (l *List) ClaimOwner(key string, skip func(box string) bool) string {
 	best := ""
 	var high uint64
 	hashed := xxhash.Sum64String(key)
--- a/core/member_test.go
+++ b/core/member_test.go
@@ -25,7 +25,7 @@
 		moved, takers := 0, make(map[string]bool)
 		for i := range 2000 {
 			key := fmt.Sprint("key-", i)
-			was, is := before.Home(key, nil), after.Home(key, nil)
+			was, is := before.ClaimOwner(key, nil), after.ClaimOwner(key, nil)
 			if was == is {
 				continue
 			}
@@ -70,7 +70,7 @@
 		l := boxes(3)
 		l.Boxes[1].Leaving = true
 		for i := range 100 {
-			Expect(l.Home(fmt.Sprint(i), nil)).NotTo(Equal("box-1"))
+			Expect(l.ClaimOwner(fmt.Sprint(i), nil)).NotTo(Equal("box-1"))
 		}
 	})
 })
@@ -111,8 +111,8 @@
 		b := core.NewRetryBudget(0.1, 5)
 		spent := 0
 		for range 1000 {
-			b.FirstTry()
-			if b.Spend() {
+			b.CountFirstAttempt()
+			if b.TakeRetry() {
 				spent++
 			}
 		}
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	deadly = core.DigestOf([]byte("deadly"))
+	deadly = core.NewDigest([]byte("deadly"))
 	origin = time.Unix(1000, 0)
 )
 
@@ -26,7 +26,7 @@
 
 var _ = Describe("a request's digest", func() {
 	It("differs where parts are divided in another way", func() {
-		Expect(core.DigestOf([]byte("ab"), []byte("c"))).NotTo(Equal(core.DigestOf([]byte("a"), []byte("bc"))))
+		Expect(core.NewDigest([]byte("ab"), []byte("c"))).NotTo(Equal(core.NewDigest([]byte("a"), []byte("bc"))))
 	})
 })
 
@@ -114,7 +114,7 @@
 		for i := range 3 {
 			end(time.Duration(i)*time.Second, fmt.Sprintf("e-%d", i))
 		}
-		q.Ended(after(3*time.Second), core.DigestOf([]byte("one end")), "e-2")
+		q.Ended(after(3*time.Second), core.NewDigest([]byte("one end")), "e-2")
 		Expect(q.Sample(after(3 * time.Second))).To(HaveLen(2))
 		for range 20 {
 			q.Sample(after(4 * time.Second))
@@ -129,12 +129,12 @@
 		end(0, "e-1")
 		end(0, "e-2")
 		for i := range 2 * rules.Records {
-			q.Ended(after(time.Second), core.DigestOf(fmt.Appendf(nil, "other %d", i)), "e-1")
+			q.Ended(after(time.Second), core.NewDigest(fmt.Appendf(nil, "other %d", i)), "e-1")
 		}
 		end(2*time.Second, "e-3")
 		Expect(held(q, after(2*time.Second))).To(BeTrue())
 		news, _ := q.Hear(after(3*time.Second), []core.EndRecord{{
-			Request: core.DigestOf([]byte("forgotten")),
+			Request: core.NewDigest([]byte("forgotten")),
 			Ends: []core.End{{
 				Endpoint: "e-1",
 				Age:      3 * time.Second,
@@ -145,7 +145,7 @@
 
 	It("tells of many requests with one end only some, and first of those with several", func() {
 		for i := range 100 {
-			q.Ended(after(0), core.DigestOf(fmt.Appendf(nil, "other %d", i)), "e-1")
+			q.Ended(after(0), core.NewDigest(fmt.Appendf(nil, "other %d", i)), "e-1")
 		}
 		end(0, "e-1")
 		end(0, "e-2")
--- a/core/retry.go
+++ b/core/retry.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// FirstTry earns a part of a retry.
-func (b *RetryBudget) FirstTry() {
+// CountFirstAttempt earns a part of a retry.
+func (b *RetryBudget) CountFirstAttempt() {
 	b.tokens = min(b.most, b.tokens+b.ratio)
 }
 
-// Spend takes one retry if the budget holds it.
-func (b *RetryBudget) Spend() bool {
+// TakeRetry takes one retry if the budget holds it.
+func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/core/settling.go
+++ b/core/settling.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// SettlingRules bound when a starting box takes what it knows of the others for whole.
-type SettlingRules struct {
+// PeerDiscoveryRules bound when a starting box takes what it knows of the others for whole.
+type PeerDiscoveryRules struct {
 	Least  time.Duration // since the start, before which it never does
 	Most   time.Duration // since the start, after which it does whatever it knows
 	Window time.Duration // over which growth is looked at
 	Growth float64       // the part of the boxes known that may be new in a window
 }
 
-// DefaultSettlingRules fit boxes that greet four others a second: 295 that started at
+// DefaultPeerDiscoveryRules fit boxes that greet four others a second: 295 that started at
 // once knew nine in ten of each other after 3 s and the last one after 9 s.
-func DefaultSettlingRules() SettlingRules {
-	return SettlingRules{
+func DefaultPeerDiscoveryRules() PeerDiscoveryRules {
+	return PeerDiscoveryRules{
 		Least:  time.Second,
 		Most:   5 * time.Second,
 		Window: 500 * time.Millisecond,
@@ -21,12 +21,12 @@
 	}
 }
 
-// Settling tells when a starting box knows most of the others, so that it can work out
+// PeerDiscovery tells when a starting box knows most of the others, so that it can work out
 // its part of what is divided among all: while boxes that start together know few of
 // each other, each takes itself for the owner of nearly everything. Once settled a
 // box stays so.
-type Settling struct {
-	rules   SettlingRules
+type PeerDiscovery struct {
+	rules   PeerDiscoveryRules
 	start   time.Time
 	counts  []settlingCount // in the window, oldest first
 	settled bool
@@ -37,9 +37,9 @@
 	known int
 }
 
-// NewSettling begins at a box's start.
-func NewSettling(now time.Time, rules SettlingRules) *Settling {
-	return &Settling{
+// NewPeerDiscovery begins at a box's start.
+func NewPeerDiscovery(now time.Time, rules PeerDiscoveryRules) *PeerDiscovery {
+	return &PeerDiscovery{
 		rules: rules,
 		start: now,
 	}
@@ -47,7 +47,7 @@
 
 // Observe takes how many other boxes are known, and tells whether that is most of them.
 // Expected says that there are others: a box that knows none of them yet isn't alone.
-func (s *Settling) Observe(now time.Time, known int, expected bool) bool {
+func (s *PeerDiscovery) Observe(now time.Time, known int, expected bool) bool {
 	if s.settled {
 		return true
 	}
--- a/core/settling_test.go
+++ b/core/settling_test.go
@@ -11,10 +11,10 @@
 
 var _ = Describe("a starting box's knowledge of the others", func() {
 	start := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	var s *core.Settling
+	var s *core.PeerDiscovery
 	var expected bool // whether there are others
 	BeforeEach(func() { expected = true })
-	BeforeEach(func() { s = core.NewSettling(start, core.DefaultSettlingRules()) })
+	BeforeEach(func() { s = core.NewPeerDiscovery(start, core.DefaultPeerDiscoveryRules()) })
 	// after gives when it settles, looked at four times a second, or 0.
 	after := func(known func(time.Duration) int) time.Duration {
 		for age := time.Duration(0); age < 10*time.Second; age += 250 * time.Millisecond {
--- a/core/snapshot.go
+++ b/core/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // Clone copies a home, so that a checker can go on from one state twice.
-func (h *Home) Clone() *Home {
+func (h *ClaimOwner) Clone() *ClaimOwner {
 	copied := *h
 	copied.records = make(map[ClaimKey]*ClaimRecord, len(h.records))
 	for key, r := range h.records {
@@ -23,7 +23,7 @@
 
 // Fingerprint writes all that decides a home's later answers, with times as
 // ages, so that two states that behave alike are written alike.
-func (h *Home) Fingerprint(b []byte, now time.Time) []byte {
+func (h *ClaimOwner) Fingerprint(b []byte, now time.Time) []byte {
 	age := func(t time.Time) time.Duration {
 		if t.IsZero() {
 			return -1
@@ -54,13 +54,13 @@
 }
 
 // Clone copies an owner's hold.
-func (h *Hold) Clone() *Hold {
+func (h *Ownership) Clone() *Ownership {
 	copied := *h
 	return &copied
 }
 
 // Fingerprint writes what decides a hold's later answers.
-func (h *Hold) Fingerprint(b []byte, now time.Time) []byte {
+func (h *Ownership) Fingerprint(b []byte, now time.Time) []byte {
 	wait := max(0, h.waitUntil.Sub(now))
 	untilClear := max(0, h.clearAt.Sub(now))
 	age := min(now.Sub(h.reading), h.rules.Fresh+1)
@@ -81,7 +81,7 @@
 		cut = min(now.Sub(g.cutAt), g.rules.ResumeWindow+1)
 	}
 	return fmt.Appendf(b, "G%s,%d,%v,%d,%v,%v,%s,%s,%d,%d|",
-		g.State, g.Attempt, g.Origin, g.Next, g.BytesLeft, g.MaybeRan, g.Outcome, g.Code, cut, g.lastEnd)
+		g.State, g.Attempt, g.Origin, g.NextOffset, g.BytesSent, g.MayHaveRun, g.Outcome, g.Code, cut, g.lastEnd)
 }
 
 // Clone copies the versions.
@@ -91,19 +91,19 @@
 }
 
 // Clone copies an endpoint's gate.
-func (g *Gate) Clone() *Gate {
+func (g *FenceCheck) Clone() *FenceCheck {
 	copied := *g
 	return &copied
 }
 
 // Clone copies an owner's right to order.
-func (o *Orders) Clone() *Orders {
+func (o *OrderPermission) Clone() *OrderPermission {
 	copied := *o
 	return &copied
 }
 
 // Fingerprint writes what decides an owner's right to order.
-func (o *Orders) Fingerprint(b []byte, now time.Time) []byte {
+func (o *OrderPermission) Fingerprint(b []byte, now time.Time) []byte {
 	limit := 2*o.rules.Fresh + 1
 	return fmt.Appendf(b, "O%v,%d,%d|", o.owner, min(now.Sub(o.takenAt), limit), min(now.Sub(o.reading), limit))
 }
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -7,7 +7,7 @@
 
 // takeover is what a home knows of those who were home before it.
 type takeover struct {
-	epochs     []Epoch
+	epochs     []ReplacedList
 	heirOf     map[string]heir // by box that handed over
 	known      map[string]life // lives of other boxes that were met
 	settled    bool
@@ -43,7 +43,7 @@
 	proofMissing
 )
 
-func (h *Home) adopted(now time.Time, e ListAdopted) []Command {
+func (h *ClaimOwner) adopted(now time.Time, e ListAdopted) []Command {
 	if h.reading.List != nil && e.List.Version <= h.reading.List.Version {
 		return nil
 	}
@@ -57,7 +57,7 @@
 
 // remember keeps the replaced list as an epoch. A box that starts takes the
 // list without itself as the one before; a gap in versions leaves it blind.
-func (h *Home) remember(now time.Time, next *List) {
+func (h *ClaimOwner) remember(now time.Time, next *List) {
 	old := h.reading.List
 	if old == nil {
 		old = next.Without(h.self.Name)
@@ -67,15 +67,15 @@
 		h.take.settled = false
 		h.take.blindSince = now
 	}
-	h.take.epochs = append(h.take.epochs, Epoch{
-		List: old.forHomes(),
+	h.take.epochs = append(h.take.epochs, ReplacedList{
+		List: old.forClaimOwners(),
 		Next: next.Version,
 		at:   now,
 	})
 }
 
 // restartSeen tells that an earlier life of this box was met by another.
-func (h *Home) restartSeen() {
+func (h *ClaimOwner) restartSeen() {
 	if h.guards.on(GuardClaimRestart) && h.take.blindSince.Before(h.started) {
 		h.take.blindSince = h.started
 	}
@@ -85,7 +85,7 @@
 // were lost at a moment. A key that carries its time is judged by that: one made
 // after every old home must have stopped can't have been granted there. Any
 // other key may have been, until the guard time has passed.
-func (h *Home) lostAt(now time.Time, e *ClaimAsked, moment time.Time) bool {
+func (h *ClaimOwner) lostAt(now time.Time, e *ClaimAsked, moment time.Time) bool {
 	if e.Timed {
 		return !now.Add(-e.KeyAge).After(moment.Add(h.rules.Fresh + h.rules.Skew))
 	}
@@ -94,7 +94,7 @@
 
 // provable tells whether every box that may have granted a key before has
 // handed over, or can't have granted this one.
-func (h *Home) provable(now time.Time, e *ClaimAsked) proof {
+func (h *ClaimOwner) provable(now time.Time, e *ClaimAsked) proof {
 	if !h.guards.on(GuardClaimTakeover) {
 		return proofWhole
 	}
@@ -121,8 +121,8 @@
 
 // provableSince is provable for the key's home under one replaced list. One that
 // is still listed may yet hand over, and is waited for.
-func (h *Home) provableSince(now time.Time, e *ClaimAsked, ep *Epoch) proof {
-	before := ep.List.Home(ClaimScope(e.Key), nil)
+func (h *ClaimOwner) provableSince(now time.Time, e *ClaimAsked, ep *ReplacedList) proof {
+	before := ep.List.ClaimOwner(ClaimScope(e.Key), nil)
 	if before == "" || before == h.self.Name {
 		return proofWhole
 	}
@@ -142,7 +142,7 @@
 }
 
 // meet notes a life of another box and tells whether an earlier one was known.
-func (h *Home) meet(now time.Time, other Box) bool {
+func (h *ClaimOwner) meet(now time.Time, other Box) bool {
 	k, met := h.take.known[other.Name]
 	if !met {
 		h.take.known[other.Name] = life{
@@ -172,7 +172,7 @@
 // settle takes over a past from one who knows it. In a young fleet nobody knows
 // one: there, a box has heard of its own earlier life, if it had one, when every
 // other box has answered.
-func (h *Home) settle(in Handover) {
+func (h *ClaimOwner) settle(in Handover) {
 	k := h.take.known[in.From.Name]
 	k.told = true
 	h.take.known[in.From.Name] = k
@@ -181,7 +181,7 @@
 	}
 }
 
-func (h *Home) allTold() bool {
+func (h *ClaimOwner) allTold() bool {
 	for i := range h.reading.List.Boxes {
 		name := h.reading.List.Boxes[i].Name
 		if name != h.self.Name && !h.take.known[name].told {
@@ -193,7 +193,7 @@
 
 // inherit notes that a box grants nothing more of what is not its own under a
 // list. What an earlier life of it knew is lost.
-func (h *Home) inherit(now time.Time, in Handover) {
+func (h *ClaimOwner) inherit(now time.Time, in Handover) {
 	from := h.take.heirOf[in.From.Name]
 	from.version = max(from.version, in.ListVersion)
 	if in.Final {
@@ -209,7 +209,7 @@
 }
 
 // handoverDue asks every earlier home that hasn't handed over yet.
-func (h *Home) handoverDue(now time.Time) []Command {
+func (h *ClaimOwner) handoverDue(now time.Time) []Command {
 	if h.reading.List == nil {
 		return nil
 	}
@@ -217,9 +217,9 @@
 		return h.retire(now)
 	}
 	h.sweep(now)
-	h.take.epochs = slices.DeleteFunc(h.take.epochs, func(ep Epoch) bool { return now.Sub(ep.at) > h.rules.Retention })
+	h.take.epochs = slices.DeleteFunc(h.take.epochs, func(ep ReplacedList) bool { return now.Sub(ep.at) > h.rules.Retention })
 	wanted := make(map[string]bool)
-	homes := h.reading.List.Homes()
+	homes := h.reading.List.ClaimOwners()
 	for i := range h.take.epochs {
 		if ep := &h.take.epochs[i]; now.Sub(ep.at) <= h.rules.Guard {
 			h.wantFrom(ep, homes, wanted)
@@ -237,7 +237,7 @@
 // wantFrom adds the boxes of a replaced list that haven't handed over and from
 // which keys can have come to this one. Rendezvous moves a key to a box that was
 // listed before only from one that no longer is; to a newcomer from any.
-func (h *Home) wantFrom(ep *Epoch, homes, wanted map[string]bool) {
+func (h *ClaimOwner) wantFrom(ep *ReplacedList, homes, wanted map[string]bool) {
 	self := ep.List.Member(h.self.Name)
 	newcomer := self == nil || self.Leaving
 	for i := range ep.List.Boxes {
@@ -248,7 +248,7 @@
 	}
 }
 
-func (h *Home) ask(wanted map[string]bool) []Command {
+func (h *ClaimOwner) ask(wanted map[string]bool) []Command {
 	names := make([]string, 0, len(wanted))
 	for name := range wanted {
 		names = append(names, name)
--- a/core/version.go
+++ b/core/version.go
@@ -5,9 +5,9 @@
 
 // A box has no configuration, has one in force, or knows of a newer one.
 const (
-	VersionNone    VersionState = "none"
-	VersionInForce VersionState = "in-force"
-	VersionBehind  VersionState = "behind"
+	VersionNone     VersionState = "none"
+	VersionActive   VersionState = "in-force"
+	VersionOutdated VersionState = "behind"
 )
 
 type versionTrigger string
@@ -19,16 +19,16 @@
 
 var versionLifecycle = NewLifecycle(map[VersionState]map[versionTrigger]VersionState{
 	VersionNone: {
-		versionAccepted: VersionInForce,
+		versionAccepted: VersionActive,
 		versionHeard:    VersionNone,
 	},
-	VersionInForce: {
-		versionAccepted: VersionInForce,
-		versionHeard:    VersionBehind,
+	VersionActive: {
+		versionAccepted: VersionActive,
+		versionHeard:    VersionOutdated,
 	},
-	VersionBehind: {
-		versionAccepted: VersionInForce,
-		versionHeard:    VersionBehind,
+	VersionOutdated: {
+		versionAccepted: VersionActive,
+		versionHeard:    VersionOutdated,
 	},
 })
 
@@ -73,8 +73,8 @@
 
 // The reasons for which a document is not put in force.
 const (
-	RejectOlder    RejectReason = "not-newer"
-	RejectFaulty   RejectReason = "faulty"
+	RejectNotNewer RejectReason = "not-newer"
+	RejectInvalid  RejectReason = "faulty"
 	RejectConflict RejectReason = "same-version-lower-digest"
 )
 
@@ -82,12 +82,12 @@
 // who race may publish two texts under one version; then the one with the higher
 // digest is in force on every box, whichever came first.
 type Versions struct {
-	State    VersionState
-	InForce  uint64
-	Digest   uint64
-	Heard    uint64
-	Rejected uint64
-	guards   Guards
+	State            VersionState
+	Active           uint64
+	Digest           uint64
+	HighestAnnounced uint64
+	Rejected         uint64
+	guards           Guards
 }
 
 // NewVersions starts with no configuration.
@@ -110,17 +110,17 @@
 }
 
 func (v *Versions) offered(e VersionOffered) []Command {
-	if e.Version < v.InForce && v.guards.on(GuardVersionOrder) || e.Version == v.InForce && e.Digest == v.Digest {
-		return v.reject(e, RejectOlder)
+	if e.Version < v.Active && v.guards.on(GuardVersionOrder) || e.Version == v.Active && e.Digest == v.Digest {
+		return v.reject(e, RejectNotNewer)
 	}
-	if e.Version == v.InForce && e.Digest < v.Digest {
+	if e.Version == v.Active && e.Digest < v.Digest {
 		return v.reject(e, RejectConflict)
 	}
 	if !e.Accepted {
 		v.Rejected = max(v.Rejected, e.Version)
-		return v.reject(e, RejectFaulty)
+		return v.reject(e, RejectInvalid)
 	}
-	v.InForce = e.Version
+	v.Active = e.Version
 	v.Digest = e.Digest
 	_ = versionLifecycle.Fire(&v.State, versionAccepted)
 	return []Command{PutInForce{Version: e.Version}}
@@ -136,14 +136,14 @@
 // newer reports whether a version that a peer named is wanted; a faulty one is
 // not asked for again.
 func (v *Versions) newer(e VersionHeard) bool {
-	if e.Version == v.InForce {
+	if e.Version == v.Active {
 		return e.Digest > v.Digest
 	}
-	return e.Version > v.InForce && e.Version != v.Rejected
+	return e.Version > v.Active && e.Version != v.Rejected
 }
 
 func (v *Versions) heard(e VersionHeard) []Command {
-	v.Heard = max(v.Heard, e.Version)
+	v.HighestAnnounced = max(v.HighestAnnounced, e.Version)
 	if !v.newer(e) {
 		return nil
 	}
--- a/entry/call.go
+++ b/entry/call.go
@@ -180,7 +180,7 @@
 	}
 	k.model.step(time.Now(), admission.GenerationEnded{
 		ID:        k.placedAs,
-		Generated: int(k.gen.Next),
+		Generated: int(k.gen.NextOffset),
 		Whole:     whole,
 	})
 	k.placedAs = ""
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -166,7 +166,7 @@
 		Origin:  t.Origin,
 		Offset:  t.Offset,
 	}
-	reason := k.gen.Accept(k.sinkFor, t.Origin, t.Offset)
+	reason := k.gen.CheckFrame(k.sinkFor, t.Origin, t.Offset)
 	if reason == core.DropGap {
 		k.step(arrived)
 		return 0
@@ -182,7 +182,7 @@
 		k.identify(t.Origin)
 	}
 	k.out.token(k.id, t.Offset, t.Data)
-	k.gen.Forwarded()
+	k.gen.CountForwarded()
 	return 1
 }
 
@@ -208,13 +208,13 @@
 }
 
 func (k *call) report() {
-	if k.gen.Next-k.reported < reportEvery || k.placedAs == "" {
+	if k.gen.NextOffset-k.reported < reportEvery || k.placedAs == "" {
 		return
 	}
-	k.reported = k.gen.Next
+	k.reported = k.gen.NextOffset
 	k.model.step(time.Now(), admission.TokensMade{
 		ID:        k.placedAs,
-		Generated: int(k.gen.Next),
+		Generated: int(k.gen.NextOffset),
 	})
 }
 
@@ -224,7 +224,7 @@
 	}
 	k.usage = f.Usage
 	k.pace.m.preempted.Add(f.Usage.Preempted)
-	before := k.gen.Next
+	before := k.gen.NextOffset
 	k.step(core.FrameArrived{
 		Attempt: k.sinkFor,
 		Origin:  f.Origin,
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -33,7 +33,7 @@
 // through any box.
 func (k *call) release(origin core.Origin) {
 	k.endAttempt()
-	placed, m, made := k.placedAs, k.model, int(k.gen.Next)
+	placed, m, made := k.placedAs, k.model, int(k.gen.NextOffset)
 	k.placedAs = ""
 	callersLeft.Inc()
 	time.AfterFunc(k.document.Limits.ResumeWindow, func() {
@@ -54,7 +54,7 @@
 	k.restarted = true
 	k.out = newWholeWriter(k.c, k.p)
 	k.gen = core.NewGeneration(true, k.rules)
-	k.gen.MaybeRan = true
+	k.gen.MayHaveRun = true
 	k.place("")
 	return true
 }
@@ -70,7 +70,7 @@
 		return
 	}
 	problem := endProblem(c)
-	if k.out.fail(k.id, k.gen.Next, problem) {
+	if k.out.fail(k.id, k.gen.NextOffset, problem) {
 		return
 	}
 	k.problem = problem
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -119,7 +119,7 @@
 	for {
 		asked := time.Now()
 		answer, err := e.askHomeOnce(ctx, k)
-		decided := err == nil && answer.Verdict != core.VerdictNotHome && answer.Verdict != core.VerdictNotYet
+		decided := err == nil && answer.Verdict != core.VerdictNotOwner && answer.Verdict != core.VerdictNotYet
 		if decided || time.Now().After(deadline) || ctx.Err() != nil {
 			return answer, asked
 		}
@@ -129,7 +129,7 @@
 
 func (e *Entry) askHomeOnce(ctx context.Context, k *claim) (wire.ClaimAnswer, error) {
 	v := e.state.View()
-	k.home = v.List.Home(core.ClaimScope(k.key), nil)
+	k.home = v.List.ClaimOwner(core.ClaimScope(k.key), nil)
 	member := v.List.Member(k.home)
 	if member == nil {
 		return wire.ClaimAnswer{}, &noHome{}
@@ -147,7 +147,7 @@
 		Made:        k.made,
 	})
 	if err == nil {
-		e.homes.Put(k.home, max(known, answer.Home.Incarnation))
+		e.homes.Put(k.home, max(known, answer.ClaimOwner.Incarnation))
 	}
 	return answer, err
 }
@@ -186,7 +186,7 @@
 		if e.settleOnce(k.home, message) {
 			return
 		}
-		if home := e.state.View().List.Home(core.ClaimScope(k.key), nil); home != k.home && e.settleOnce(home, message) {
+		if home := e.state.View().List.ClaimOwner(core.ClaimScope(k.key), nil); home != k.home && e.settleOnce(home, message) {
 			return
 		}
 	}
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -18,7 +18,7 @@
 	if k.p.chat {
 		kind = "chat"
 	}
-	return core.DigestOf([]byte(k.who.Name), []byte(kind), k.p.body)
+	return core.NewDigest([]byte(k.who.Name), []byte(kind), k.p.body)
 }
 
 // lookAtEndpoint finds out whether the endpoint of a lost attempt has ended under it. An
--- a/entry/customer.go
+++ b/entry/customer.go
@@ -38,7 +38,7 @@
 		return false
 	}
 	c.streams++
-	c.budget.FirstTry()
+	c.budget.CountFirstAttempt()
 	return true
 }
 
@@ -55,7 +55,7 @@
 		return false
 	}
 	c.services[name]++
-	c.budget.FirstTry()
+	c.budget.CountFirstAttempt()
 	return true
 }
 
@@ -68,7 +68,7 @@
 func (c *customer) mayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.budget.Spend()
+	return c.budget.TakeRetry()
 }
 
 func (c *customer) measure(name, class string) *measures {
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -10,13 +10,13 @@
 func (e *Entry) taking() bool {
 	e.drainLock.Lock()
 	defer e.drainLock.Unlock()
-	return e.drain.Taking()
+	return e.drain.Accepting()
 }
 
 // Stop starts a planned stop: new requests are refused with when to come back,
 // those in progress go on to their end. A second call changes nothing.
 func (e *Entry) Stop() {
-	if len(e.drainStep(core.StopAsked{})) == 0 {
+	if len(e.drainStep(core.StopRequested{})) == 0 {
 		return
 	}
 	e.log.Info("planned stop")
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -174,7 +174,7 @@
 // enter starts a caller's request, or says why not.
 func (e *Entry) enter(ctx context.Context, c *app.RequestContext) (*config.Document, *config.Customer, *Problem) {
 	e.drainLock.Lock()
-	taking := e.drain.Taking()
+	taking := e.drain.Accepting()
 	if taking {
 		e.work++
 	}
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -86,7 +86,7 @@
 	k.carry(core.Resume{
 		Attempt: k.gen.Attempt,
 		Origin:  k.gen.Origin,
-		From:    k.gen.Next,
+		From:    k.gen.NextOffset,
 	})
 }
 
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -24,10 +24,10 @@
 
 // MovingRun is a run that waits for its move.
 type MovingRun struct {
-	ID      string        `cbor:"1,keyasint"`
-	Rank    int           `cbor:"2,keyasint,omitempty"`
-	Worth   float64       `cbor:"3,keyasint"`
-	Copying time.Duration `cbor:"4,keyasint"` // on a free link
+	ID       string        `cbor:"1,keyasint"`
+	Rank     int           `cbor:"2,keyasint,omitempty"`
+	Value    float64       `cbor:"3,keyasint"`
+	CopyTime time.Duration `cbor:"4,keyasint"` // on a free link
 }
 
 // WithEvacuations is called with what other boxes of the group tell of engines
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -44,7 +44,7 @@
 		fleet.News{Changed: 9, Updated: []routing.Endpoint{{ID: "e"}}},
 		fleet.EndRecords{All: []core.EndRecord{{Sound: true, Age: 1 << 62}}},
 		fleet.Placements{All: []fleet.Placement{{Endpoint: "e", Tokens: -1}}},
-		fleet.Evacuating{Endpoint: "e", Runs: []fleet.MovingRun{{ID: "r", Copying: -1}}},
+		fleet.Evacuating{Endpoint: "e", Runs: []fleet.MovingRun{{ID: "r", CopyTime: -1}}},
 		fleet.Want{Configuration: 1 << 63},
 		fleet.Borrow{Service: "s", Sends: -1},
 	} {
--- a/fleet/lend.go
+++ b/fleet/lend.go
@@ -39,10 +39,10 @@
 
 // Budgets are a box's parts of the retry budgets, as others borrow from them.
 type Budgets interface {
-	// Lend gives up to some sends of a service, counted as spent here.
-	Lend(now time.Time, service string, sends int) int
-	// Borrowed takes sends that another box gave.
-	Borrowed(now time.Time, service string, sends int)
+	// TransferOut gives up to some sends of a service, counted as spent here.
+	TransferOut(now time.Time, service string, sends int) int
+	// ReceiveTransfer takes sends that another box gave.
+	ReceiveTransfer(now time.Time, service string, sends int)
 }
 
 // SetBudgets lets the boxes of a group lend each other parts of their budgets.
@@ -64,7 +64,7 @@
 	if b == nil || q.Sends <= 0 {
 		return Lent{}, nil
 	}
-	return Lent{Sends: b.Lend(time.Now(), q.Service, min(q.Sends, lendAsk))}, nil
+	return Lent{Sends: b.TransferOut(time.Now(), q.Service, min(q.Sends, lendAsk))}, nil
 }
 
 func (p *Peers) anyFellow() (netip.AddrPort, bool) {
@@ -106,6 +106,6 @@
 	if lent.Sends <= 0 {
 		return false
 	}
-	b.Borrowed(time.Now(), service, min(lent.Sends, lendAsk))
+	b.ReceiveTransfer(time.Now(), service, min(lent.Sends, lendAsk))
 	return true
 }
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -32,7 +32,7 @@
 	woken        chan struct{} // tells who asks for them that somebody offered some
 	memo         shareMemo
 	roster       *core.Roster
-	settling     *core.Settling
+	settling     *core.PeerDiscovery
 	division     *core.Division
 	settled      bool // whether most other boxes are known
 	belief       *Belief
@@ -99,7 +99,7 @@
 func NewPeers(self core.Peer, seeds []netip.AddrPort, belief *Belief, options ...PeersOption) (*Peers, error) {
 	p := &Peers{
 		roster:       core.NewRoster(self, core.DefaultRosterRules()),
-		settling:     core.NewSettling(time.Now(), core.DefaultSettlingRules()),
+		settling:     core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
 		division:     core.NewDivision(time.Now(), self.Box, core.DefaultDivisionRules()),
 		belief:       belief,
 		seeds:        others(seeds, self.Address),
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -44,7 +44,7 @@
 	sends int
 }
 
-func (p *purse) Lend(_ time.Time, _ string, sends int) int {
+func (p *purse) TransferOut(_ time.Time, _ string, sends int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	given := min(sends, p.sends)
@@ -52,7 +52,7 @@
 	return given
 }
 
-func (p *purse) Borrowed(_ time.Time, _ string, sends int) { p.set(p.has() + sends) }
+func (p *purse) ReceiveTransfer(_ time.Time, _ string, sends int) { p.set(p.has() + sends) }
 
 func (p *purse) has() int {
 	p.mu.Lock()
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -25,7 +25,7 @@
 	severalGroups = 30
 )
 
-var deadly = core.DigestOf([]byte("deadly"))
+var deadly = core.NewDigest([]byte("deadly"))
 
 // sendsOn counts the boxes that would send a request on.
 func (f *smallFleet) sendsOn(request core.Digest) int {
@@ -63,12 +63,12 @@
 		g := gomega.NewWithT(t)
 		f := startFleet(t, severalGroups, smallLink)
 		for i := range 8 * severalGroups {
-			f.held[i%severalGroups].Ended(time.Now(), core.DigestOf(fmt.Appendf(nil, "bystander %d", i)), "e-0")
+			f.held[i%severalGroups].Ended(time.Now(), core.NewDigest(fmt.Appendf(nil, "bystander %d", i)), "e-0")
 		}
 		f.endThree(300 * time.Millisecond)
 		time.Sleep(refusedWithin)
 		g.Expect(f.sendsOn(deadly)).To(gomega.BeZero())
-		g.Expect(f.sendsOn(core.DigestOf([]byte("bystander 1")))).To(gomega.Equal(severalGroups))
+		g.Expect(f.sendsOn(core.NewDigest([]byte("bystander 1")))).To(gomega.Equal(severalGroups))
 	})
 }
 
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -18,7 +18,7 @@
 // digest gives the digest of what the request asks for: repeats of it have it too,
 // at any box, although each has an id of its own.
 func (p *passage) digest() core.Digest {
-	return core.DigestOf(
+	return core.NewDigest(
 		[]byte(p.customerName()),
 		[]byte(p.request.Method),
 		[]byte(p.request.Host),
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -91,7 +91,7 @@
 	}
 	v := g.evacuation(told.Endpoint)
 	if len(told.Runs) > 0 {
-		found := core.RunsFound{Runs: make([]core.EvacuatedRun, 0, len(told.Runs))}
+		found := core.RunsAdded{Runs: make([]core.EvacuatedRun, 0, len(told.Runs))}
 		for _, r := range told.Runs {
 			found.Runs = append(found.Runs, core.EvacuatedRun(r))
 		}
@@ -102,7 +102,7 @@
 	}
 	for _, id := range told.Over {
 		v.arrived(id)
-		v.step(now, core.RunOver{ID: id})
+		v.step(now, core.RunFinished{ID: id})
 	}
 }
 
@@ -171,7 +171,7 @@
 		told.Runs = append(told.Runs, fleet.MovingRun(r))
 	}
 	g.onEvacuating(told)
-	v.step(time.Now(), core.RunsFound{
+	v.step(time.Now(), core.RunsAdded{
 		Runs: runs,
 		Own:  true,
 	})
@@ -191,7 +191,7 @@
 			if v.timer != nil {
 				v.timer.Stop()
 			}
-			v.timer = time.AfterFunc(time.Until(c.At), func() { v.step(time.Now(), core.TurnPassed{}) })
+			v.timer = time.AfterFunc(time.Until(c.At), func() { v.step(time.Now(), core.WakeTimeReached{}) })
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	if !known {
 		return
 	}
-	v.step(time.Now(), core.RunOver{ID: p.in.ID})
+	v.step(time.Now(), core.RunFinished{ID: p.in.ID})
 	v.gateway.onEvacuating(fleet.Evacuating{
 		Endpoint: v.endpoint,
 		Over:     []string{p.in.ID},
@@ -232,10 +232,10 @@
 // evacuated describes a run to the plan.
 func (p *passage) evacuated() core.EvacuatedRun {
 	return core.EvacuatedRun{
-		ID:      p.in.ID,
-		Rank:    p.rank(),
-		Worth:   float64(p.in.PromptTokens + p.in.MaxTokens),
-		Copying: p.copying(),
+		ID:       p.in.ID,
+		Rank:     p.rank(),
+		Value:    float64(p.in.PromptTokens + p.in.MaxTokens),
+		CopyTime: p.copying(),
 	}
 }
 
--- a/gateway/lend.go
+++ b/gateway/lend.go
@@ -87,16 +87,16 @@
 	return has
 }
 
-// Lend gives a part of this box's budget to another one.
-func (g *Gateway) Lend(now time.Time, service string, sends int) int {
+// TransferOut gives a part of this box's budget to another one.
+func (g *Gateway) TransferOut(now time.Time, service string, sends int) int {
 	keep := g.keeps(service)
 	given := 0
 	boxes := g.boxes()
-	g.budget(service, now, func(b *core.SharedBudget) { given = b.Lend(now, boxes, sends, keep) })
+	g.budget(service, now, func(b *core.SharedBudget) { given = b.TransferOut(now, boxes, sends, keep) })
 	return given
 }
 
-// Borrowed takes what another box gave.
-func (g *Gateway) Borrowed(now time.Time, service string, sends int) {
-	g.budget(service, now, func(b *core.SharedBudget) { b.Borrow(now, sends) })
+// ReceiveTransfer takes what another box gave.
+func (g *Gateway) ReceiveTransfer(now time.Time, service string, sends int) {
+	g.budget(service, now, func(b *core.SharedBudget) { b.TransferIn(now, sends) })
 }
--- a/gateway/lend_test.go
+++ b/gateway/lend_test.go
@@ -20,7 +20,7 @@
 	lent := func(b *bench) int {
 		total := 0
 		for range 20 {
-			total += b.gateway.Lend(time.Now(), emulator.Model, 1)
+			total += b.gateway.TransferOut(time.Now(), emulator.Model, 1)
 			time.Sleep(10 * time.Millisecond)
 		}
 		return total
--- a/gateway/overdue.go
+++ b/gateway/overdue.go
@@ -113,6 +113,6 @@
 	now := time.Now()
 	has := 0
 	boxes := g.boxes()
-	g.budget(service, now, func(b *core.SharedBudget) { has = b.Has(now, boxes) })
+	g.budget(service, now, func(b *core.SharedBudget) { has = b.Available(now, boxes) })
 	return has > 0
 }
--- a/gateway/passage.go
+++ b/gateway/passage.go
@@ -84,7 +84,7 @@
 		return
 	}
 	name := p.service.Name
-	p.gateway.budget(name, p.start, func(b *core.SharedBudget) { b.Request(p.start) })
+	p.gateway.budget(name, p.start, func(b *core.SharedBudget) { b.CountRequest(p.start) })
 	p.call = core.NewCall(core.CallRules{
 		Repeatable:   p.route.MayRepeat(),
 		Resumable:    p.route.Resumable,
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -98,7 +98,7 @@
 		func(lent int) {
 			b = newBenchWith(false, gateway.WithBorrow(func(_ context.Context, service string) {
 				if lent > 0 {
-					b.gateway.Borrowed(time.Now(), service, lent)
+					b.gateway.ReceiveTransfer(time.Now(), service, lent)
 				}
 			}))
 			first := b.add("e-1", emulator.Model)
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -104,7 +104,7 @@
 }
 
 func grantCost(boxes int) float64 {
-	hold := core.NewHold("engine", core.DefaultLeaseRules())
+	hold := core.NewOwnership("engine", core.DefaultLeaseRules())
 	hold.Step(epoch, core.HoldTaken{Fresh: true})
 	s := admission.NewShares(hold, 100000, 64, 30*time.Millisecond)
 	now := epoch
@@ -125,7 +125,7 @@
 // handoverBytes is a handover without claims that tells of ten replaced lists.
 func handoverBytes(boxes int) float64 {
 	self := core.Box{Name: "box-000"}
-	home := core.NewHome(self, core.DefaultClaimRules(), epoch)
+	home := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
 	for version := range uint64(11) {
 		l := listOf(boxes, 0)
 		l.Version = version + 1
@@ -213,12 +213,12 @@
 	})
 }
 
-func homeWith(claims int) *core.Home {
+func homeWith(claims int) *core.ClaimOwner {
 	self := core.Box{
 		Name:        "box-000",
 		Incarnation: 1,
 	}
-	h := core.NewHome(self, core.DefaultClaimRules(), epoch)
+	h := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
 	l := listOf(1, 0)
 	l.Age = 0
 	h.Step(epoch, core.ListAdopted{
--- a/model/claim.go
+++ b/model/claim.go
@@ -83,7 +83,7 @@
 }
 
 type claimBox struct {
-	home        *core.Home // nil while the process is dead
+	home        *core.ClaimOwner // nil while the process is dead
 	incarnation core.Incarnation
 	list        int // index of the list in use, -1 for none
 	cut         bool
@@ -157,7 +157,7 @@
 			Customer: "customer",
 			Key:      fmt.Sprintf("key-%d", i),
 		}
-		if all.Home(core.ClaimScope(key), nil) == boxNames[0] {
+		if all.ClaimOwner(core.ClaimScope(key), nil) == boxNames[0] {
 			keys = append(keys, key)
 		}
 	}
@@ -181,7 +181,7 @@
 func (s *claimState) startBox(i int) {
 	b := &s.boxes[i]
 	b.incarnation++
-	b.home = core.NewHome(core.Box{
+	b.home = core.NewClaimOwner(core.Box{
 		Name:        boxNames[i],
 		Incarnation: b.incarnation,
 	}, claimTimes(), at(s.now), s.rules.Options...)
--- a/model/claim_request.go
+++ b/model/claim_request.go
@@ -50,7 +50,7 @@
 func (s *claimState) homeOf(i int) int {
 	r := &s.requests[i]
 	list := s.lists[s.boxes[r.box].list]
-	return slices.Index(boxNames[:], list.Home(core.ClaimScope(r.key), nil))
+	return slices.Index(boxNames[:], list.ClaimOwner(core.ClaimScope(r.key), nil))
 }
 
 func (s *claimState) question(i int) claimMessage {
@@ -163,7 +163,7 @@
 	}) {
 		if a, ok := command.(core.ClaimAnswered); ok {
 			answer.verdict = a.Verdict
-			answer.life = a.Home.Incarnation
+			answer.life = a.ClaimOwner.Incarnation
 		}
 	}
 	return answer
@@ -180,7 +180,7 @@
 	case core.VerdictGranted:
 		r.state = requestGranted
 		r.until = r.asked + int(claimTimes().GrantTTL/unit)
-	case core.VerdictNotHome, core.VerdictNotYet:
+	case core.VerdictNotOwner, core.VerdictNotYet:
 		r.state = requestNotRun
 	default:
 		r.state = requestUnknown
--- a/model/drain.go
+++ b/model/drain.go
@@ -42,7 +42,7 @@
 
 func (s *drainState) step(ev core.Event) {
 	for _, command := range s.drain.Step(at(0), ev) {
-		if _, ok := command.(core.Leave); ok {
+		if _, ok := command.(core.Exit); ok {
 			s.cut = s.streams+s.pending > 0
 		}
 	}
@@ -68,11 +68,11 @@
 
 // steps adds each of them.
 func (s *drainState) steps(add func(string, func(*drainState))) {
-	if s.drain.Taking() && s.begun < s.rules.Streams {
+	if s.drain.Accepting() && s.begun < s.rules.Streams {
 		add("a stream begins", func(n *drainState) {
 			n.begun++
 			n.streams++
-			n.late = !n.drain.Taking()
+			n.late = !n.drain.Accepting()
 			n.changed()
 		})
 	}
@@ -82,7 +82,7 @@
 			n.changed()
 		})
 	}
-	if s.pending > 0 && !s.drain.Taking() {
+	if s.pending > 0 && !s.drain.Accepting() {
 		add("the next home takes the claims", func(n *drainState) {
 			n.pending--
 			n.changed()
@@ -92,7 +92,7 @@
 		add("a planned stop is asked for", func(n *drainState) {
 			n.stops++
 			n.changed()
-			n.step(core.StopAsked{})
+			n.step(core.StopRequested{})
 		})
 	}
 }
--- a/model/evacuation.go
+++ b/model/evacuation.go
@@ -66,14 +66,14 @@
 		var runs []core.EvacuatedRun
 		for i := range rules.Runs {
 			runs = append(runs, core.EvacuatedRun{
-				ID:      fmt.Sprintf("%d-%d", box, i),
-				Rank:    i % 2,
-				Worth:   float64(box + 1),
-				Copying: time.Duration(1+(box+i)%2) * copyUnit,
+				ID:       fmt.Sprintf("%d-%d", box, i),
+				Rank:     i % 2,
+				Value:    float64(box + 1),
+				CopyTime: time.Duration(1+(box+i)%2) * copyUnit,
 			})
 		}
-		s.tell(box, core.RunsFound{Runs: runs})
-		s.step(box, core.RunsFound{
+		s.tell(box, core.RunsAdded{Runs: runs})
+		s.step(box, core.RunsAdded{
 			Runs: runs,
 			Own:  true,
 		})
@@ -218,13 +218,13 @@
 	if over >= 0 {
 		m := s.moving[over]
 		s.moving = slices.Delete(s.moving, over, over+1)
-		s.tell(m.box, core.RunOver{ID: m.id})
-		s.step(m.box, core.RunOver{ID: m.id})
+		s.tell(m.box, core.RunFinished{ID: m.id})
+		s.step(m.box, core.RunFinished{ID: m.id})
 		return
 	}
 	for box, at := range s.wakes {
 		if at.Equal(next) {
-			s.step(box, core.TurnPassed{})
+			s.step(box, core.WakeTimeReached{})
 		}
 	}
 }
--- a/model/fence.go
+++ b/model/fence.go
@@ -19,7 +19,7 @@
 const fenceFresh = 1
 
 type fenceOwner struct {
-	orders *core.Orders
+	orders *core.OrderPermission
 	list   int
 	cut    bool
 	paused bool
@@ -32,7 +32,7 @@
 	published int
 	owners    [2]fenceOwner
 	held      []core.Fence // orders on their way, late
-	gate      *core.Gate
+	gate      *core.FenceCheck
 	applied   core.Fence
 	older     bool
 }
@@ -44,14 +44,14 @@
 		rules:     &rules,
 		faults:    rules.Faults,
 		published: 1,
-		gate:      core.NewGate(rules.Options...),
+		gate:      core.NewFenceCheck(rules.Options...),
 	}
 	if !rules.Checks {
-		s.gate = core.NewGate(core.WithoutGuard(core.GuardFence))
+		s.gate = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
 	}
 	for i := range s.owners {
 		s.owners[i] = fenceOwner{
-			orders: core.NewOrders(core.OrderRules{Fresh: fenceFresh * unit}, rules.Options...),
+			orders: core.NewOrderPermission(core.OrderRules{Fresh: fenceFresh * unit}, rules.Options...),
 			list:   1,
 		}
 		s.owners[i].orders.Step(at(0), core.ListConfirmed{At: at(0)})
--- a/model/lease.go
+++ b/model/lease.go
@@ -26,7 +26,7 @@
 
 // leaseOwner is one box that is, or takes itself for, the owner.
 type leaseOwner struct {
-	hold    *core.Hold
+	hold    *core.Ownership
 	list    int // version in use
 	cut     bool
 	paused  bool
@@ -58,7 +58,7 @@
 	}
 	for i := range s.owners {
 		s.owners[i] = leaseOwner{
-			hold: core.NewHold("engine", leaseTimes(), rules.Options...),
+			hold: core.NewOwnership("engine", leaseTimes(), rules.Options...),
 			list: 1,
 		}
 		s.owners[i].hold.Step(at(0), core.ListConfirmed{At: at(0)})
--- a/model/proof.go
+++ b/model/proof.go
@@ -83,7 +83,7 @@
 		{
 			Name:     "configuration versions on three boxes",
 			Promises: []Promise{NeverOlder},
-			Guards:   []core.Guard{core.GuardVersionOrder, core.GuardVersionAsk},
+			Guards:   []core.Guard{core.GuardVersionOrder, core.GuardVersionQuery},
 			States:   200000,
 			First: func(deep bool, options ...core.Option) State {
 				return ConfigVersions(VersionRules{
@@ -120,8 +120,8 @@
 			core.GuardOffset,
 			core.GuardOrigin,
 			core.GuardNoSplice,
-			core.GuardWholeAnswer,
-			core.GuardBytesLeft,
+			core.GuardCompleteAnswer,
+			core.GuardBytesSent,
 		},
 		States: 100000,
 		First: func(deep bool, options ...core.Option) State {
@@ -164,8 +164,8 @@
 	return []Check{
 		check("calls that run once", false, 0, core.GuardCallOnce, core.GuardCallOutcome),
 		check("calls that may be repeated", true, 0, core.GuardCallOutcome),
-		check("streams on the platform", false, 3, core.GuardCallOnce, core.GuardCallOutcome, core.GuardCallPart),
-		check("streams that may be resumed", true, 3, core.GuardCallOutcome, core.GuardCallPart),
+		check("streams on the platform", false, 3, core.GuardCallOnce, core.GuardCallOutcome, core.GuardCallPartial),
+		check("streams that may be resumed", true, 3, core.GuardCallOutcome, core.GuardCallPartial),
 	}
 }
 
--- a/model/stream_fault.go
+++ b/model/stream_fault.go
@@ -125,7 +125,7 @@
 			Incarnation: c.gen.Origin.Incarnation,
 			Generation:  "another",
 		},
-		offset: c.gen.Next,
+		offset: c.gen.NextOffset,
 	})
 }
 
--- a/model/version.go
+++ b/model/version.go
@@ -64,8 +64,8 @@
 		b := &s.boxes[i]
 		b.life = 1
 		b.versions = core.NewVersions(rules.Options...)
-		b.join = core.NewJoin(at(0), core.JoinRules{Patience: unit}, rules.Options...)
-		b.join.Step(at(0), core.PeersNamed{})
+		b.join = core.NewJoin(at(0), core.JoinRules{Timeout: unit}, rules.Options...)
+		b.join.Step(at(0), core.PeersListed{})
 		b.offer(publications[0])
 	}
 	return s
@@ -100,7 +100,7 @@
 	b := fmt.Appendf(nil, "%d;%d;", s.faults, s.published)
 	for i := range s.boxes {
 		box := &s.boxes[i]
-		b = fmt.Appendf(b, "%d/%d/%d/%s,%s,%d,%v,%v,%v,%v;", box.versions.InForce, box.versions.Digest, box.versions.Rejected,
+		b = fmt.Appendf(b, "%d/%d/%d/%s,%s,%d,%v,%v,%v,%v;", box.versions.Active, box.versions.Digest, box.versions.Rejected,
 			box.versions.State, box.join.State, s.floor(i), box.cut, box.fell, box.faulty, box.highest)
 	}
 	return string(b)
@@ -142,7 +142,7 @@
 func (s *versionState) hear(i, j int) {
 	b, peer := &s.boxes[i], &s.boxes[j]
 	for _, command := range b.versions.Step(core.VersionHeard{
-		Version: peer.versions.InForce,
+		Version: peer.versions.Active,
 		Digest:  peer.versions.Digest,
 		From:    boxNames[j],
 	}) {
@@ -175,7 +175,7 @@
 func (s *versionState) restart(i int) {
 	b := &s.boxes[i]
 	b.versions = core.NewVersions(s.rules.Options...)
-	b.join = core.NewJoin(at(0), core.JoinRules{Patience: unit}, s.rules.Options...)
+	b.join = core.NewJoin(at(0), core.JoinRules{Timeout: unit}, s.rules.Options...)
 	b.highest = publication{}
 	b.life++
 	b.asked = [len(boxNames)]askedPeer{}
@@ -185,11 +185,11 @@
 			peers = append(peers, boxNames[j])
 			b.asked[j] = askedPeer{
 				life:    s.boxes[j].life,
-				version: s.boxes[j].versions.InForce,
+				version: s.boxes[j].versions.Active,
 			}
 		}
 	}
-	b.join.Step(at(0), core.PeersNamed{Boxes: peers})
+	b.join.Step(at(0), core.PeersListed{Boxes: peers})
 }
 
 // floor is the lowest that a box's peers had in force when it started, of those
@@ -216,7 +216,7 @@
 			return boxNames[i] + " put a faulty document in force", true
 		case b.fell:
 			return boxNames[i] + " went back to an older configuration", true
-		case b.join.State == core.JoinServing && b.versions.InForce < s.floor(i):
+		case b.join.State == core.JoinServing && b.versions.Active < s.floor(i):
 			return boxNames[i] + " serves an older configuration than every peer that it could ask", true
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -75,11 +75,11 @@
 func (n *Node) begin(now time.Time, on string, ev core.Event) bool {
 	switch e := ev.(type) {
 	case trace.HomeBegun:
-		n.parts[on] = core.NewHome(e.Self, e.Rules, now, n.options...)
+		n.parts[on] = core.NewClaimOwner(e.Self, e.Rules, now, n.options...)
 	case trace.GenerationBegun:
 		n.parts[on] = core.NewGeneration(e.Repeatable, e.Rules, n.options...)
 	case trace.HoldBegun:
-		n.parts[on] = core.NewHold(strings.TrimPrefix(on, trace.Hold), e.Rules, n.options...)
+		n.parts[on] = core.NewOwnership(strings.TrimPrefix(on, trace.Hold), e.Rules, n.options...)
 	case trace.CallBegun:
 		n.parts[on] = core.NewCall(e.Rules, func() bool { return e.Budget }, n.options...)
 	case trace.ModelBegun:
@@ -101,7 +101,7 @@
 
 // Grantable gives how much of an endpoint's half an owner would lease now.
 func (n *Node) Grantable(now time.Time, on string, capacity int) (int, error) {
-	h, ok := n.parts[on].(*core.Hold)
+	h, ok := n.parts[on].(*core.Ownership)
 	if !ok {
 		return 0, errors.WithStack(&UnknownPart{On: on})
 	}
--- a/node/replay_test.go
+++ b/node/replay_test.go
@@ -45,15 +45,15 @@
 		Entry("stalled completion, offsets", "buscodigo/march-stalled-completion.jsonl", core.GuardOffset),
 		Entry("stalled completion, crossed", "buscodigo/march-stalled-completion.jsonl", core.GuardOrigin),
 		Entry("stalled explanation", "jordan/stalled-explanation.jsonl", core.GuardOffset),
-		Entry("vanished summary", "buscodigo/march-vanished-summary.jsonl", core.GuardWholeAnswer),
+		Entry("vanished summary", "buscodigo/march-vanished-summary.jsonl", core.GuardCompleteAnswer),
 		Entry("lost bulk summary", "jordan/lost-bulk-summary.jsonl", core.GuardOrigin),
 		Entry("double-billed summary", "buscodigo/march-double-billed-summary.jsonl", core.GuardClaimRecord),
 		Entry("doubled write", "jordan/doubled-write.jsonl", core.GuardClaimFresh),
 		Entry("doubled fetch", "buscodigo/april-doubled-fetch.jsonl", core.GuardClaimRestart),
-		Entry("refusal into a stream", "platform/refusal-into-a-stream.jsonl", core.GuardCallPart),
+		Entry("refusal into a stream", "platform/refusal-into-a-stream.jsonl", core.GuardCallPartial),
 		Entry("answer lost on the platform", "platform/answer-lost.jsonl", core.GuardCallOnce),
 		Entry("answer lost, told not run", "platform/answer-lost.jsonl", core.GuardCallOutcome),
-		Entry("lost answer of a write", "jordan/lost-answer-of-write.jsonl", core.GuardBytesLeft),
+		Entry("lost answer of a write", "jordan/lost-answer-of-write.jsonl", core.GuardBytesSent),
 	)
 
 	It("is refused with its line when it can't be read", func() {
--- a/proof/claims.go
+++ b/proof/claims.go
@@ -163,7 +163,7 @@
 
 // homeOf gives the index of the box that keeps a key.
 func (f *Fleet) homeOf(key string) int {
-	home := f.list.Home(core.ClaimScope(core.ClaimKey{
+	home := f.list.ClaimOwner(core.ClaimScope(core.ClaimKey{
 		Customer: "customer-1",
 		Key:      key,
 	}), nil)
--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -48,11 +48,11 @@
 		if c, ok := command.(core.ClaimAnswered); ok {
 			claimVerdicts(string(c.Verdict)).Inc()
 			return wire.ClaimAnswer{
-				Verdict:  c.Verdict,
-				ValidFor: c.ValidFor,
-				Status:   c.Status,
-				Response: c.Response,
-				Home:     c.Home,
+				Verdict:    c.Verdict,
+				ValidFor:   c.ValidFor,
+				Status:     c.Status,
+				Response:   c.Response,
+				ClaimOwner: c.ClaimOwner,
 			}, nil
 		}
 	}
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -15,7 +15,7 @@
 func (s *Scheduler) taking() bool {
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
-	return s.drain.Taking()
+	return s.drain.Accepting()
 }
 
 // Stop starts a planned stop: no lease is granted any more, the claims go to
@@ -24,7 +24,7 @@
 func (s *Scheduler) Stop() {
 	s.drainLock.Lock()
 	commands := s.drain.Step(time.Now(), core.WorkChanged{Pending: 1})
-	commands = append(commands, s.drain.Step(time.Now(), core.StopAsked{})...)
+	commands = append(commands, s.drain.Step(time.Now(), core.StopRequested{})...)
 	s.drainLock.Unlock()
 	if len(commands) == 0 {
 		return
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -36,7 +36,7 @@
 }
 
 func newEndpoint(c config.Endpoint, slot int) *endpoint {
-	hold := core.NewHold(c.Name, core.DefaultLeaseRules())
+	hold := core.NewOwnership(c.Name, core.DefaultLeaseRules())
 	return &endpoint{
 		name:     c.Name,
 		slot:     slot,
@@ -54,10 +54,10 @@
 	}
 	e.owner = owner
 	if owner {
-		e.shares.Hold().Step(now, core.HoldTaken{Fresh: fresh})
+		e.shares.Ownership().Step(now, core.HoldTaken{Fresh: fresh})
 		return
 	}
-	e.shares.Hold().Step(now, core.HoldLost{})
+	e.shares.Ownership().Step(now, core.HoldLost{})
 }
 
 func (e *endpoint) foreign() bool {
@@ -69,7 +69,7 @@
 func (e *endpoint) predecessorGone(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.shares.Hold().Step(now, core.PredecessorGone{})
+	e.shares.Ownership().Step(now, core.PredecessorGone{})
 }
 
 // configure follows a new configuration.
@@ -84,9 +84,9 @@
 func (e *endpoint) follow(now time.Time, leaving bool, confirmed time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.shares.Hold().Step(now, core.HoldTicked{})
-	e.shares.Hold().Step(now, core.EndpointLeaving{Leaving: leaving})
-	e.shares.Hold().Step(now, core.ListConfirmed{At: confirmed})
+	e.shares.Ownership().Step(now, core.HoldTicked{})
+	e.shares.Ownership().Step(now, core.EndpointLeaving{Leaving: leaving})
+	e.shares.Ownership().Step(now, core.ListConfirmed{At: confirmed})
 }
 
 func (e *endpoint) grant(now time.Time, box string, w wire.LeaseWish) (wire.LeaseGrant, bool) {
@@ -164,7 +164,7 @@
 	return wire.HoldStatus{
 		Endpoint: e.settings.Name,
 		Slot:     e.slot,
-		State:    string(e.shares.Hold().State),
+		State:    string(e.shares.Ownership().State),
 		Boxes:    e.shares.Boxes(),
 		Used:     e.lastLoad.UsedTokens,
 		Capacity: e.settings.MemoryTokens,
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -45,7 +45,7 @@
 	worker     engine.Worker
 	endpoints  *shard.Map[*endpoint]
 	homeLock   sync.Mutex
-	home       *core.Home
+	home       *core.ClaimOwner
 	drainLock  sync.Mutex
 	drain      *core.Drain
 	basis      basis // of the owners, under drainLock
@@ -71,7 +71,7 @@
 		state:     watch.NewState(log),
 		worker:    engine.Guard(worker, panicSeen(log)),
 		endpoints: shard.NewMap[*endpoint](),
-		home:      core.NewHome(self, core.DefaultClaimRules(), now),
+		home:      core.NewClaimOwner(self, core.DefaultClaimRules(), now),
 		drain:     core.NewDrain(),
 		owners:    newOwnership(),
 		left:      make(chan struct{}),
@@ -204,7 +204,7 @@
 	next := basis{
 		list:     v.List,
 		document: v.Document,
-		taking:   s.drain.Taking(),
+		taking:   s.drain.Accepting(),
 	}
 	changed := next != s.basis
 	s.basis = next
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -51,7 +51,7 @@
 	wake        chan struct{}
 	load        Load
 	shown       Load
-	gate        *core.Gate
+	gate        *core.FenceCheck
 	orders      []Order
 	cancels     int
 	preempted   int
@@ -100,9 +100,9 @@
 		starts:      make(map[string]int),
 		wake:        make(chan struct{}, 1),
 	}
-	e.gate = core.NewGate()
+	e.gate = core.NewFenceCheck()
 	if !rules.ChecksFences {
-		e.gate = core.NewGate(core.WithoutGuard(core.GuardFence))
+		e.gate = core.NewFenceCheck(core.WithoutGuard(core.GuardFence))
 	}
 	go e.run()
 	go e.reportLoad()
--- a/watch/join.go
+++ b/watch/join.go
@@ -20,7 +20,7 @@
 
 func newJoining(now time.Time) *joining {
 	return &joining{
-		core:   core.NewJoin(now, core.JoinRules{Patience: peerTimeout}),
+		core:   core.NewJoin(now, core.JoinRules{Timeout: peerTimeout}),
 		served: make(chan struct{}),
 	}
 }
@@ -44,7 +44,7 @@
 	for _, address := range addresses {
 		names = append(names, address.String())
 	}
-	j.step(core.PeersNamed{Boxes: names})
+	j.step(core.PeersListed{Boxes: names})
 	for _, address := range addresses {
 		go w.askPeer(ctx, j, address)
 	}
@@ -78,7 +78,7 @@
 		err = w.fetchFrom(fetching, c)
 	}
 	if err != nil {
-		j.step(core.PeerSilent{Box: address.String()})
+		j.step(core.PeerUnreachable{Box: address.String()})
 		return
 	}
 	j.step(core.PeerAnswered{Box: address.String()})
--- a/watch/state.go
+++ b/watch/state.go
@@ -70,7 +70,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := wire.Versions{
-		Config: s.versions.InForce,
+		Config: s.versions.Active,
 		Digest: s.versions.Digest,
 	}
 	if s.reading.List != nil {
@@ -125,7 +125,7 @@
 }
 
 func (s *State) reject(c core.VersionRejected, faults config.Faults) {
-	if c.Reason == core.RejectOlder {
+	if c.Reason == core.RejectNotNewer {
 		return
 	}
 	configRejected(string(c.Reason)).Inc()
@@ -212,11 +212,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := wire.Snapshot{
-		ConfigVersion: s.versions.InForce,
+		ConfigVersion: s.versions.Active,
 		ListAge:       time.Since(s.reading.ConfirmedAt),
 		Suspected:     s.suspects,
 	}
-	if s.document != nil && (s.versions.InForce > have.Config || s.versions.Digest != have.Digest) {
+	if s.document != nil && (s.versions.Active > have.Config || s.versions.Digest != have.Digest) {
 		out.Config = s.document.Source()
 	}
 	if s.reading.List == nil {
--- a/wire/message.go
+++ b/wire/message.go
@@ -128,11 +128,11 @@
 
 // ClaimAnswer is a home's verdict.
 type ClaimAnswer struct {
-	Verdict  core.ClaimVerdict `cbor:"1,keyasint"`
-	ValidFor time.Duration     `cbor:"2,keyasint"`
-	Status   int               `cbor:"3,keyasint,omitempty"`
-	Response []byte            `cbor:"4,keyasint,omitempty"`
-	Home     core.Box          `cbor:"5,keyasint"`
+	Verdict    core.ClaimVerdict `cbor:"1,keyasint"`
+	ValidFor   time.Duration     `cbor:"2,keyasint"`
+	Status     int               `cbor:"3,keyasint,omitempty"`
+	Response   []byte            `cbor:"4,keyasint,omitempty"`
+	ClaimOwner core.Box          `cbor:"5,keyasint"`
 }
 
 // Kind names the message.
