--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -6,9 +6,9 @@
 	Class    string
 }
 
-// Estimator holds the length estimates of one model: for the model, for each
+// LengthEstimator holds the length estimates of one model: for the model, for each
 // class, and for each customer and class, each leaning on the one above.
-type Estimator struct {
+type LengthEstimator struct {
 	prior   [bucketCount]float64
 	model   Lengths
 	classes map[string]*Lengths
@@ -24,16 +24,16 @@
 // curveRefresh is how many observations a cached curve may lag.
 const curveRefresh = 4
 
-// NewEstimator starts from an expected mean length.
-func NewEstimator(expectTokens int) *Estimator {
-	return &Estimator{
+// NewLengthEstimator starts from an expected mean length.
+func NewLengthEstimator(expectTokens int) *LengthEstimator {
+	return &LengthEstimator{
 		prior:   priorHazard(float64(max(1, expectTokens))),
 		classes: make(map[string]*Lengths),
 		leaves:  make(map[LengthKey]*leaf),
 	}
 }
 
-func (e *Estimator) class(name string) *Lengths {
+func (e *LengthEstimator) class(name string) *Lengths {
 	c := e.classes[name]
 	if c == nil {
 		c = &Lengths{}
@@ -42,7 +42,7 @@
 	return c
 }
 
-func (e *Estimator) leaf(key LengthKey) *leaf {
+func (e *LengthEstimator) leaf(key LengthKey) *leaf {
 	l := e.leaves[key]
 	if l == nil {
 		l = &leaf{stale: curveRefresh}
@@ -51,28 +51,28 @@
 	return l
 }
 
-// Ended learns a length.
-func (e *Estimator) Ended(key LengthKey, tokens int) {
-	e.model.Ended(tokens)
-	e.class(key.Class).Ended(tokens)
+// ObserveEnd learns a length.
+func (e *LengthEstimator) ObserveEnd(key LengthKey, tokens int) {
+	e.model.ObserveEnd(tokens)
+	e.class(key.Class).ObserveEnd(tokens)
 	l := e.leaf(key)
-	l.lengths.Ended(tokens)
+	l.lengths.ObserveEnd(tokens)
 	l.stale++
 }
 
-// Progressed learns that a running generation grew from one length to another.
-func (e *Estimator) Progressed(key LengthKey, from, to int) {
+// ObserveProgress learns that a running generation grew from one length to another.
+func (e *LengthEstimator) ObserveProgress(key LengthKey, from, to int) {
 	for b := bucketOf(from); b < bucketOf(to); b++ {
-		e.model.Passed(b)
-		e.class(key.Class).Passed(b)
+		e.model.ObservePassed(b)
+		e.class(key.Class).ObservePassed(b)
 		l := e.leaf(key)
-		l.lengths.Passed(b)
+		l.lengths.ObservePassed(b)
 		l.stale++
 	}
 }
 
 // Curve gives the length curve of a customer and class.
-func (e *Estimator) Curve(key LengthKey) *Curve {
+func (e *LengthEstimator) Curve(key LengthKey) *Curve {
 	l := e.leaf(key)
 	if l.stale >= curveRefresh {
 		model := e.model.hazard(e.prior)
--- a/admission/event.go
+++ b/admission/event.go
@@ -99,10 +99,10 @@
 
 // The reasons for which admission refuses.
 const (
-	RefusePolicy   RefusalReason = "policy_refused"
-	RefuseOverload RefusalReason = "overloaded"
-	RefuseWaiting  RefusalReason = "too_many_waiting"
-	RefuseTimeout  RefusalReason = "waited_too_long"
+	RefusePolicy         RefusalReason = "policy_refused"
+	RefuseOverload       RefusalReason = "overloaded"
+	RefuseTooManyWaiting RefusalReason = "too_many_waiting"
+	RefuseTimeout        RefusalReason = "waited_too_long"
 )
 
 // RefuseRequest asks the shell to refuse a request at once.
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -121,7 +121,7 @@
 
 type simBox struct {
 	zone    int
-	spread  *admission.Spread
+	spread  *admission.Balancer
 	reports map[string]simReportAt
 	greeted int
 }
@@ -152,7 +152,7 @@
 		zone := i % l.Zones
 		b := &simBox{
 			zone:    zone,
-			spread:  admission.NewSpread(zoneName(zone), f.random.Float64),
+			spread:  admission.NewBalancer(zoneName(zone), f.random.Float64),
 			reports: make(map[string]simReportAt),
 		}
 		f.boxes = append(f.boxes, b)
@@ -312,7 +312,7 @@
 	if f.random.Float64() < shortPart {
 		output = simShort
 	}
-	chosen, ok := b.spread.Pick(f.clock(), f.serving, admission.Want{
+	chosen, ok := b.spread.Pick(f.clock(), f.serving, admission.Requirements{
 		Tokens: prompt + output,
 		Memory: simMemory,
 		Shared: true,
@@ -325,12 +325,12 @@
 		f.result.Crossed++
 	}
 	sent := f.clock()
-	b.spread.Begin(sent, e.id, prompt+output, prompt)
-	queued := b.spread.Placed(sent, e.id, prompt)
+	b.spread.BeginSend(sent, e.id, prompt+output, prompt)
+	queued := b.spread.AddPrompt(sent, e.id, prompt)
 	f.after(simTold, func() {
 		for _, other := range f.boxes {
 			if other != b && other.zone == b.zone {
-				other.spread.PlacedElsewhere(f.clock(), e.id, prompt)
+				other.spread.AddRemotePrompt(f.clock(), e.id, prompt)
 			}
 		}
 	})
@@ -348,7 +348,7 @@
 		if first > simTarget {
 			f.result.Late++
 		}
-		b.spread.Started(queued, first)
+		b.spread.ObservePrefill(queued, first)
 		e.waiting--
 		e.running++
 		e.used += held
@@ -356,8 +356,8 @@
 	f.after(first+time.Duration(output)*simStep, func() {
 		e.running--
 		e.used -= held
-		b.spread.End(f.clock(), e.id, sent, prompt+output)
+		b.spread.EndSend(f.clock(), e.id, sent, prompt+output)
 		b.spread.Succeeded(f.clock(), e.id, first)
-		b.spread.Learn(prompt, output)
+		b.spread.ObserveLengths(prompt, output)
 	})
 }
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -44,7 +44,7 @@
 // one of their engines since its last report, as if they had as many as this group has:
 // nobody tells this box of those. Taken for as empty as their last reports say, engines of
 // other zones are crowded, those that have just joined above all.
-func (s *Spread) unseen(now time.Time, l *endpointLoad) float64 {
+func (s *Balancer) unseen(now time.Time, l *endpointLoad) float64 {
 	age := min(now.Sub(l.memoryAt), unseenMost)
 	perEngine := s.flow.perSecond(now) / float64(max(len(s.share), 1))
 	return unseenPart * perEngine * age.Seconds()
--- a/admission/lengths.go
+++ b/admission/lengths.go
@@ -37,15 +37,15 @@
 // decay is the weight that older observations keep for each new one.
 const decay = 0.995
 
-// Passed counts a running generation that left a bucket without ending.
-func (l *Lengths) Passed(bucket int) {
+// ObservePassed counts a running generation that left a bucket without ending.
+func (l *Lengths) ObservePassed(bucket int) {
 	l.reached[bucket] = l.reached[bucket]*decay + 1
 	l.ended[bucket] *= decay
 }
 
-// Ended counts a generation that ended with a number of tokens. Earlier
+// ObserveEnd counts a generation that ended with a number of tokens. Earlier
 // buckets were counted by Passed.
-func (l *Lengths) Ended(tokens int) {
+func (l *Lengths) ObserveEnd(tokens int) {
 	b := bucketOf(tokens)
 	l.reached[b] = l.reached[b]*decay + 1
 	l.ended[b] = l.ended[b]*decay + 1
--- a/admission/model.go
+++ b/admission/model.go
@@ -12,7 +12,7 @@
 // Model admits the requests for one model on one box.
 type Model struct {
 	rules     Rules
-	estimator *Estimator
+	estimator *LengthEstimator
 	waiting   queue
 	places    map[string]*place
 	names     []string
@@ -31,7 +31,7 @@
 	}
 	return &Model{
 		rules:     rules,
-		estimator: NewEstimator(rules.ExpectTokens),
+		estimator: NewLengthEstimator(rules.ExpectTokens),
 		waiting:   newQueue(),
 		places:    make(map[string]*place),
 		running:   make(map[string]*running),
@@ -123,7 +123,7 @@
 	if m.rules.KnownLength != nil {
 		return fixedProfile(r.PromptTokens, generated, m.rules.KnownLength(r.ID))
 	}
-	if m.rules.LengthBlind {
+	if m.rules.ReserveMaxLength {
 		return reservedProfile(r.PromptTokens, r.MaxTokens)
 	}
 	return profileOf(m.estimator.Curve(r.key()), r.PromptTokens, generated, r.MaxTokens)
@@ -134,7 +134,7 @@
 	if r == nil || e.Generated <= r.generated {
 		return
 	}
-	m.estimator.Progressed(r.request.key(), r.generated, e.Generated)
+	m.estimator.ObserveProgress(r.request.key(), r.generated, e.Generated)
 	m.waiting.serve(r.request.Customer, float64(e.Generated-r.generated), r.request.Weight)
 	r.generated = e.Generated
 }
@@ -149,7 +149,7 @@
 		Generated: e.Generated,
 	})
 	if e.Whole {
-		m.estimator.Ended(r.request.key(), e.Generated)
+		m.estimator.ObserveEnd(r.request.key(), e.Generated)
 	}
 	delete(m.running, e.ID)
 	if p := m.places[r.endpoint]; p != nil {
@@ -187,7 +187,7 @@
 
 func (m *Model) arrived(now time.Time, r Request) []core.Command {
 	if m.waiting.waitingOf(r.Customer) >= m.rules.MaxWaiting(r.Customer) {
-		return []core.Command{m.refusal(&r, RefuseWaiting)}
+		return []core.Command{m.refusal(&r, RefuseTooManyWaiting)}
 	}
 	in := m.input(now, &r)
 	commands := m.rank(&r, in)
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -93,7 +93,7 @@
 			arrive(m, request(fmt.Sprint("r", i), "a", 0, start.Add(time.Duration(i)*100*time.Millisecond)))
 		}
 		Expect(m.Running()).To(BeNumerically(">", 2))
-		wishes := m.Wishes(start.Add(time.Minute), true)
+		wishes := m.Demands(start.Add(time.Minute), true)
 		Expect(wishes[0].Profile.Peak(0)).To(BeNumerically("<=", 5000))
 	})
 
@@ -195,21 +195,21 @@
 	key := admission.LengthKey{Customer: "a", Class: "standard"}
 
 	It("learns short lengths, and long ones before the first has ended", func() {
-		e := admission.NewEstimator(256)
+		e := admission.NewLengthEstimator(256)
 		for range 200 {
-			e.Progressed(key, 0, 20)
-			e.Ended(key, 20)
+			e.ObserveProgress(key, 0, 20)
+			e.ObserveEnd(key, 20)
 		}
 		short := e.Curve(key).Remaining(0, 10000)
 		Expect(short).To(BeNumerically("<", 40))
 		for range 30 {
-			e.Progressed(key, 0, 2000)
+			e.ObserveProgress(key, 0, 2000)
 		}
 		Expect(e.Curve(key).Remaining(0, 10000)).To(BeNumerically(">", 3*short))
 	})
 
 	It("expects more of a generation that has outlived the usual", func() {
-		e := admission.NewEstimator(100)
+		e := admission.NewLengthEstimator(100)
 		c := e.Curve(key)
 		Expect(c.Beyond(1000, 100)).To(BeNumerically(">", 0))
 		Expect(c.Beyond(10, 10)).To(BeNumerically(">", c.Beyond(10, 100)))
@@ -229,18 +229,18 @@
 		for turn := range 40 {
 			promised := 0
 			for b := range 4 {
-				g := s.Grant(start, fmt.Sprint("box-", b), admission.Wish{Waiting: 1000 * turn})
+				g := s.Grant(start, fmt.Sprint("box-", b), admission.Demand{Waiting: 1000 * turn})
 				promised += g.Growth
 			}
 			Expect(promised).To(BeNumerically("<=", 4*10000))
-			Expect(s.Grant(start, "box-0", admission.Wish{}).Growth).To(BeNumerically("<=", 10000))
+			Expect(s.Grant(start, "box-0", admission.Demand{}).Growth).To(BeNumerically("<=", 10000))
 		}
 	})
 
 	It("give nothing of an endpoint that leaves", func() {
 		s := owner()
 		s.Ownership().Step(start, core.EndpointLeaving{Leaving: true})
-		Expect(s.Grant(start, "box-0", admission.Wish{})).To(Equal(admission.Grant{}))
+		Expect(s.Grant(start, "box-0", admission.Demand{})).To(Equal(admission.Grant{}))
 	})
 
 	It("give half on an old reading", func() {
@@ -249,7 +249,7 @@
 		for at := start; at.Before(late); at = at.Add(time.Second) {
 			s.Ownership().Step(at, core.HoldTicked{})
 		}
-		Expect(s.Grant(late, "box-0", admission.Wish{}).Tokens).To(Equal(5000))
+		Expect(s.Grant(late, "box-0", admission.Demand{}).Tokens).To(Equal(5000))
 	})
 
 	It("learn the batch at which the time between tokens holds", func() {
--- a/admission/profile_test.go
+++ b/admission/profile_test.go
@@ -44,7 +44,7 @@
 				prompts = append(prompts, q.PromptTokens)
 				all = append(all, lengths[q.ID])
 			}
-			planned := m.Wishes(start.Add(time.Minute), true)[0].Profile
+			planned := m.Demands(start.Add(time.Minute), true)[0].Profile
 			Expect(planned.Peak(0)).To(BeNumerically(">=", peakOf(prompts, all)), "round %d: lengths %v", round, all)
 		}
 	})
--- a/admission/pump.go
+++ b/admission/pump.go
@@ -46,7 +46,7 @@
 	var commands []core.Command
 	blocked := math.Inf(1)
 	for i, head := range m.waiting.heads() {
-		if i >= m.rules.Tries || m.aged(now, head) > blocked {
+		if i >= m.rules.MaxHeads || m.aged(now, head) > blocked {
 			break
 		}
 		acted, more := m.try(now, head)
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -8,18 +8,18 @@
 
 // Rules are the bounds and programs by which a model's requests are admitted.
 type Rules struct {
-	ExpectTokens int
-	MaxWait      time.Duration
-	MaxWaiting   func(customer string) int
-	Program      func(tier string) *policy.Program
-	Reserve      float64       // part of memory kept from each lower rank
-	BoundedLoad  float64       // an affine endpoint may carry so much of the mean
-	Aging        time.Duration // a request that waited so long gains one rank
-	Tries        int           // heads tried before a pump gives up
-	LengthBlind  bool          // plan with the full allowed length (a baseline)
-	KnownLength  func(id string) int
-	Choose       func(candidates []string) string
-	IgnoreFit    bool
+	ExpectTokens     int
+	MaxWait          time.Duration
+	MaxWaiting       func(customer string) int
+	Program          func(tier string) *policy.Program
+	Reserve          float64       // part of memory kept from each lower rank
+	BoundedLoad      float64       // an affine endpoint may carry so much of the mean
+	Aging            time.Duration // a request that waited so long gains one rank
+	MaxHeads         int           // heads tried before a pump gives up
+	ReserveMaxLength bool          // plan with the full allowed length (a baseline)
+	KnownLength      func(id string) int
+	Choose           func(candidates []string) string
+	IgnoreFit        bool
 }
 
 // DefaultRules gives the rules that the processes use.
@@ -32,7 +32,7 @@
 		Reserve:      0.03,
 		BoundedLoad:  1.25,
 		Aging:        20 * time.Second,
-		Tries:        8,
+		MaxHeads:     8,
 	}
 }
 
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -7,8 +7,8 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// Wish is what one box uses of an endpoint and wants more of.
-type Wish struct {
+// Demand is what one box uses of an endpoint and wants more of.
+type Demand struct {
 	Profile Profile
 	Running int
 	Waiting int // expected tokens of the requests of the best rank that wait
@@ -41,7 +41,7 @@
 }
 
 type share struct {
-	wish   Wish
+	wish   Demand
 	growth int
 	seenAt time.Time
 }
@@ -71,7 +71,7 @@
 func (s *Shares) Boxes() int { return len(s.boxes) }
 
 // Grant answers one box's wish.
-func (s *Shares) Grant(now time.Time, box string, w Wish) Grant {
+func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
 	half := s.Capacity / core.SlotCount
 	tokens, ttl := s.hold.Grantable(now, half)
 	s.forget(now, ttl)
@@ -192,9 +192,9 @@
 // explains counts as another owner's.
 const foreignPart = 0.1
 
-// Foreign reports whether the endpoint's report shows memory in use that the
+// HasUnknownUsage reports whether the endpoint's report shows memory in use that the
 // known boxes don't explain.
-func (s *Shares) Foreign() bool {
+func (s *Shares) HasUnknownUsage() bool {
 	return float64(s.reported-s.Used()) > foreignPart*float64(s.Capacity)
 }
 
--- a/admission/spread.go
+++ b/admission/spread.go
@@ -79,9 +79,9 @@
 	learnWeight = 0.05
 )
 
-// Spread places requests over the endpoints of services by what this box sent
+// Balancer places requests over the endpoints of services by what this box sent
 // to each, what each last told, and how its last requests ended.
-type Spread struct {
+type Balancer struct {
 	mu     sync.Mutex
 	zone   string
 	draw   func() float64
@@ -98,10 +98,10 @@
 // reportLag is how old an engine's word is when it is given.
 const reportLag = 500 * time.Millisecond
 
-// NewSpread builds a spread for a box in an availability zone. Draw gives
+// NewBalancer builds a spread for a box in an availability zone. Draw gives
 // numbers from 0 to 1 that break ties.
-func NewSpread(zone string, draw func() float64) *Spread {
-	return &Spread{
+func NewBalancer(zone string, draw func() float64) *Balancer {
+	return &Balancer{
 		zone:  zone,
 		draw:  draw,
 		rate:  firstRate,
@@ -110,26 +110,26 @@
 }
 
 // SetShare tells which engines the box's group uses first.
-func (s *Spread) SetShare(share map[string]bool) {
+func (s *Balancer) SetShare(share map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.share = share
 }
 
-// Want is what a request needs of an endpoint.
-type Want struct {
-	Tokens  int             // of an engine's memory at the run's expected end; 0 elsewhere
-	Prompt  int             // tokens that an engine reads before the first event; 0 elsewhere
-	Memory  int             // tokens that an engine holds; 0 elsewhere
-	Exclude map[string]bool // endpoints that had the request already
-	Zone    string          // the zone to prefer; empty for the box's own
-	Shared  bool            // other boxes place there too
-	Movable int             // tokens of runs that can leave an engine within a short notice; 0 when not known
-	Most    float64         // the fullest that an engine's memory may get; 0 for any
+// Requirements is what a request needs of an endpoint.
+type Requirements struct {
+	Tokens        int             // of an engine's memory at the run's expected end; 0 elsewhere
+	Prompt        int             // tokens that an engine reads before the first event; 0 elsewhere
+	Memory        int             // tokens that an engine holds; 0 elsewhere
+	Exclude       map[string]bool // endpoints that had the request already
+	Zone          string          // the zone to prefer; empty for the box's own
+	Shared        bool            // other boxes place there too
+	MovableTokens int             // tokens of runs that can leave an engine within a short notice; 0 when not known
+	MaxMemoryUse  float64         // the fullest that an engine's memory may get; 0 for any
 }
 
 // Pick chooses an endpoint, or tells that there is none.
-func (s *Spread) Pick(now time.Time, endpoints []routing.Endpoint, w Want) (routing.Endpoint, bool) {
+func (s *Balancer) Pick(now time.Time, endpoints []routing.Endpoint, w Requirements) (routing.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := -1
@@ -151,11 +151,11 @@
 // choices draws some of the endpoints that can take the request. Every box
 // reads the same reports, which are old by then: if all took the best one, all
 // would take the same.
-func (s *Spread) choices(now time.Time, endpoints []routing.Endpoint, w Want) []routing.Endpoint {
+func (s *Balancer) choices(now time.Time, endpoints []routing.Endpoint, w Requirements) []routing.Endpoint {
 	var own, strange []int
 	for i := range endpoints {
 		id := endpoints[i].ID
-		if w.Exclude[id] || (w.Most > 0 && s.fullness(now, s.load(id), w) > w.Most) {
+		if w.Exclude[id] || (w.MaxMemoryUse > 0 && s.fullness(now, s.load(id), w) > w.MaxMemoryUse) {
 			continue
 		}
 		if s.share == nil || s.share[id] {
@@ -180,7 +180,7 @@
 }
 
 // some draws a few at random, in place.
-func (s *Spread) some(all []int, most int) []int {
+func (s *Balancer) some(all []int, most int) []int {
 	n := min(len(all), most)
 	for i := range n {
 		j := i + int(s.draw()*float64(len(all)-i))
@@ -189,7 +189,7 @@
 	return all[:n:n]
 }
 
-func (s *Spread) score(now time.Time, e routing.Endpoint, w Want) float64 {
+func (s *Balancer) score(now time.Time, e routing.Endpoint, w Requirements) float64 {
 	l := s.load(e.ID)
 	slots := float64(max(e.Slots, 1))
 	load := float64(l.running)
@@ -200,8 +200,8 @@
 	if w.Memory > 0 {
 		full := s.fullness(now, l, w)
 		score += full + fullCost*math.Max(0, full-1) + engineNoise*s.draw()
-		if w.Movable > 0 {
-			score += crowdCost * math.Max(0, full-float64(w.Movable)/float64(w.Memory))
+		if w.MovableTokens > 0 {
+			score += crowdCost * math.Max(0, full-float64(w.MovableTokens)/float64(w.Memory))
 		}
 		ahead := l.waiting(now, s.rate)
 		if s.stranger(e.ID) {
@@ -224,16 +224,16 @@
 }
 
 // stranger tells whether an endpoint is outside the group's share.
-func (s *Spread) stranger(id string) bool { return s.share != nil && !s.share[id] }
+func (s *Balancer) stranger(id string) bool { return s.share != nil && !s.share[id] }
 
-func (w Want) zoneCost() float64 {
+func (w Requirements) zoneCost() float64 {
 	if w.Memory > 0 {
 		return zoneCost
 	}
 	return callZoneCost
 }
 
-func (w Want) zone(s *Spread) string {
+func (w Requirements) zone(s *Balancer) string {
 	if w.Zone != "" {
 		return w.Zone
 	}
@@ -242,7 +242,7 @@
 
 // fullness estimates how full an engine's memory gets, as a part of it: what
 // it told, what this box added since, and how its runs will still grow.
-func (s *Spread) fullness(now time.Time, l *endpointLoad, w Want) float64 {
+func (s *Balancer) fullness(now time.Time, l *endpointLoad, w Requirements) float64 {
 	total := float64(max(w.Memory, 1))
 	if now.Sub(l.memoryAt) > memoryLife {
 		// What other boxes told counts here too: an engine that has just joined looks
@@ -264,7 +264,7 @@
 
 // suspect tells whether an endpoint is silent beyond its usual time while it
 // has requests of this box.
-func (l *endpointLoad) suspect(now time.Time, w Want) bool {
+func (l *endpointLoad) suspect(now time.Time, w Requirements) bool {
 	if len(l.pending) == 0 {
 		return false
 	}
@@ -287,7 +287,7 @@
 	return l.failures * math.Exp(-float64(now.Sub(l.failedAt))/float64(failureDecay))
 }
 
-func (s *Spread) load(id string) *endpointLoad {
+func (s *Balancer) load(id string) *endpointLoad {
 	l := s.known[id]
 	if l == nil {
 		l = &endpointLoad{}
--- a/admission/spread_load.go
+++ b/admission/spread_load.go
@@ -42,9 +42,9 @@
 	return math.Max(0, l.queue-rate*now.Sub(l.queueAt).Seconds())
 }
 
-// Placed counts a prompt that this box or another one sent to an engine, and
+// AddPrompt counts a prompt that this box or another one sent to an engine, and
 // gives the tokens that are to be read there before its first event.
-func (s *Spread) Placed(now time.Time, id string, prompt int) float64 {
+func (s *Balancer) AddPrompt(now time.Time, id string, prompt int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -54,26 +54,26 @@
 	return l.queue
 }
 
-// PlacedElsewhere counts a prompt that another box sent to an engine: it will
+// AddRemotePrompt counts a prompt that another box sent to an engine: it will
 // take memory before a report tells.
-func (s *Spread) PlacedElsewhere(now time.Time, id string, prompt int) {
-	s.Placed(now, id, prompt)
+func (s *Balancer) AddRemotePrompt(now time.Time, id string, prompt int) {
+	s.AddPrompt(now, id, prompt)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load(id).begin(now, prompt+int(s.output), prompt)
 	s.heard = now
 }
 
-// CopiedElsewhere counts a copy that another box sends to an engine.
-func (s *Spread) CopiedElsewhere(now time.Time, id string, tokens int) {
+// AddRemoteCopy counts a copy that another box sends to an engine.
+func (s *Balancer) AddRemoteCopy(now time.Time, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load(id).begin(now, tokens, tokens)
 }
 
-// Started takes how long an engine took to read what waited, with a prompt of
+// ObservePrefill takes how long an engine took to read what waited, with a prompt of
 // this box as the last.
-func (s *Spread) Started(queue float64, took time.Duration) {
+func (s *Balancer) ObservePrefill(queue float64, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if took <= 0 || queue <= 0 {
@@ -82,9 +82,9 @@
 	s.rate += learnWeight * (queue/took.Seconds() - s.rate)
 }
 
-// Begin counts a send to an endpoint: the memory that it takes at its end, and the size
+// BeginSend counts a send to an endpoint: the memory that it takes at its end, and the size
 // by which the boxes know it, 0 for calls.
-func (s *Spread) Begin(now time.Time, id string, tokens, told int) {
+func (s *Balancer) BeginSend(now time.Time, id string, tokens, told int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -96,10 +96,10 @@
 	l.begin(now, tokens, told)
 }
 
-// Over takes a run's memory back, here or at another box, by the size by which the boxes
+// RunEnded takes a run's memory back, here or at another box, by the size by which the boxes
 // know it; held is what it held at its end. Reports are a second old when they come round,
 // and engines whose runs ended meanwhile look full.
-func (s *Spread) Over(now time.Time, id string, told, held int) {
+func (s *Balancer) RunEnded(now time.Time, id string, told, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.over.add(now, float64(held))
@@ -118,16 +118,16 @@
 	})
 }
 
-// Heard notes that something came from an endpoint.
-func (s *Spread) Heard(now time.Time, id string) {
+// RecordActivity notes that something came from an endpoint.
+func (s *Balancer) RecordActivity(now time.Time, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load(id).heard = now
 }
 
-// HeardSince tells whether anything came from an endpoint after a time: to this box, or to
+// ActiveSince tells whether anything came from an endpoint after a time: to this box, or to
 // one that told of its report.
-func (s *Spread) HeardSince(at time.Time, id string) bool {
+func (s *Balancer) ActiveSince(at time.Time, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -161,8 +161,8 @@
 	return max(tokens, 0)
 }
 
-// End takes a send back that began at a time, when it is over.
-func (s *Spread) End(now time.Time, id string, begun time.Time, tokens int) {
+// EndSend takes a send back that began at a time, when it is over.
+func (s *Balancer) EndSend(now time.Time, id string, begun time.Time, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -175,7 +175,7 @@
 
 // Copy counts a copy of a run's memory at an endpoint; a negative number of
 // tokens takes it back.
-func (s *Spread) Copy(now time.Time, id string, tokens int) {
+func (s *Balancer) Copy(now time.Time, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -183,8 +183,8 @@
 	l.begin(now, tokens, 0)
 }
 
-// Answered takes the load that an endpoint told with an answer.
-func (s *Spread) Answered(now time.Time, id string, busy int) {
+// ObserveLoad takes the load that an endpoint told with an answer.
+func (s *Balancer) ObserveLoad(now time.Time, id string, busy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -194,7 +194,7 @@
 }
 
 // Memory takes an engine's report and when it was given.
-func (s *Spread) Memory(at time.Time, r routing.Report) {
+func (s *Balancer) Memory(at time.Time, r routing.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(r.Endpoint)
@@ -206,8 +206,8 @@
 	l.forget(at.Add(-reportLag))
 }
 
-// Learn takes what a whole generation came to.
-func (s *Spread) Learn(prompt, output int) {
+// ObserveLengths takes what a whole generation came to.
+func (s *Balancer) ObserveLengths(prompt, output int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.prompt == 0 {
@@ -219,7 +219,7 @@
 }
 
 // Succeeded notes a good answer and how long it took.
-func (s *Spread) Succeeded(now time.Time, id string, took time.Duration) {
+func (s *Balancer) Succeeded(now time.Time, id string, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -231,7 +231,7 @@
 }
 
 // Failed notes a failure of an endpoint; silent ones get no work for a while.
-func (s *Spread) Failed(now time.Time, id string, silent bool) {
+func (s *Balancer) Failed(now time.Time, id string, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.load(id)
@@ -243,7 +243,7 @@
 }
 
 // Forget drops an endpoint that is gone.
-func (s *Spread) Forget(id string) {
+func (s *Balancer) Forget(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.known[id]; l != nil && l.running <= 0 && l.copies <= 0 {
--- a/admission/spread_test.go
+++ b/admission/spread_test.go
@@ -14,8 +14,8 @@
 
 var _ = Describe("a spread of requests", func() {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	var s *admission.Spread
-	BeforeEach(func() { s = admission.NewSpread("z", func() float64 { return 0.5 }) })
+	var s *admission.Balancer
+	BeforeEach(func() { s = admission.NewBalancer("z", func() float64 { return 0.5 }) })
 	engines := func(n int) []routing.Endpoint {
 		var out []routing.Endpoint
 		for i := range n {
@@ -27,11 +27,11 @@
 		}
 		return out
 	}
-	want := admission.Want{
+	want := admission.Requirements{
 		Tokens: 1000,
 		Memory: 10_000,
 	}
-	pick := func(all []routing.Endpoint, w admission.Want) string {
+	pick := func(all []routing.Endpoint, w admission.Requirements) string {
 		e, ok := s.Pick(now, all, w)
 		if !ok {
 			return ""
@@ -43,8 +43,8 @@
 		counts := make(map[string]int)
 		for range 40 {
 			id := pick(engines(4), want)
-			s.Begin(now, id, 1000, 0)
-			s.Placed(now, id, 500)
+			s.BeginSend(now, id, 1000, 0)
+			s.AddPrompt(now, id, 500)
 			counts[id]++
 		}
 		for id, n := range counts {
@@ -56,7 +56,7 @@
 		all := engines(20)
 		shared := want
 		shared.Shared = true
-		random := admission.NewSpread("z", rand.New(rand.NewPCG(1, 2)).Float64)
+		random := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
 		emptiest := func() int {
 			n := 0
 			for range 100 {
@@ -75,14 +75,14 @@
 		}
 		// Of 20, each pick draws two, or all.
 		Expect(emptiest()).To(BeNumerically("~", 10, 6))
-		random.PlacedElsewhere(now, "e19", 10)
+		random.AddRemotePrompt(now, "e19", 10)
 		Expect(emptiest()).To(Equal(100))
 	})
 
 	It("compares few engines of its group where others place on engines that it doesn't hear of", func() {
 		all := engines(21)
 		own := make(map[string]bool)
-		random := admission.NewSpread("z", rand.New(rand.NewPCG(1, 2)).Float64)
+		random := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
 		for i, e := range all {
 			own[e.ID] = i < 20
 			random.Memory(now, routing.Report{
@@ -112,13 +112,13 @@
 	})
 
 	It("avoids an engine where prompts of other boxes wait", func() {
-		s.Placed(now, "e0", 20_000)
+		s.AddPrompt(now, "e0", 20_000)
 		Expect(pick(engines(2), want)).To(Equal("e1"))
 	})
 
 	It("counts memory that prompts of other boxes will take, until a report tells", func() {
 		w := want
-		w.Most = 0.5
+		w.MaxMemoryUse = 0.5
 		for _, id := range []string{"e0", "e1"} {
 			s.Memory(now, routing.Report{
 				Endpoint: id,
@@ -126,7 +126,7 @@
 			})
 		}
 		for range 5 {
-			s.PlacedElsewhere(now, "e0", 1000)
+			s.AddRemotePrompt(now, "e0", 1000)
 		}
 		Expect(pick(engines(1), w)).To(BeEmpty())
 		Expect(pick(engines(2), w)).To(Equal("e1"))
@@ -140,10 +140,10 @@
 
 	It("counts memory that copies of other boxes will take, and no wait for them", func() {
 		for range 3 {
-			s.CopiedElsewhere(now, "e0", 2000)
+			s.AddRemoteCopy(now, "e0", 2000)
 		}
 		w := want
-		w.Most = 0.5
+		w.MaxMemoryUse = 0.5
 		s.Memory(now, routing.Report{
 			Endpoint: "e0",
 			Total:    10_000,
@@ -158,7 +158,7 @@
 
 	It("refuses copies where they would take too much", func() {
 		w := want
-		w.Most = 0.5
+		w.MaxMemoryUse = 0.5
 		s.Memory(now, routing.Report{
 			Endpoint: "e0",
 			Used:     4500,
@@ -185,28 +185,28 @@
 	It("prefers its own zone between endpoints that are alike", func() {
 		all := engines(2)
 		all[0].Zone = "far"
-		Expect(pick(all, admission.Want{})).To(Equal("e1"))
+		Expect(pick(all, admission.Requirements{})).To(Equal("e1"))
 	})
 })
 
 var _ = Describe("an engine that has told nothing yet", func() {
 	It("counts what other boxes placed there", func() {
 		now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-		s := admission.NewSpread("z", func() float64 { return 0.5 })
+		s := admission.NewBalancer("z", func() float64 { return 0.5 })
 		e := routing.Endpoint{
 			ID:    "new",
 			Zone:  "z",
 			Slots: 8,
 		}
-		want := admission.Want{
+		want := admission.Requirements{
 			Tokens: 1000,
 			Memory: 10_000,
 		}
-		Expect(s.Estimate(now, e, want).Full).To(BeNumerically("~", 0.1, 0.001))
+		Expect(s.Estimate(now, e, want).MemoryUse).To(BeNumerically("~", 0.1, 0.001))
 		for range 5 {
-			s.PlacedElsewhere(now, e.ID, 1000)
+			s.AddRemotePrompt(now, e.ID, 1000)
 		}
-		Expect(s.Estimate(now, e, want).Full).To(BeNumerically("~", 0.6, 0.001))
-		Expect(s.Estimate(now.Add(6*time.Second), e, want).Full).To(BeNumerically("~", 0.1, 0.001), "once those are over")
+		Expect(s.Estimate(now, e, want).MemoryUse).To(BeNumerically("~", 0.6, 0.001))
+		Expect(s.Estimate(now.Add(6*time.Second), e, want).MemoryUse).To(BeNumerically("~", 0.1, 0.001), "once those are over")
 	})
 })
--- a/admission/wish.go
+++ b/admission/wish.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// EndpointWish is what this box uses of one endpoint and wants more of.
-type EndpointWish struct {
-	Endpoint string
-	Teller   int // the owner's slot that should say what other boxes hold
-	Wish
+// EndpointDemand is what this box uses of one endpoint and wants more of.
+type EndpointDemand struct {
+	Endpoint      string
+	ReportingSlot int // the owner's slot that should say what other boxes hold
+	Demand
 }
 
 // A lease is renewed when less of it is left than these: at each turn while
@@ -20,23 +20,23 @@
 	renewIdle  = time.Second
 )
 
-// Wishes gives what this box uses of each endpoint whose lease is due to be
+// Demands gives what this box uses of each endpoint whose lease is due to be
 // renewed, and, if eager, of all endpoints while requests wait. The waiting
 // requests' expected tokens are spread evenly.
-func (m *Model) Wishes(now time.Time, eager bool) []EndpointWish {
+func (m *Model) Demands(now time.Time, eager bool) []EndpointDemand {
 	waiting, rank := m.expectedWaiting()
 	waiting /= max(1, len(m.names))
-	wishes := make([]EndpointWish, 0, len(m.places))
+	wishes := make([]EndpointDemand, 0, len(m.places))
 	for _, name := range slices.Sorted(maps.Keys(m.places)) {
 		p := m.places[name]
 		if !(eager && waiting > 0) && !p.due(now) {
 			continue
 		}
 		p.refresh(m.profile)
-		wishes = append(wishes, EndpointWish{
-			Endpoint: name,
-			Teller:   p.teller(now),
-			Wish: Wish{
+		wishes = append(wishes, EndpointDemand{
+			Endpoint:      name,
+			ReportingSlot: p.teller(now),
+			Demand: Demand{
 				Profile: p.own,
 				Running: len(p.running),
 				Waiting: waiting,
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -16,7 +16,7 @@
 	return []Policy{
 		{Name: "round robin", Change: roundRobin},
 		{Name: "least reported", Change: leastReported},
-		{Name: "reservation", Change: func(r *admission.Rules, _ *run) { r.LengthBlind = true }},
+		{Name: "reservation", Change: func(r *admission.Rules, _ *run) { r.ReserveMaxLength = true }},
 		{Name: "dillsaddle", Change: func(*admission.Rules, *run) {}},
 		{Name: "one owner asked", Change: func(*admission.Rules, *run) {}, Boxes: 1},
 		{Name: "oracle", Change: func(r *admission.Rules, n *run) {
--- a/bench/run.go
+++ b/bench/run.go
@@ -160,7 +160,7 @@
 	name := n.list.Boxes[box].Name
 	asked := n.now
 	owners := make(map[string]*wire.LeaseAsk)
-	for _, w := range m.Wishes(n.now, true) {
+	for _, w := range m.Demands(n.now, true) {
 		for slot := range core.SlotCount {
 			n.ask(box, name, asked, w, slot, owners)
 		}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (n *run) ask(box int, name string, asked time.Time, w admission.EndpointWish, slot int, owners map[string]*wire.LeaseAsk) {
+func (n *run) ask(box int, name string, asked time.Time, w admission.EndpointDemand, slot int, owners map[string]*wire.LeaseAsk) {
 	owner := n.owners.Of(w.Endpoint, "", slot)
 	e := n.engines[w.Endpoint]
 	if e.dead || n.cutOff(name, owner) {
@@ -180,7 +180,7 @@
 		owners[owner] = &wire.LeaseAsk{}
 	}
 	mean, deviation := w.Profile.Floats()
-	owners[owner].Wishes = append(owners[owner].Wishes, wire.LeaseWish{
+	owners[owner].Demands = append(owners[owner].Demands, wire.LeaseWish{
 		Endpoint:  w.Endpoint,
 		Mean:      mean,
 		Deviation: deviation,
@@ -189,7 +189,7 @@
 	})
 	n.after(controlDelay, func() {
 		e.shares[slot].Ownership().Step(n.now, core.ListConfirmed{At: n.now})
-		g := e.shares[slot].Grant(n.now, name, w.Wish)
+		g := e.shares[slot].Grant(n.now, name, w.Demand)
 		n.count(wire.LeaseGrant{
 			Endpoint:       w.Endpoint,
 			OtherMean:      mean,
--- a/entry/call.go
+++ b/entry/call.go
@@ -166,7 +166,7 @@
 func (k *call) giveUp(reason admission.RefusalReason, after time.Duration) {
 	k.step(core.CallerGone{})
 	status := http.StatusServiceUnavailable
-	if reason == admission.RefusePolicy || reason == admission.RefuseWaiting {
+	if reason == admission.RefusePolicy || reason == admission.RefuseTooManyWaiting {
 		status = http.StatusTooManyRequests
 	}
 	k.problem = refused(status, string(reason), "the engines are crowded; come back after the time in Retry-After", after)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -215,7 +215,7 @@
 }
 
 func (e *Entry) customerOf(c *config.Customer) *customer {
-	return e.customers.GetOrMake(c.Name, func() *customer { return newCustomer(c.RetryBudget) })
+	return e.customers.GetOrCreate(c.Name, func() *customer { return newCustomer(c.RetryBudget) })
 }
 
 type modelList struct {
--- a/entry/model.go
+++ b/entry/model.go
@@ -40,7 +40,7 @@
 }
 
 func (e *Entry) modelOf(name string) *model {
-	return e.models.GetOrMake(name, func() *model {
+	return e.models.GetOrCreate(name, func() *model {
 		m := &model{
 			name:     name,
 			core:     admission.NewModel(),
@@ -234,7 +234,7 @@
 		e.wishes(v, name, eager, asks)
 	}
 	for owner, ask := range asks {
-		e.credit.spend(len(ask.Wishes) * wishBytes)
+		e.credit.spend(len(ask.Demands) * wishBytes)
 		if member := v.List.Member(owner); member != nil {
 			go e.askLeases(ctx, *member, *ask)
 		}
@@ -256,7 +256,7 @@
 func (e *Entry) wishes(v watch.View, modelName string, eager bool, asks map[string]*wire.LeaseAsk) {
 	m := e.modelOf(modelName)
 	m.mu.Lock()
-	wishes := m.core.Wishes(time.Now(), eager)
+	wishes := m.core.Demands(time.Now(), eager)
 	m.mu.Unlock()
 	for _, w := range wishes {
 		for slot := range core.SlotCount {
@@ -264,12 +264,12 @@
 			if asks[owner] == nil {
 				asks[owner] = &wire.LeaseAsk{Box: e.self}
 			}
-			asks[owner].Wishes = append(asks[owner].Wishes, leaseWish(modelName, w, slot))
+			asks[owner].Demands = append(asks[owner].Demands, leaseWish(modelName, w, slot))
 		}
 	}
 }
 
-func leaseWish(model string, w admission.EndpointWish, slot int) wire.LeaseWish {
+func leaseWish(model string, w admission.EndpointDemand, slot int) wire.LeaseWish {
 	mean, deviation := w.Profile.Floats()
 	return wire.LeaseWish{
 		Endpoint:  w.Endpoint,
@@ -281,7 +281,7 @@
 		Waiting:   w.Waiting,
 		Rank:      w.Rank,
 
-		WantOthers: slot == w.Teller,
+		WantOthers: slot == w.ReportingSlot,
 	}
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -196,7 +196,7 @@
 }
 
 func (k *serviceCall) times() *answerTimes {
-	return k.entry.answers.GetOrMake(k.service.Name, newAnswerTimes)
+	return k.entry.answers.GetOrCreate(k.service.Name, newAnswerTimes)
 }
 
 // try sends the call to one server and learns how long its answer took.
--- a/fleet/belief_list.go
+++ b/fleet/belief_list.go
@@ -102,7 +102,7 @@
 		return
 	}
 	e := old.Endpoint
-	e.ID = routing.Incarnation(name, started)
+	e.ID = routing.IncarnationID(name, started)
 	e.Started = started
 	e.Leaving = false
 	b.entries[name] = &entry{Endpoint: e}
--- a/fleet/placements.go
+++ b/fleet/placements.go
@@ -25,7 +25,7 @@
 	Copy     bool   `cbor:"3,keyasint,omitempty"`
 	Overdue  bool   `cbor:"4,keyasint,omitempty"` // an answer of the endpoint is overdue
 	Broke    bool   `cbor:"5,keyasint,omitempty"` // a stream of the endpoint broke off unannounced
-	Over     bool   `cbor:"6,keyasint,omitempty"` // the run has ended
+	RunEnded bool   `cbor:"6,keyasint,omitempty"` // the run has ended
 	Held     int    `cbor:"7,keyasint,omitempty"` // tokens that a run held at its end
 }
 
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -17,7 +17,7 @@
 
 // started gives an endpoint of a server that tells when it started.
 func started(name string, start int64, revision routing.Revision, leaving bool) routing.Endpoint {
-	e := endpoint(routing.Incarnation(name, start), revision, leaving)
+	e := endpoint(routing.IncarnationID(name, start), revision, leaving)
 	e.Started = start
 	return e
 }
@@ -131,7 +131,7 @@
 	spoil := func(name string, revision routing.Revision) {
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: revision,
-			Updated:  []routing.Endpoint{routing.Unusable(name, revision)},
+			Updated:  []routing.Endpoint{routing.UnusableEndpoint(name, revision)},
 		})
 	}
 
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -40,7 +40,7 @@
 	if !e.ColdAt(now) {
 		return nil
 	}
-	sends, bound := c.allowance.Sends(s)
+	sends, bound := c.allowance.SendLimit(s)
 	if !bound {
 		return nil
 	}
--- a/gateway/copies.go
+++ b/gateway/copies.go
@@ -29,7 +29,7 @@
 func (p *passage) chooseBackup(now time.Time) {
 	p.setBackup(routing.Endpoint{})
 	engine := p.service.Engine
-	if p.gateway.mover == nil || engine == nil || !engine.Backups || p.route.Kind != routing.Streaming {
+	if p.gateway.mover == nil || engine == nil || !engine.SupportsBackups || p.route.Kind != routing.Streaming {
 		return
 	}
 	if !p.gateway.protects(now) {
@@ -43,7 +43,7 @@
 	}
 	w := p.want(nil)
 	w.Zone = p.endpoint.Zone
-	w.Most = backupMost
+	w.MaxMemoryUse = backupMost
 	if e, ok := p.gateway.spread.Pick(now, near, w); ok {
 		p.setBackup(e)
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -74,7 +74,7 @@
 	if !p.couldEnd(r) {
 		return
 	}
-	heardSince := func(at time.Time) bool { return p.gateway.spread.HeardSince(at, r.endpoint.ID) }
+	heardSince := func(at time.Time) bool { return p.gateway.spread.ActiveSince(at, r.endpoint.ID) }
 	if sign, ended := p.gateway.presences.Ended(r.endpoint.ID, r.endpoint.Address, heardSince); ended {
 		p.endpointEnded(r, sign)
 	}
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -226,7 +226,7 @@
 // backup stays to the last, since its copy is there already.
 func (p *passage) mustMove(endpoint string) bool {
 	engine := p.service.Engine
-	return engine != nil && engine.Moves && p.runsAt(endpoint) && !p.backupServes()
+	return engine != nil && engine.SupportsMoves && p.runsAt(endpoint) && !p.backupServes()
 }
 
 // evacuated describes a run to the plan.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -62,7 +62,7 @@
 		return core.CallUnsent{}
 	}
 	p.tellBegin(now, copyName != "")
-	p.gateway.spread.Begin(now, p.endpoint.ID, p.want(nil).Tokens, p.told)
+	p.gateway.spread.BeginSend(now, p.endpoint.ID, p.want(nil).Tokens, p.told)
 	p.overdue = p.awaitAnswer(l)
 	defer p.overdue.stop()
 	ev := p.exchange(l, copyName)
@@ -70,7 +70,7 @@
 		return p.stream(now)
 	}
 	p.overdue.stop()
-	p.gateway.spread.End(time.Now(), p.endpoint.ID, now, p.want(nil).Tokens)
+	p.gateway.spread.EndSend(time.Now(), p.endpoint.ID, now, p.want(nil).Tokens)
 	p.tellOver(p.endpoint.ID)
 	return ev
 }
@@ -111,7 +111,7 @@
 		return p.turnedAway(a)
 	}
 	if a.says.Load != nil {
-		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.says.Load.Running+a.says.Load.Waiting)
+		p.gateway.spread.ObserveLoad(time.Now(), p.endpoint.ID, a.says.Load.Running+a.says.Load.Waiting)
 	}
 	if fault := a.fault(); fault != "" {
 		a.close()
@@ -228,7 +228,7 @@
 	_, err := io.Copy(io.Discard, io.LimitReader(a.head.Body, heldAnswer))
 	a.release(p, err == nil)
 	if a.says.Load != nil {
-		p.gateway.spread.Answered(time.Now(), p.endpoint.ID, a.says.Load.Running+a.says.Load.Waiting)
+		p.gateway.spread.ObserveLoad(time.Now(), p.endpoint.ID, a.says.Load.Running+a.says.Load.Waiting)
 	}
 	p.gateway.spread.Failed(time.Now(), p.endpoint.ID, status == http.StatusMisdirectedRequest)
 	p.decided("endpoint refused", zap.String("endpoint", p.endpoint.ID), zap.Int("status", status))
--- a/gateway/gate.go
+++ b/gateway/gate.go
@@ -125,7 +125,7 @@
 
 func (p *passage) allowed(fits func(routing.Endpoint) bool) []routing.Endpoint {
 	all := p.gateway.view().Serving(p.service.Name)
-	kept := func(e routing.Endpoint) bool { return p.homes.Allow(e.Zone) && fits(e) }
+	kept := func(e routing.Endpoint) bool { return p.homes.AllowsZone(e.Zone) && fits(e) }
 	if !slices.ContainsFunc(all, func(e routing.Endpoint) bool { return !kept(e) }) {
 		return all
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,7 +40,7 @@
 	borrow       func(ctx context.Context, service string)
 	view         func() *fleet.View
 	boxes        func() int
-	spread       *admission.Spread
+	spread       *admission.Balancer
 	gate         *gate
 	pool         *Pool
 	log          *zap.Logger
@@ -139,7 +139,7 @@
 		onPlaced:     func(fleet.Placement) {},
 		onEvacuating: func(fleet.Evacuating) {},
 		onLeaving:    func(string) {},
-		spread:       admission.NewSpread(zone, rand.Float64),
+		spread:       admission.NewBalancer(zone, rand.Float64),
 		gate:         newGate(rules.Cold, fleet.NewLimits(zap.NewNop())),
 		log:          zap.NewNop(),
 		counts:       newCounts(),
@@ -210,12 +210,12 @@
 		g.brokeOff(now)
 	case p.Overdue:
 		g.spread.Failed(now, p.Endpoint, false)
-	case p.Over:
-		g.spread.Over(now, p.Endpoint, p.Tokens, p.Held)
+	case p.RunEnded:
+		g.spread.RunEnded(now, p.Endpoint, p.Tokens, p.Held)
 	case p.Copy:
-		g.spread.CopiedElsewhere(now, p.Endpoint, p.Tokens)
+		g.spread.AddRemoteCopy(now, p.Endpoint, p.Tokens)
 	default:
-		g.spread.PlacedElsewhere(now, p.Endpoint, p.Tokens)
+		g.spread.AddRemotePrompt(now, p.Endpoint, p.Tokens)
 	}
 }
 
--- a/gateway/inbound.go
+++ b/gateway/inbound.go
@@ -32,14 +32,14 @@
 		p.refuse(http.StatusNotFound, "no route leads there")
 		return false
 	}
-	if t.Keyed() && !p.route.Anonymous {
+	if t.RequiresKey() && !p.route.Anonymous {
 		p.customer = t.Customer(p.in.Key)
 		if p.customer == nil {
 			p.refuse(http.StatusUnauthorized, "the key is not known")
 			return false
 		}
 	}
-	p.homes = routing.HomesOf(p.gateway.rules.Regions, p.route, p.customer)
+	p.homes = routing.NewAllowedRegions(p.gateway.rules.Regions, p.route, p.customer)
 	p.service = t.Service(p.route.Pick(p.in.ID))
 	if p.service == nil {
 		p.refuse(http.StatusServiceUnavailable, "the route's service is not known")
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -124,7 +124,7 @@
 	})
 	w := p.want(nil)
 	w.Zone = source.Zone
-	w.Most = moveMost
+	w.MaxMemoryUse = moveMost
 	for _, fits := range []func(routing.Endpoint) bool{
 		func(e routing.Endpoint) bool { return e.Zone == source.Zone && !busy[e.ID] },
 		func(e routing.Endpoint) bool { return !busy[e.ID] },
@@ -134,7 +134,7 @@
 			return e, true
 		}
 	}
-	w.Most = 0
+	w.MaxMemoryUse = 0
 	return g.spread.Pick(time.Now(), all, w)
 }
 
--- a/gateway/passage.go
+++ b/gateway/passage.go
@@ -29,7 +29,7 @@
 	route    *routing.Route
 	service  *routing.Service
 	customer *routing.Customer
-	homes    routing.Homes
+	homes    routing.AllowedRegions
 	body     []byte
 	content  core.Digest // of what the request asks for
 	reserved int64
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -83,22 +83,22 @@
 	}
 	seen := p.gateway.spread.Estimate(now, e, p.want(nil))
 	return []zap.Field{
-		zap.Float64("full", math.Round(seen.Full*100)/100),
-		zap.Duration("ahead", seen.Ahead.Round(time.Millisecond)),
+		zap.Float64("full", math.Round(seen.MemoryUse*100)/100),
+		zap.Duration("ahead", seen.PrefillDelay.Round(time.Millisecond)),
 		zap.Duration("report_age", seen.ReportAge.Round(time.Millisecond)),
-		zap.Duration("heard_age", seen.HeardAge.Round(time.Millisecond)),
-		zap.Duration("until_first", seen.First.Round(time.Millisecond)),
+		zap.Duration("heard_age", seen.RemotePlacementAge.Round(time.Millisecond)),
+		zap.Duration("until_first", seen.UntilFirstEvent.Round(time.Millisecond)),
 	}
 }
 
-func (p *passage) want(exclude map[string]bool) admission.Want {
-	w := admission.Want{Exclude: exclude}
+func (p *passage) want(exclude map[string]bool) admission.Requirements {
+	w := admission.Requirements{Exclude: exclude}
 	if engine := p.service.Engine; engine != nil {
 		w.Tokens = p.tokens()
 		w.Prompt = p.in.PromptTokens
 		w.Memory = engine.MemoryTokens
 		w.Shared = p.gateway.boxes() > 1
-		w.Movable = movable(engine)
+		w.MovableTokens = movable(engine)
 	}
 	return w
 }
@@ -110,7 +110,7 @@
 // movable gives the tokens of runs that can leave an engine within a short notice, or
 // 0 where nobody knows its link.
 func movable(e *routing.Engine) int {
-	if !e.Moves || e.LinkMbps <= 0 || e.BytesPerToken <= 0 {
+	if !e.SupportsMoves || e.LinkMbps <= 0 || e.BytesPerToken <= 0 {
 		return 0
 	}
 	return int(e.LinkMbps * bitsPerMegabit / bitsPerByte / e.BytesPerToken * shortNotice.Seconds())
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -74,7 +74,7 @@
 		})
 	}
 	defer func() {
-		p.gateway.spread.End(time.Now(), run, sent, tokens)
+		p.gateway.spread.EndSend(time.Now(), run, sent, tokens)
 		p.tellOver(run)
 	}()
 	p.gateway.enrol(p)
@@ -121,7 +121,7 @@
 	}
 	now := time.Now()
 	p.paced(now)
-	p.gateway.spread.Heard(now, p.endpoint.ID)
+	p.gateway.spread.RecordActivity(now, p.endpoint.ID)
 	p.last = e.id
 	p.events++
 	p.made.Store(int64(p.events))
@@ -138,7 +138,7 @@
 		p.gateway.usual.learn(p.route.Name, now.Sub(p.placedAt))
 		p.first = now.Sub(p.start)
 		p.begunAt = now
-		p.gateway.spread.Started(p.queued, now.Sub(p.placedAt))
+		p.gateway.spread.ObservePrefill(p.queued, now.Sub(p.placedAt))
 	} else if gap := now.Sub(p.lastAt); gap > p.longest {
 		p.longest = gap
 		p.longestAt = p.last
@@ -152,7 +152,7 @@
 		p.gateway.paces.learn(p.service.Name, p.lastAt.Sub(p.begunAt)/time.Duration(p.events-1))
 	}
 	if engine := p.service.Engine; engine != nil && p.in.PromptTokens > 0 {
-		p.gateway.spread.Learn(p.in.PromptTokens, p.events*max(engine.EventTokens, 1))
+		p.gateway.spread.ObserveLengths(p.in.PromptTokens, p.events*max(engine.EventTokens, 1))
 	}
 }
 
--- a/gateway/tell.go
+++ b/gateway/tell.go
@@ -17,7 +17,7 @@
 	if copied {
 		p.told = p.held()
 	} else {
-		p.queued = p.gateway.spread.Placed(now, p.endpoint.ID, p.told)
+		p.queued = p.gateway.spread.AddPrompt(now, p.endpoint.ID, p.told)
 	}
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: p.endpoint.ID,
@@ -31,11 +31,11 @@
 	if p.told == 0 {
 		return
 	}
-	p.gateway.spread.Over(time.Now(), endpoint, p.told, p.held())
+	p.gateway.spread.RunEnded(time.Now(), endpoint, p.told, p.held())
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: endpoint,
 		Tokens:   p.told,
-		Over:     true,
+		RunEnded: true,
 		Held:     p.held(),
 	})
 }
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -108,7 +108,7 @@
 	hold.Step(epoch, core.HoldTaken{Fresh: true})
 	s := admission.NewShares(hold, 100000, 64, 30*time.Millisecond)
 	now := epoch
-	var w admission.Wish
+	var w admission.Demand
 	w.Waiting = 500
 	names := make([]string, boxes)
 	for i := range names {
@@ -156,7 +156,7 @@
 	mean, deviation := full.Floats()
 	for i := range wishes {
 		name := fmt.Sprintf("engine-%04d", i)
-		ask.Wishes = append(ask.Wishes, wire.LeaseWish{
+		ask.Demands = append(ask.Demands, wire.LeaseWish{
 			Endpoint:  name,
 			Model:     "model-01",
 			Mean:      mean,
@@ -258,13 +258,13 @@
 
 func estimateMemory(customers int) float64 {
 	return heapBytes(func() any {
-		e := admission.NewEstimator(256)
+		e := admission.NewLengthEstimator(256)
 		for i := range customers {
 			key := admission.LengthKey{
 				Customer: fmt.Sprintf("customer-%d", i),
 				Class:    "standard",
 			}
-			e.Ended(key, 100)
+			e.ObserveEnd(key, 100)
 			e.Curve(key)
 		}
 		return e
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -11,9 +11,9 @@
 // cut off, up to 1.08 of what is divided among them was claimed.
 const coldSafety = 0.8
 
-// Sends gives how many requests a cold endpoint of a service may get in a second from all
+// SendLimit gives how many requests a cold endpoint of a service may get in a second from all
 // boxes together, and whether there is such a bound.
-func (a ColdAllowance) Sends(s *Service) (sends int, bound bool) {
+func (a ColdAllowance) SendLimit(s *Service) (sends int, bound bool) {
 	if s.ColdPerSecond <= 0 {
 		return 0, false
 	}
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -30,10 +30,10 @@
 // startMark stands between a server's name and its start in the id of an incarnation.
 const startMark = "@"
 
-// Incarnation gives the id of one start of a server. A server may start again under
+// IncarnationID gives the id of one start of a server. A server may start again under
 // the name that it had, and knows nothing then of what it held: whatever is known of
 // an endpoint is kept by this id, so that nothing of it passes to the next start.
-func Incarnation(name string, started int64) string {
+func IncarnationID(name string, started int64) string {
 	if started == 0 {
 		return name
 	}
@@ -54,8 +54,8 @@
 // Usable tells whether the entry names a server that can get requests.
 func (e Endpoint) Usable() bool { return e.Service != "" }
 
-// Unusable gives what is known of an entry that names no server to use.
-func Unusable(name string, revision Revision) Endpoint {
+// UnusableEndpoint gives what is known of an entry that names no server to use.
+func UnusableEndpoint(name string, revision Revision) Endpoint {
 	return Endpoint{
 		ID:       name,
 		Revision: revision,
--- a/routing/table.go
+++ b/routing/table.go
@@ -75,8 +75,8 @@
 // Customer gives the owner of a key, or nil.
 func (t *Table) Customer(key string) *Customer { return t.customers[key] }
 
-// Keyed tells whether requests need a customer's key.
-func (t *Table) Keyed() bool { return t.document.Keyed }
+// RequiresKey tells whether requests need a customer's key.
+func (t *Table) RequiresKey() bool { return t.document.RequiresKey }
 
 // Service gives a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -11,8 +11,8 @@
 
 var _ = Describe("a table", func() {
 	t := routing.NewTable(&routing.Document{
-		Version: 3,
-		Keyed:   true,
+		Version:     3,
+		RequiresKey: true,
 		Routes: []routing.Route{
 			{Name: "short", Host: "a.example", PathPrefix: "/x/"},
 			{Name: "long", Host: "A.example", PathPrefix: "/x/y/"},
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -63,7 +63,7 @@
 func (e *endpoint) foreign() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.shares.Foreign()
+	return e.shares.HasUnknownUsage()
 }
 
 func (e *endpoint) predecessorGone(now time.Time) {
@@ -95,7 +95,7 @@
 	if !e.owner || now.Sub(e.loadAt) > silentLoad {
 		return wire.LeaseGrant{}, false
 	}
-	g := e.shares.Grant(now, box+"/"+w.Model, admission.Wish{
+	g := e.shares.Grant(now, box+"/"+w.Model, admission.Demand{
 		Profile: admission.ProfileFrom(w.Mean, w.Deviation),
 		Running: w.Running,
 		Waiting: w.Waiting,
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -224,7 +224,7 @@
 			}
 			key := slotKey(c.Name, slot)
 			mine[key] = true
-			e := s.endpoints.GetOrMake(key, func() *endpoint { return newEndpoint(c, slot) })
+			e := s.endpoints.GetOrCreate(key, func() *endpoint { return newEndpoint(c, slot) })
 			e.configure(c)
 			e.own(now, true, fresh)
 		}
@@ -272,7 +272,7 @@
 func (s *Scheduler) leaseAsk(_ context.Context, _ *wire.Conn, q wire.LeaseAsk) (wire.LeaseGrants, error) {
 	now := time.Now()
 	var out wire.LeaseGrants
-	for _, w := range q.Wishes {
+	for _, w := range q.Demands {
 		e, known := s.endpoints.Get(slotKey(w.Endpoint, w.Slot))
 		if !known {
 			continue
@@ -282,6 +282,6 @@
 		}
 	}
 	leasesGranted.Add(len(out.Grants))
-	leasesWithheld.Add(len(q.Wishes) - len(out.Grants))
+	leasesWithheld.Add(len(q.Demands) - len(out.Grants))
 	return out, nil
 }
--- a/shard/map.go
+++ b/shard/map.go
@@ -58,8 +58,8 @@
 	delete(p.values, key)
 }
 
-// GetOrMake gives the value of a key, made under the part's lock if missing.
-func (m *Map[V]) GetOrMake(key string, build func() V) V {
+// GetOrCreate gives the value of a key, made under the part's lock if missing.
+func (m *Map[V]) GetOrCreate(key string, build func() V) V {
 	p := m.part(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/wire/message.go
+++ b/wire/message.go
@@ -49,9 +49,9 @@
 
 // LeaseAsk asks an owner for leases on its endpoints.
 type LeaseAsk struct {
-	Box    core.Box     `cbor:"1,keyasint"`
-	Wishes []LeaseWish  `cbor:"2,keyasint"`
-	Ended  []LengthSeen `cbor:"3,keyasint,omitempty"`
+	Box     core.Box     `cbor:"1,keyasint"`
+	Demands []LeaseWish  `cbor:"2,keyasint"`
+	Ended   []LengthSeen `cbor:"3,keyasint,omitempty"`
 }
 
 // Kind names the message.
--- a/wire/pack_test.go
+++ b/wire/pack_test.go
@@ -12,17 +12,17 @@
 var _ = Describe("packed messages", func() {
 	It("come back as they were, smaller on the way", func() {
 		m := wire.LeaseWish{Endpoint: strings.Repeat("engine-0001/", 500)}
-		packed, err := wire.Pack(wire.LeaseAsk{Wishes: []wire.LeaseWish{m}})
+		packed, err := wire.Pack(wire.LeaseAsk{Demands: []wire.LeaseWish{m}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(packed)).To(BeNumerically("<", 200))
 		back, err := wire.Unpack[wire.LeaseAsk](packed)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back.Wishes).To(HaveLen(1))
-		Expect(back.Wishes[0].Endpoint).To(Equal(m.Endpoint))
+		Expect(back.Demands).To(HaveLen(1))
+		Expect(back.Demands[0].Endpoint).To(Equal(m.Endpoint))
 	})
 
 	It("are refused when they are cut short, or grow beyond all bounds", func() {
-		packed, err := wire.Pack(wire.LeaseAsk{Wishes: []wire.LeaseWish{{Endpoint: strings.Repeat("x", 33<<20)}}})
+		packed, err := wire.Pack(wire.LeaseAsk{Demands: []wire.LeaseWish{{Endpoint: strings.Repeat("x", 33<<20)}}})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = wire.Unpack[wire.LeaseAsk](packed)
 		Expect(err).To(MatchError(ContainSubstring("raise the bound")))
