--- a/admission/endpoint.go
+++ b/admission/endpoint.go
@@ -175,7 +175,7 @@
 	if prefix == 0 {
 		return 0
 	}
-	score := core.Score(strconv.FormatUint(prefix, 16), p.name) >> 1
+	score := core.RendezvousScore(strconv.FormatUint(prefix, 16), p.name) >> 1
 	if p.prefixes.held[prefix] {
 		score |= 1 << 63
 	}
--- a/box/box.go
+++ b/box/box.go
@@ -92,11 +92,11 @@
 	b.quarantine = fleet.NewQuarantine(log.Named("quarantine"))
 	b.limits = fleet.NewLimits(log.Named("limits"))
 	peers, err := fleet.NewPeers(core.Peer{
-		Box:      s.Box,
-		Zone:     s.Zone,
-		Address:  s.Peer,
-		Life:     rand.Uint64(),
-		LinkMbps: s.LinkMbps,
+		Box:        s.Box,
+		Zone:       s.Zone,
+		Address:    s.Peer,
+		InstanceID: rand.Uint64(),
+		LinkMbps:   s.LinkMbps,
 	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithReports(reports), fleet.WithPlacements(b.placed), fleet.WithEvacuations(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Look))
 	if err != nil {
 		return nil, err
@@ -187,8 +187,8 @@
 func (b *Box) suspended(d time.Duration) {
 	b.log.Warn("the machine was suspended, all ages are corrected", zap.Duration("for", d))
 	if b.gateway != nil {
-		b.gateway.Suspended(d)
-		b.peers.Suspended(d)
+		b.gateway.HandleSuspension(d)
+		b.peers.HandleSuspension(d)
 	}
 }
 
@@ -250,7 +250,7 @@
 
 // shareOut tells the gateway which engines the group uses first.
 func (b *Box) shareOut() {
-	if share := b.peers.Share(b.belief.View()); share != nil {
+	if share := b.peers.PreferredEndpoints(b.belief.View()); share != nil {
 		b.gateway.SetShare(share)
 	}
 }
--- a/box/stop.go
+++ b/box/stop.go
@@ -17,7 +17,7 @@
 		b.log.Info("stop", zap.Int("active", b.gateway.Active()))
 		limit := time.Now().Add(b.settings.Grace - graceMargin)
 		b.gateway.Stop(limit)
-		b.peers.Leave()
+		b.peers.MarkLeaving()
 		go b.leave(limit)
 	})
 }
--- a/core/budget.go
+++ b/core/budget.go
@@ -93,9 +93,9 @@
 	b.lentAt = now
 }
 
-// Suspended gives up what other boxes lent: the machine stood still, and they may have
+// HandleSuspension gives up what other boxes lent: the machine stood still, and they may have
 // counted it as spent longer ago than a window.
-func (b *SharedBudget) Suspended() { b.borrowed = 0 }
+func (b *SharedBudget) HandleSuspension() { b.borrowed = 0 }
 
 // Available gives how many sends the box may make now, borrowed ones included.
 func (b *SharedBudget) Available(now time.Time, boxes int) int {
--- a/core/claim.go
+++ b/core/claim.go
@@ -70,7 +70,7 @@
 	self      Box
 	rules     ClaimRules
 	started   time.Time
-	reading   Reading
+	reading   ListSnapshot
 	take      takeover
 	records   map[ClaimKey]*ClaimRecord
 	retired   bool
--- a/core/division.go
+++ b/core/division.go
@@ -6,35 +6,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DivisionRules bound who has a part of what is divided among all boxes.
-type DivisionRules struct {
-	Join     time.Duration // since its start, before which a box has none
-	Memory   time.Duration // how long a silent box keeps its part
-	Left     time.Duration // how long one that said that it leaves does
-	Unsure   time.Duration // a box that was suspect this long after this one's start may not know of it
-	Contests int           // ranks below this box's in which such a box may claim the same
+// ShareRules bound who has a part of what is divided among all boxes.
+type ShareRules struct {
+	JoinDelay       time.Duration // since its start, before which a box has none
+	SilentRetention time.Duration // how long a silent box keeps its part
+	LeftRetention   time.Duration // how long one that said that it leaves does
+	UnawareWindow   time.Duration // a box that was suspect this long after this one's start may not know of it
+	ContestRanks    int           // ranks below this box's in which such a box may claim the same
 }
 
-// DefaultDivisionRules fit boxes that hear of each other within some seconds. The memory
+// DefaultShareRules fit boxes that hear of each other within some seconds. The memory
 // is above any time for which parts of a fleet lose each other, an hour: who forgot the
 // others would take their parts. What the dead had is unused as long. Contests keep parts
 // from being claimed twice while boxes are added and others are cut off.
-func DefaultDivisionRules() DivisionRules {
-	return DivisionRules{
-		Join:     5 * time.Second,
-		Memory:   2 * time.Hour,
-		Left:     30 * time.Second,
-		Unsure:   4 * time.Second,
-		Contests: 3,
+func DefaultShareRules() ShareRules {
+	return ShareRules{
+		JoinDelay:       5 * time.Second,
+		SilentRetention: 2 * time.Hour,
+		LeftRetention:   30 * time.Second,
+		UnawareWindow:   4 * time.Second,
+		ContestRanks:    3,
 	}
 }
 
-// Division shares units out among all boxes without asking any: each unit is the box's
+// ShareAllocator shares units out among all boxes without asking any: each unit is the box's
 // that rendezvous hashing ranks first, so that boxes who know the same others never claim
 // the same unit, and a box that comes or goes changes the fewest. A box that is silent
 // keeps its units: it may be cut off from the others and not from what is divided.
-type Division struct {
-	rules DivisionRules
+type ShareAllocator struct {
+	rules ShareRules
 	self  uint64 // the hash of this box's name
 	start time.Time
 	known map[string]*divisionEntry
@@ -47,9 +47,9 @@
 	suspectAt time.Time // zero for one that isn't suspect
 }
 
-// NewDivision begins at a box's start.
-func NewDivision(now time.Time, self string, rules DivisionRules) *Division {
-	return &Division{
+// NewShareAllocator begins at a box's start.
+func NewShareAllocator(now time.Time, self string, rules ShareRules) *ShareAllocator {
+	return &ShareAllocator{
 		rules: rules,
 		self:  xxhash.Sum64String(self),
 		start: now,
@@ -58,7 +58,7 @@
 }
 
 // Observe takes what the roster knows of the others.
-func (d *Division) Observe(now time.Time, others []Peer) {
+func (d *ShareAllocator) Observe(now time.Time, others []Peer) {
 	for _, p := range others {
 		e := d.known[p.Box]
 		if e == nil {
@@ -70,8 +70,8 @@
 		e.suspectAt = begin(e.suspectAt, now, p.Suspect)
 	}
 	for box, e := range d.known {
-		left := !e.leftAt.IsZero() && now.Sub(e.leftAt) > d.rules.Left
-		if left || now.Sub(e.heard) > d.rules.Memory {
+		left := !e.leftAt.IsZero() && now.Sub(e.leftAt) > d.rules.LeftRetention
+		if left || now.Sub(e.heard) > d.rules.SilentRetention {
 			delete(d.known, box)
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 // Share gives how many of some units of a thing are this box's.
-func (d *Division) Share(now time.Time, thing string, units int) int {
-	if now.Sub(d.start) < d.rules.Join {
+func (d *ShareAllocator) Share(now time.Time, thing string, units int) int {
+	if now.Sub(d.start) < d.rules.JoinDelay {
 		return 0
 	}
 	key := xxhash.Sum64String(thing)
@@ -117,14 +117,14 @@
 }
 
 // unsure tells whether a box was out of reach before it can have heard of this one.
-func (d *Division) unsure(e *divisionEntry) bool {
-	return !e.suspectAt.IsZero() && e.suspectAt.Sub(d.start) < d.rules.Unsure
+func (d *ShareAllocator) unsure(e *divisionEntry) bool {
+	return !e.suspectAt.IsZero() && e.suspectAt.Sub(d.start) < d.rules.UnawareWindow
 }
 
 // mine tells whether this box ranks first for a unit, and none of those that come next
 // may take itself for the first.
-func (d *Division) mine(own uint64, others []claimant, unit uint64) bool {
-	next := make([]claimant, 0, d.rules.Contests+1)
+func (d *ShareAllocator) mine(own uint64, others []claimant, unit uint64) bool {
+	next := make([]claimant, 0, d.rules.ContestRanks+1)
 	weight := unitWeight(own, unit)
 	for _, c := range others {
 		w := unitWeight(c.base, unit)
@@ -134,7 +134,7 @@
 		next = insertByWeight(next, claimant{
 			base:   w,
 			unsure: c.unsure,
-		}, d.rules.Contests)
+		}, d.rules.ContestRanks)
 	}
 	for _, c := range next {
 		if c.unsure {
--- a/core/division_bench_test.go
+++ b/core/division_bench_test.go
@@ -13,7 +13,7 @@
 // with the pair of box and endpoint hashed each time.
 func BenchmarkShareOfAColdEndpoint(b *testing.B) {
 	begin := time.Unix(1000, 0)
-	d := core.NewDivision(begin, "box-0", core.DefaultDivisionRules())
+	d := core.NewShareAllocator(begin, "box-0", core.DefaultShareRules())
 	var others []core.Peer
 	for i := range 300 {
 		others = append(others, core.Peer{Box: fmt.Sprintf("box-%d", i+1)})
--- a/core/division_test.go
+++ b/core/division_test.go
@@ -22,15 +22,15 @@
 		}
 		return all
 	}
-	division := func(self string, start time.Time, others ...[]core.Peer) *core.Division {
-		d := core.NewDivision(start, self, core.DefaultDivisionRules())
+	division := func(self string, start time.Time, others ...[]core.Peer) *core.ShareAllocator {
+		d := core.NewShareAllocator(start, self, core.DefaultShareRules())
 		for _, some := range others {
 			d.Observe(start.Add(time.Second), without(some, self))
 			d.Observe(now, without(some, self))
 		}
 		return d
 	}
-	claimed := func(all []*core.Division, thing string, units int) int {
+	claimed := func(all []*core.ShareAllocator, thing string, units int) int {
 		sum := 0
 		for _, d := range all {
 			sum += d.Share(now, thing, units)
@@ -42,7 +42,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			boxes := names("box", rapid.IntRange(1, 80).Draw(t, "boxes"))
 			units := rapid.IntRange(0, 60).Draw(t, "units")
-			var all []*core.Division
+			var all []*core.ShareAllocator
 			for _, b := range boxes {
 				all = append(all, division(b.Box, begin, boxes))
 			}
@@ -53,7 +53,7 @@
 	})
 
 	It("gives a box that starts nothing until others have heard of it", func() {
-		d := core.NewDivision(now.Add(-4*time.Second), "box-0", core.DefaultDivisionRules())
+		d := core.NewShareAllocator(now.Add(-4*time.Second), "box-0", core.DefaultShareRules())
 		Expect(d.Share(now, "e-1", 10)).To(BeZero())
 		Expect(d.Share(now.Add(2*time.Second), "e-1", 10)).To(Equal(10))
 	})
@@ -87,7 +87,7 @@
 			for i := range cut {
 				seen[i].Suspect = true
 			}
-			var all []*core.Division
+			var all []*core.ShareAllocator
 			for i, b := range old {
 				d := division(b.Box, begin.Add(-time.Hour), old)
 				if i >= cut {
--- a/core/group.go
+++ b/core/group.go
@@ -42,8 +42,8 @@
 	count   int // of groups in the zone
 }
 
-// Site is what a group's share of endpoints is drawn from.
-type Site struct {
+// EndpointLocation is what a group's share of endpoints is drawn from.
+type EndpointLocation struct {
 	ID   string
 	Zone string
 }
@@ -89,8 +89,8 @@
 	return g
 }
 
-// Share gives the endpoints that the group uses first.
-func (g Group) Share(endpoints []Site) map[string]bool {
+// PreferredEndpoints gives the endpoints that the group uses first.
+func (g Group) PreferredEndpoints(endpoints []EndpointLocation) map[string]bool {
 	var ids []string
 	for _, e := range endpoints {
 		if g.zone == "" || e.Zone == g.zone {
--- a/core/group_test.go
+++ b/core/group_test.go
@@ -22,11 +22,11 @@
 		}
 		return all
 	}
-	endpoints := func(perZone, zones int) []core.Site {
-		var all []core.Site
+	endpoints := func(perZone, zones int) []core.EndpointLocation {
+		var all []core.EndpointLocation
 		for z := range zones {
 			for i := range perZone {
-				all = append(all, core.Site{
+				all = append(all, core.EndpointLocation{
 					ID:   fmt.Sprintf("engine-%d-%d", z, i),
 					Zone: fmt.Sprintf("zone-%d", z),
 				})
@@ -42,7 +42,7 @@
 	It("is one for a small fleet, with all endpoints", func() {
 		g := groupOf(fleet(3, 3), 4, 9)
 		Expect(g.Members).To(HaveLen(8))
-		Expect(g.Share(endpoints(3, 3))).To(HaveLen(9))
+		Expect(g.PreferredEndpoints(endpoints(3, 3))).To(HaveLen(9))
 	})
 
 	It("are of one zone and bounded at any size, and share all endpoints out", func() {
@@ -52,7 +52,7 @@
 			for i := range all {
 				g := groupOf(all, i, 900)
 				Expect(len(g.Members)).To(BeNumerically("<=", 17))
-				for id := range g.Share(endpoints(15, 3)) {
+				for id := range g.PreferredEndpoints(endpoints(15, 3)) {
 					used[id]++
 				}
 			}
@@ -68,13 +68,13 @@
 		Expect(core.GroupSize(300, 0)).To(Equal(12))
 		g := groupOf(fleet(36, 3), 40, 45)
 		Expect(g.Members).To(HaveLen(35))
-		Expect(g.Share(endpoints(15, 3))).To(HaveLen(15))
+		Expect(g.PreferredEndpoints(endpoints(15, 3))).To(HaveLen(15))
 	})
 
 	It("is one where all boxes together have few engines", func() {
 		g := groupOf(fleet(26, 3), 30, 45)
 		Expect(g.Members).To(HaveLen(77))
-		Expect(g.Share(endpoints(15, 3))).To(HaveLen(45))
+		Expect(g.PreferredEndpoints(endpoints(15, 3))).To(HaveLen(45))
 		Expect(groupOf(fleet(26, 3), 30, 73).Members).To(HaveLen(25))
 	})
 
--- a/core/limits.go
+++ b/core/limits.go
@@ -8,18 +8,18 @@
 
 // LimitRules say how long the word of an endpoint's limit counts.
 type LimitRules struct {
-	Memory time.Duration // since the newest answer that told of it, at any box
-	Settle time.Duration // in which answers that were under way may say otherwise
-	Step   float64       // the part by which a limit must change to be told at once
+	Retention  time.Duration // since the newest answer that told of it, at any box
+	SettleTime time.Duration // in which answers that were under way may say otherwise
+	MinChange  float64       // the part by which a limit must change to be told at once
 }
 
 // DefaultLimitRules fit fleets in which word of each answer reaches all boxes within some
 // seconds, and endpoints that get at least some requests meanwhile.
 func DefaultLimitRules() LimitRules {
 	return LimitRules{
-		Memory: 20 * time.Second,
-		Settle: 250 * time.Millisecond,
-		Step:   0.1,
+		Retention:  20 * time.Second,
+		SettleTime: 250 * time.Millisecond,
+		MinChange:  0.1,
 	}
 }
 
@@ -53,22 +53,22 @@
 	}
 }
 
-// Answered takes an endpoint's answer to this box, and tells whether others should hear of
+// RecordAnswer takes an endpoint's answer to this box, and tells whether others should hear of
 // it at once.
-func (l *Limits) Answered(now time.Time, w LimitRecord) bool {
+func (l *Limits) RecordAnswer(now time.Time, w LimitRecord) bool {
 	before, known := l.known[w.Endpoint]
-	if !w.Limited && (!known || (before.limited && now.Sub(before.at) < l.rules.Settle)) {
+	if !w.Limited && (!known || (before.limited && now.Sub(before.at) < l.rules.SettleTime)) {
 		return false
 	}
 	return l.set(w, now)
 }
 
-// Hear takes what other boxes told, and gives what of it is worth handing on at once.
-func (l *Limits) Hear(now time.Time, told []LimitRecord) []LimitRecord {
+// Merge takes what other boxes told, and gives what of it is worth handing on at once.
+func (l *Limits) Merge(now time.Time, told []LimitRecord) []LimitRecord {
 	var news []LimitRecord
 	for _, w := range told {
 		at := now.Add(-w.Age)
-		if w.Age < 0 || w.Age >= l.rules.Memory || !(w.PerSecond >= 0) || math.IsInf(w.PerSecond, 1) {
+		if w.Age < 0 || w.Age >= l.rules.Retention || !(w.PerSecond >= 0) || math.IsInf(w.PerSecond, 1) {
 			continue
 		}
 		if before, known := l.known[w.Endpoint]; known && !at.After(before.at) {
@@ -92,27 +92,27 @@
 	if before.limited != w.Limited {
 		return true
 	}
-	return w.Limited && math.Abs(w.PerSecond-before.perSecond) > l.rules.Step*before.perSecond
+	return w.Limited && math.Abs(w.PerSecond-before.perSecond) > l.rules.MinChange*before.perSecond
 }
 
-// Of gives the requests a second that an endpoint takes from all boxes together, if it
+// Lookup gives the requests a second that an endpoint takes from all boxes together, if it
 // named a limit.
-func (l *Limits) Of(now time.Time, endpoint string) (perSecond float64, limited bool) {
+func (l *Limits) Lookup(now time.Time, endpoint string) (perSecond float64, limited bool) {
 	known := l.known[endpoint]
-	if !known.limited || now.Sub(known.at) >= l.rules.Memory {
+	if !known.limited || now.Sub(known.at) >= l.rules.Retention {
 		return 0, false
 	}
 	return known.perSecond, true
 }
 
-// Empty tells whether nothing is known of any endpoint.
-func (l *Limits) Empty() bool { return len(l.known) == 0 }
+// IsEmpty tells whether nothing is known of any endpoint.
+func (l *Limits) IsEmpty() bool { return len(l.known) == 0 }
 
-// Forget drops words that are too old, and gives those of them that named limits.
-func (l *Limits) Forget(now time.Time) []string {
+// Expire drops words that are too old, and gives those of them that named limits.
+func (l *Limits) Expire(now time.Time) []string {
 	var forgotten []string
 	for endpoint, known := range l.known {
-		if now.Sub(known.at) < l.rules.Memory {
+		if now.Sub(known.at) < l.rules.Retention {
 			continue
 		}
 		delete(l.known, endpoint)
@@ -123,8 +123,8 @@
 	return forgotten
 }
 
-// Suspended takes that the machine was suspended for a time that its clock didn't count.
-func (l *Limits) Suspended(d time.Duration) {
+// HandleSuspension takes that the machine was suspended for a time that its clock didn't count.
+func (l *Limits) HandleSuspension(d time.Duration) {
 	for endpoint, known := range l.known {
 		known.at = known.at.Add(-d)
 		l.known[endpoint] = known
--- a/core/member.go
+++ b/core/member.go
@@ -104,7 +104,7 @@
 		if m.Leaving || skip != nil && skip(m.Name) {
 			continue
 		}
-		score := mix(hashed, m.Name)
+		score := hashedScore(hashed, m.Name)
 		if best == "" || score > high || score == high && m.Name < best {
 			best, high = m.Name, score
 		}
@@ -119,11 +119,11 @@
 	return &shorter
 }
 
-// Score is the rendezvous weight of a box for a key.
-func Score(key, box string) uint64 { return mix(xxhash.Sum64String(key), box) }
+// RendezvousScore is the rendezvous weight of a box for a key.
+func RendezvousScore(key, box string) uint64 { return hashedScore(xxhash.Sum64String(key), box) }
 
-// mix spreads a key's hash with a box's, so that a key is hashed once for all boxes.
-func mix(key uint64, box string) uint64 { return finalize(key ^ xxhash.Sum64String(box)) }
+// hashedScore spreads a key's hash with a box's, so that a key is hashed once for all boxes.
+func hashedScore(key uint64, box string) uint64 { return finalize(key ^ xxhash.Sum64String(box)) }
 
 // finalize is the finalizer of splitmix64: each bit given changes half of those that
 // come out.
@@ -133,11 +133,11 @@
 	return x ^ x>>31
 }
 
-// Nearest gives the n names with the highest scores for a key, best first.
-func Nearest(key string, names []string, n int) []string {
+// TopByScore gives the n names with the highest scores for a key, best first.
+func TopByScore(key string, names []string, n int) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
-		x, y := Score(key, a), Score(key, b)
+		x, y := RendezvousScore(key, a), RendezvousScore(key, b)
 		switch {
 		case x > y:
 			return -1
@@ -149,13 +149,13 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// Reading is a list together with the moment at which it was last confirmed.
-type Reading struct {
+// ListSnapshot is a list together with the moment at which it was last confirmed.
+type ListSnapshot struct {
 	List        *List
 	ConfirmedAt time.Time
 }
 
 // Fresh reports whether the reading was confirmed within the bound.
-func (r *Reading) Fresh(now time.Time, bound time.Duration) bool {
+func (r *ListSnapshot) Fresh(now time.Time, bound time.Duration) bool {
 	return r.List != nil && now.Sub(r.ConfirmedAt) <= bound
 }
--- a/core/member_test.go
+++ b/core/member_test.go
@@ -78,31 +78,31 @@
 var _ = Describe("suspicion", func() {
 	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-	beats := func(s *core.Suspicion, box string, every time.Duration, n int) time.Time {
+	beats := func(s *core.FailureDetector, box string, every time.Duration, n int) time.Time {
 		now := start
 		for range n {
 			now = now.Add(every)
-			s.Step(now, core.HeartbeatSeen{Box: box})
+			s.Step(now, core.HeartbeatReceived{Box: box})
 		}
 		return now
 	}
 
 	It("goes by each box's own rhythm and not by one time-out", func() {
-		s := core.NewSuspicion(core.DefaultSuspicionRules())
+		s := core.NewFailureDetector(core.DefaultFailureDetectorRules())
 		last := beats(s, "steady", time.Second, 50)
-		Expect(s.Own(last.Add(2 * time.Second))).To(BeEmpty())
-		Expect(s.Own(last.Add(4 * time.Second))).To(ConsistOf("steady"))
-		slow := core.NewSuspicion(core.DefaultSuspicionRules())
+		Expect(s.OwnSuspects(last.Add(2 * time.Second))).To(BeEmpty())
+		Expect(s.OwnSuspects(last.Add(4 * time.Second))).To(ConsistOf("steady"))
+		slow := core.NewFailureDetector(core.DefaultFailureDetectorRules())
 		last = beats(slow, "slow", 4*time.Second, 50)
-		Expect(slow.Own(last.Add(4 * time.Second))).To(BeEmpty())
+		Expect(slow.OwnSuspects(last.Add(4 * time.Second))).To(BeEmpty())
 	})
 
 	It("lets one's own fresh sight go before a peer's suspicion, which fades", func() {
-		s := core.NewSuspicion(core.DefaultSuspicionRules())
+		s := core.NewFailureDetector(core.DefaultFailureDetectorRules())
 		last := beats(s, "seen", time.Second, 5)
-		s.Step(last, core.SuspectsHeard{From: "peer", Boxes: []string{"seen", "unseen"}})
-		Expect(s.All(last)).To(ConsistOf("unseen"))
-		Expect(s.All(last.Add(6 * time.Second))).NotTo(ContainElement("unseen"))
+		s.Step(last, core.SuspectsReported{From: "peer", Boxes: []string{"seen", "unseen"}})
+		Expect(s.Suspects(last)).To(ConsistOf("unseen"))
+		Expect(s.Suspects(last.Add(6 * time.Second))).NotTo(ContainElement("unseen"))
 	})
 })
 
--- a/core/owner.go
+++ b/core/owner.go
@@ -70,7 +70,7 @@
 		if skip != nil && skip(m) {
 			continue
 		}
-		score := mix(hashed, m.Name)
+		score := hashedScore(hashed, m.Name)
 		if best == nil || score > high || score == high && m.Name < best.Name {
 			best, high = m, score
 		}
--- a/core/pace.go
+++ b/core/pace.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// PaceRules say how a rate that is divided among boxes is kept.
-type PaceRules struct {
-	Window time.Duration // about how long one unit, a send, lasts
-	Most   int           // units at most, so that to divide them stays cheap
-	Hold   time.Duration // how long a send that was planned keeps its unit
+// RateLimiterRules say how a rate that is divided among boxes is kept.
+type RateLimiterRules struct {
+	UnitInterval        time.Duration // about how long one unit, a send, lasts
+	MaxUnits            int           // units at most, so that to divide them stays cheap
+	ReservationLifetime time.Duration // how long a send that was planned keeps its unit
 }
 
-// DefaultPaceRules keep rates that endpoints judge over four seconds: a unit lasts longer
+// DefaultRateLimiterRules keep rates that endpoints judge over four seconds: a unit lasts longer
 // than that, so that none counts twice. A planned send keeps its unit as long as the
 // longest plan lasts, as in DefaultRationRules.
-func DefaultPaceRules() PaceRules {
-	return PaceRules{
-		Window: 5 * time.Second,
-		Most:   256,
-		Hold:   4500 * time.Millisecond,
+func DefaultRateLimiterRules() RateLimiterRules {
+	return RateLimiterRules{
+		UnitInterval:        5 * time.Second,
+		MaxUnits:            256,
+		ReservationLifetime: 4500 * time.Millisecond,
 	}
 }
 
-// Units divides a rate: into how many sends, and after how long each may be repeated.
-func (r PaceRules) Units(perSecond float64) (units int, each time.Duration) {
+// SplitRate divides a rate: into how many sends, and after how long each may be repeated.
+func (r RateLimiterRules) SplitRate(perSecond float64) (units int, each time.Duration) {
 	if perSecond <= 0 {
-		return 0, r.Window
+		return 0, r.UnitInterval
 	}
-	units = int(min(perSecond*r.Window.Seconds(), float64(r.Most)))
+	units = int(min(perSecond*r.UnitInterval.Seconds(), float64(r.MaxUnits)))
 	units = max(units, 1)
 	seconds := min(float64(units)/perSecond, mostPause.Seconds())
 	return units, time.Duration(seconds * float64(time.Second))
@@ -34,28 +34,28 @@
 // mostPause bounds the time between two sends to an endpoint that takes next to nothing.
 const mostPause = 10 * time.Minute
 
-// Pace keeps one box's sends to an endpoint that takes a rate only: each of the box's
+// RateLimiter keeps one box's sends to an endpoint that takes a rate only: each of the box's
 // units is used once in a while, and the units take turns, so that neither the begin of a
 // limit nor the end of a lull sends all at once.
-type Pace struct {
-	rules PaceRules
+type RateLimiter struct {
+	rules RateLimiterRules
 	draw  func() float64
 	each  time.Duration
 	used  []time.Time // when each unit was used last
 	held  []time.Time // when planned sends took theirs, oldest first
 }
 
-// NewPace builds one without units. Draw gives numbers from 0 to 1 that set the turns of
+// NewRateLimiter builds one without units. Draw gives numbers from 0 to 1 that set the turns of
 // boxes apart.
-func NewPace(rules PaceRules, draw func() float64) *Pace {
-	return &Pace{
+func NewRateLimiter(rules RateLimiterRules, draw func() float64) *RateLimiter {
+	return &RateLimiter{
 		rules: rules,
 		draw:  draw,
 	}
 }
 
 // Set takes how many units are this box's, and after how long each may be used again.
-func (p *Pace) Set(now time.Time, share int, each time.Duration) {
+func (p *RateLimiter) Set(now time.Time, share int, each time.Duration) {
 	p.each = each
 	for len(p.used) > share {
 		p.dropIdlest()
@@ -69,7 +69,7 @@
 }
 
 // dropIdlest gives up the unit that was used longest ago: what was sent lately counts on.
-func (p *Pace) dropIdlest() {
+func (p *RateLimiter) dropIdlest() {
 	idlest := 0
 	for i, at := range p.used {
 		if at.Before(p.used[idlest]) {
@@ -79,13 +79,13 @@
 	p.used = append(p.used[:idlest], p.used[idlest+1:]...)
 }
 
-// Free tells whether one more send may be planned.
-func (p *Pace) Free(now time.Time) bool {
-	p.held = since(p.held, now.Add(-p.rules.Hold))
+// CanReserve tells whether one more send may be planned.
+func (p *RateLimiter) CanReserve(now time.Time) bool {
+	p.held = since(p.held, now.Add(-p.rules.ReservationLifetime))
 	return p.ready(now) > len(p.held)
 }
 
-func (p *Pace) ready(now time.Time) int {
+func (p *RateLimiter) ready(now time.Time) int {
 	n := 0
 	for _, at := range p.used {
 		if now.Sub(at) >= p.each {
@@ -95,28 +95,28 @@
 	return n
 }
 
-// Hold keeps a unit for a send that is planned, if one is free.
-func (p *Pace) Hold(now time.Time) bool {
-	if !p.Free(now) {
+// Reserve keeps a unit for a send that is planned, if one is free.
+func (p *RateLimiter) Reserve(now time.Time) bool {
+	if !p.CanReserve(now) {
 		return false
 	}
 	p.held = append(p.held, now)
 	return true
 }
 
-// Drop gives a unit back that was kept.
-func (p *Pace) Drop() {
+// CancelReservation gives a unit back that was kept.
+func (p *RateLimiter) CancelReservation() {
 	if len(p.held) > 0 {
 		p.held = p.held[1:]
 	}
 }
 
-// Send uses a unit, which was kept for the send or is free; false says that there is none.
-func (p *Pace) Send(now time.Time, held bool) bool {
+// Acquire uses a unit, which was kept for the send or is free; false says that there is none.
+func (p *RateLimiter) Acquire(now time.Time, held bool) bool {
 	if held {
-		p.Drop()
+		p.CancelReservation()
 	}
-	if !p.Free(now) {
+	if !p.CanReserve(now) {
 		return false
 	}
 	for i, at := range p.used {
@@ -129,11 +129,11 @@
 }
 
 // Next gives when one more send may be planned, or tells that the box has no unit.
-func (p *Pace) Next(now time.Time) (time.Duration, bool) {
+func (p *RateLimiter) Next(now time.Time) (time.Duration, bool) {
 	if len(p.used) == 0 {
 		return 0, false
 	}
-	if p.Free(now) {
+	if p.CanReserve(now) {
 		return 0, true
 	}
 	next := mostPause
@@ -145,7 +145,7 @@
 	return min(next, p.each), true
 }
 
-// Idle tells whether nothing is counted any more.
-func (p *Pace) Idle(now time.Time) bool {
-	return p.Free(now) && len(p.held) == 0 && p.ready(now) == len(p.used)
+// IsIdle tells whether nothing is counted any more.
+func (p *RateLimiter) IsIdle(now time.Time) bool {
+	return p.CanReserve(now) && len(p.held) == 0 && p.ready(now) == len(p.used)
 }
--- a/core/pace_test.go
+++ b/core/pace_test.go
@@ -16,13 +16,13 @@
 
 var _ = Describe("one box's sends to an endpoint that takes a rate", func() {
 	begin := time.Unix(1000, 0)
-	rules := core.DefaultPaceRules()
+	rules := core.DefaultRateLimiterRules()
 
 	It("are no more than its units within the time of one, whatever was planned and given up", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			share := rapid.IntRange(0, 6).Draw(t, "share")
 			each := time.Duration(rapid.IntRange(100, 5000).Draw(t, "each")) * time.Millisecond
-			p := core.NewPace(rules, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
+			p := core.NewRateLimiter(rules, func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
 			now := begin
 			p.Set(now, share, each)
 			held := 0
@@ -31,18 +31,18 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 4).Draw(t, "what") {
 				case 0:
-					if p.Hold(now) {
+					if p.Reserve(now) {
 						held++
 					}
 				case 1:
 					if held > 0 {
 						held--
-						p.Drop()
+						p.CancelReservation()
 					}
 				case 2:
 					p.Set(now, share, each)
 				default:
-					if p.Send(now, held > 0) {
+					if p.Acquire(now, held > 0) {
 						sent = append(sent, now)
 					}
 					held = max(held-1, 0)
@@ -61,7 +61,7 @@
 	})
 
 	It("say when the next one may go", func() {
-		p := core.NewPace(rules, func() float64 { return 0.5 })
+		p := core.NewRateLimiter(rules, func() float64 { return 0.5 })
 		_, has := p.Next(begin)
 		Expect(has).To(BeFalse())
 		p.Set(begin, 1, 4*time.Second)
@@ -69,19 +69,19 @@
 		Expect(has).To(BeTrue())
 		Expect(in).To(Equal(2 * time.Second))
 		now := begin.Add(in)
-		Expect(p.Send(now, false)).To(BeTrue())
-		Expect(p.Send(now.Add(3*time.Second), false)).To(BeFalse())
+		Expect(p.Acquire(now, false)).To(BeTrue())
+		Expect(p.Acquire(now.Add(3*time.Second), false)).To(BeFalse())
 		in, _ = p.Next(now.Add(3 * time.Second))
 		Expect(in).To(Equal(time.Second))
 	})
 
 	It("count on when the box's share falls and rises again", func() {
-		p := core.NewPace(rules, func() float64 { return 0 })
+		p := core.NewRateLimiter(rules, func() float64 { return 0 })
 		p.Set(begin, 2, 4*time.Second)
 		now := begin.Add(10 * time.Second)
-		Expect(p.Send(now, false)).To(BeTrue())
+		Expect(p.Acquire(now, false)).To(BeTrue())
 		p.Set(now, 1, 4*time.Second)
-		Expect(p.Send(now.Add(time.Second), false)).To(BeFalse())
+		Expect(p.Acquire(now.Add(time.Second), false)).To(BeFalse())
 	})
 
 	// Endpoints allow one and a half times what they named and five more, in any four
@@ -91,11 +91,11 @@
 			const span = 4 * time.Second
 			most := int(1.5*perSecond*span.Seconds()) + 5
 			draw := rand.New(rand.NewPCG(uint64(boxes), math.Float64bits(perSecond)))
-			units, each := rules.Units(perSecond)
-			var paces []*core.Pace
+			units, each := rules.SplitRate(perSecond)
+			var paces []*core.RateLimiter
 			for i := range boxes {
 				self := fmt.Sprintf("box-%d", i)
-				d := core.NewDivision(begin, self, core.DefaultDivisionRules())
+				d := core.NewShareAllocator(begin, self, core.DefaultShareRules())
 				var others []core.Peer
 				for j := range boxes {
 					if j != i {
@@ -103,7 +103,7 @@
 					}
 				}
 				d.Observe(begin, others)
-				p := core.NewPace(rules, draw.Float64)
+				p := core.NewRateLimiter(rules, draw.Float64)
 				p.Set(begin, d.Share(begin.Add(time.Minute), "e-1", units), each)
 				paces = append(paces, p)
 			}
@@ -115,7 +115,7 @@
 				}
 				now := begin.Add(time.Duration(ms) * time.Millisecond)
 				for _, p := range paces {
-					if p.Send(now, false) {
+					if p.Acquire(now, false) {
 						sent = append(sent, now)
 					}
 				}
@@ -140,7 +140,7 @@
 	)
 
 	It("has no unit at an endpoint that takes nothing", func() {
-		units, _ := rules.Units(0)
+		units, _ := rules.SplitRate(0)
 		Expect(units).To(BeZero())
 	})
 })
@@ -151,7 +151,7 @@
 
 	It("is the endpoint's newest answer to any box, in whatever order word comes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			now := begin.Add(rules.Memory)
+			now := begin.Add(rules.Retention)
 			ages := rapid.SliceOfNDistinct(rapid.IntRange(0, 15000), 1, 12, rapid.ID[int]).Draw(t, "ages")
 			var words []core.LimitRecord
 			for _, age := range ages {
@@ -165,9 +165,9 @@
 			newest := slices.MinFunc(words, func(a, b core.LimitRecord) int { return int(a.Age - b.Age) })
 			l := core.NewLimits(rules)
 			for _, w := range append(rapid.Permutation(words).Draw(t, "first"), rapid.Permutation(words).Draw(t, "again")...) {
-				l.Hear(now, []core.LimitRecord{w})
+				l.Merge(now, []core.LimitRecord{w})
 			}
-			perSecond, limited := l.Of(now, "e-1")
+			perSecond, limited := l.Lookup(now, "e-1")
 			if limited != newest.Limited || (limited && perSecond != newest.PerSecond) {
 				t.Fatalf("%v at %v, the newest is %+v", limited, perSecond, newest)
 			}
@@ -183,20 +183,20 @@
 			{Endpoint: "e-1", Limited: true, PerSecond: 1, Age: -time.Second},
 			{Endpoint: "e-1", Limited: true, PerSecond: 1, Age: time.Hour},
 		} {
-			Expect(l.Hear(begin, []core.LimitRecord{w})).To(BeEmpty())
+			Expect(l.Merge(begin, []core.LimitRecord{w})).To(BeEmpty())
 		}
-		Expect(l.Empty()).To(BeTrue())
+		Expect(l.IsEmpty()).To(BeTrue())
 	})
 
 	It("is told at once where it changed by more than a little", func() {
 		l := core.NewLimits(rules)
 		limited := func(perSecond float64) bool {
-			return l.Answered(begin, core.LimitRecord{Endpoint: "e-1", Limited: true, PerSecond: perSecond})
+			return l.RecordAnswer(begin, core.LimitRecord{Endpoint: "e-1", Limited: true, PerSecond: perSecond})
 		}
 		Expect(limited(4)).To(BeTrue())
 		Expect(limited(4.1)).To(BeFalse())
 		Expect(limited(3)).To(BeTrue())
-		Expect(l.Answered(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-1"})).To(BeTrue())
-		Expect(l.Answered(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-2"})).To(BeFalse())
+		Expect(l.RecordAnswer(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-1"})).To(BeTrue())
+		Expect(l.RecordAnswer(begin.Add(time.Second), core.LimitRecord{Endpoint: "e-2"})).To(BeFalse())
 	})
 })
--- a/core/pull.go
+++ b/core/pull.go
@@ -7,62 +7,62 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Offer says how new the views are that a box has: the version of its configuration
+// Advertisement says how new the views are that a box has: the version of its configuration
 // and the last change of its list. Zero says nothing of either.
-type Offer struct {
+type Advertisement struct {
 	Configuration uint64
 	Changed       routing.Revision
 }
 
-// Newer tells whether an offer has anything that is newer than another.
-func (o Offer) Newer(than Offer) bool {
+// NewerThan tells whether an offer has anything that is newer than another.
+func (o Advertisement) NewerThan(than Advertisement) bool {
 	return o.Configuration > than.Configuration || o.Changed > than.Changed
 }
 
-// PullRules say how long a box is left alone before it is asked again.
-type PullRules struct {
-	Busy   time.Duration // after it said that it gives to others
-	Failed time.Duration // after it didn't give; doubled with each time in a row
-	Most   time.Duration // bounds the doubling
-	Forget time.Duration // after which an offer that nobody repeated is forgotten
+// SourceRules say how long a box is left alone before it is asked again.
+type SourceRules struct {
+	Busy                  time.Duration // after it said that it gives to others
+	Failed                time.Duration // after it didn't give; doubled with each time in a row
+	MaxBackoff            time.Duration // bounds the doubling
+	AdvertisementLifetime time.Duration // after which an offer that nobody repeated is forgotten
 }
 
-// DefaultPullRules gives the rules that the boxes use. A copy of 50 KB, which is a
+// DefaultSourceRules gives the rules that the boxes use. A copy of 50 KB, which is a
 // configuration of 2,850 routes, takes 40 to 80 ms on a link of 10 Mbit/s: to ask a busy
 // box again after half of that costs two or three small messages.
-func DefaultPullRules() PullRules {
-	return PullRules{
-		Busy:   30 * time.Millisecond,
-		Failed: 200 * time.Millisecond,
-		Most:   2 * time.Second,
-		Forget: 30 * time.Second,
+func DefaultSourceRules() SourceRules {
+	return SourceRules{
+		Busy:                  30 * time.Millisecond,
+		Failed:                200 * time.Millisecond,
+		MaxBackoff:            2 * time.Second,
+		AdvertisementLifetime: 30 * time.Second,
 	}
 }
 
-// Pull decides whom to ask for newer views, one at a time. It remembers everyone who
+// SourceSelector decides whom to ask for newer views, one at a time. It remembers everyone who
 // offered some until this box has them: a box that waits to be told again after a
 // question that failed is without them for as long, 3 s in one of 73 boxes' logs. K
 // tells boxes apart.
-type Pull[K comparable] struct {
-	rules   PullRules
+type SourceSelector[K comparable] struct {
+	rules   SourceRules
 	holders []holder[K]
 }
 
 type holder[K comparable] struct {
 	key    K
-	offer  Offer
+	offer  Advertisement
 	told   time.Time
 	after  time.Time // not asked before
 	failed int       // times in a row
 }
 
-// NewPull builds a pull that knows nobody.
-func NewPull[K comparable](rules PullRules) *Pull[K] {
-	return &Pull[K]{rules: rules}
+// NewSourceSelector builds a pull that knows nobody.
+func NewSourceSelector[K comparable](rules SourceRules) *SourceSelector[K] {
+	return &SourceSelector[K]{rules: rules}
 }
 
-// Told takes a box's word of what it has.
-func (p *Pull[K]) Told(now time.Time, key K, o Offer) {
+// RecordAdvertisement takes a box's word of what it has.
+func (p *SourceSelector[K]) RecordAdvertisement(now time.Time, key K, o Advertisement) {
 	h := p.find(key)
 	if h == nil {
 		p.holders = append(p.holders, holder[K]{key: key})
@@ -77,9 +77,9 @@
 // alone, any of the newest, by draw, so that many askers spread over all that
 // have it. Without one, it gives how long to wait; zero says that there is nothing
 // newer to ask for.
-func (p *Pull[K]) Next(now time.Time, have Offer, draw func(n int) int) (key K, o Offer, wait time.Duration) {
+func (p *SourceSelector[K]) Next(now time.Time, have Advertisement, draw func(n int) int) (key K, o Advertisement, wait time.Duration) {
 	p.holders = slices.DeleteFunc(p.holders, func(h holder[K]) bool {
-		return !h.offer.Newer(have) || now.Sub(h.told) > p.rules.Forget
+		return !h.offer.NewerThan(have) || now.Sub(h.told) > p.rules.AdvertisementLifetime
 	})
 	var newest []holder[K]
 	for _, h := range p.holders {
@@ -89,10 +89,10 @@
 			}
 			continue
 		}
-		if len(newest) > 0 && newest[0].offer.Newer(h.offer) {
+		if len(newest) > 0 && newest[0].offer.NewerThan(h.offer) {
 			continue
 		}
-		if len(newest) > 0 && h.offer.Newer(newest[0].offer) {
+		if len(newest) > 0 && h.offer.NewerThan(newest[0].offer) {
 			newest = newest[:0]
 		}
 		newest = append(newest, h)
@@ -105,38 +105,38 @@
 }
 
 // Busy notes that a box gives to others at present.
-func (p *Pull[K]) Busy(now time.Time, key K) {
+func (p *SourceSelector[K]) Busy(now time.Time, key K) {
 	if h := p.find(key); h != nil {
 		h.after = now.Add(p.rules.Busy)
 	}
 }
 
 // Failed notes that a box didn't give what it offered.
-func (p *Pull[K]) Failed(now time.Time, key K) {
+func (p *SourceSelector[K]) Failed(now time.Time, key K) {
 	h := p.find(key)
 	if h == nil {
 		return
 	}
-	h.after = now.Add(min(p.rules.Failed<<h.failed, p.rules.Most))
+	h.after = now.Add(min(p.rules.Failed<<h.failed, p.rules.MaxBackoff))
 	h.failed = min(h.failed+1, doublings)
 }
 
 // doublings bounds the shift of a pause; far above any that the rules' bound allows.
 const doublings = 16
 
-// Gave notes that a box gave what it was asked for.
-func (p *Pull[K]) Gave(key K) {
+// RecordSuccess notes that a box gave what it was asked for.
+func (p *SourceSelector[K]) RecordSuccess(key K) {
 	if h := p.find(key); h != nil {
 		h.failed = 0
 	}
 }
 
-// Gone drops a box that can't be asked any more.
-func (p *Pull[K]) Gone(key K) {
+// Remove drops a box that can't be asked any more.
+func (p *SourceSelector[K]) Remove(key K) {
 	p.holders = slices.DeleteFunc(p.holders, func(h holder[K]) bool { return h.key == key })
 }
 
-func (p *Pull[K]) find(key K) *holder[K] {
+func (p *SourceSelector[K]) find(key K) *holder[K] {
 	i := slices.IndexFunc(p.holders, func(h holder[K]) bool { return h.key == key })
 	if i < 0 {
 		return nil
--- a/core/pull_test.go
+++ b/core/pull_test.go
@@ -13,22 +13,22 @@
 
 var _ = Describe("whom to ask for newer views", func() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	rules := core.DefaultPullRules()
+	rules := core.DefaultSourceRules()
 	first := func(int) int { return 0 }
-	version := func(v uint64) core.Offer { return core.Offer{Configuration: v} }
-	var p *core.Pull[string]
-	BeforeEach(func() { p = core.NewPull[string](rules) })
+	version := func(v uint64) core.Advertisement { return core.Advertisement{Configuration: v} }
+	var p *core.SourceSelector[string]
+	BeforeEach(func() { p = core.NewSourceSelector[string](rules) })
 
 	It("is nobody when nobody has anything newer", func() {
-		p.Told(start, "a", version(3))
+		p.RecordAdvertisement(start, "a", version(3))
 		key, _, wait := p.Next(start, version(3), first)
 		Expect(key).To(BeEmpty())
 		Expect(wait).To(BeZero())
 	})
 
 	It("is who has the newest, or an older one while that box is busy", func() {
-		p.Told(start, "a", version(4))
-		p.Told(start, "b", version(5))
+		p.RecordAdvertisement(start, "a", version(4))
+		p.RecordAdvertisement(start, "b", version(5))
 		key, o, _ := p.Next(start, version(3), first)
 		Expect(key).To(Equal("b"))
 		Expect(o).To(Equal(version(5)))
@@ -40,13 +40,13 @@
 	})
 
 	It("stays remembered until this box has it, though it failed", func() {
-		p.Told(start, "a", version(4))
+		p.RecordAdvertisement(start, "a", version(4))
 		now := start
 		for range 6 {
 			p.Failed(now, "a")
 			key, _, wait := p.Next(now, version(3), first)
 			Expect(key).To(BeEmpty())
-			Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<=", rules.Most)))
+			Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<=", rules.MaxBackoff)))
 			now = now.Add(wait)
 			key, _, _ = p.Next(now, version(3), first)
 			Expect(key).To(Equal("a"))
@@ -56,19 +56,19 @@
 	})
 
 	It("is dropped with its connection, and forgotten when it says nothing for long", func() {
-		p.Told(start, "a", version(4))
-		p.Gone("a")
+		p.RecordAdvertisement(start, "a", version(4))
+		p.Remove("a")
 		key, _, wait := p.Next(start, version(3), first)
 		Expect(key).To(BeEmpty())
 		Expect(wait).To(BeZero())
-		p.Told(start, "b", version(4))
-		key, _, _ = p.Next(start.Add(rules.Forget+1), version(3), first)
+		p.RecordAdvertisement(start, "b", version(4))
+		key, _, _ = p.Next(start.Add(rules.AdvertisementLifetime+1), version(3), first)
 		Expect(key).To(BeEmpty())
 	})
 
 	It("is another one after a box of two that failed", func() {
-		p.Told(start, "a", version(4))
-		p.Told(start, "b", version(4))
+		p.RecordAdvertisement(start, "a", version(4))
+		p.RecordAdvertisement(start, "b", version(4))
 		p.Failed(start, "a")
 		key, _, _ := p.Next(start, version(3), first)
 		Expect(key).To(Equal("b"))
@@ -79,17 +79,17 @@
 // again within the longest pause, as long as who offered it repeats that.
 func TestPullNeverForgetsAnOffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := core.DefaultPullRules()
-		p := core.NewPull[int](rules)
+		rules := core.DefaultSourceRules()
+		p := core.NewSourceSelector[int](rules)
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		have := core.Offer{}
-		var newest core.Offer
+		have := core.Advertisement{}
+		var newest core.Advertisement
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			box := rapid.IntRange(0, 3).Draw(t, "box")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				newest.Configuration++
-				p.Told(now, box, newest)
+				p.RecordAdvertisement(now, box, newest)
 			case 1:
 				p.Busy(now, box)
 			case 2:
@@ -97,20 +97,20 @@
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			case 4:
-				if key, o, _ := p.Next(now, have, func(n int) int { return n - 1 }); o.Newer(have) {
-					p.Gave(key)
+				if key, o, _ := p.Next(now, have, func(n int) int { return n - 1 }); o.NewerThan(have) {
+					p.RecordSuccess(key)
 					have = o
 				}
 			}
 		}
-		p.Told(now, 0, newest)
+		p.RecordAdvertisement(now, 0, newest)
 		_, o, wait := p.Next(now, have, func(int) int { return 0 })
 		switch {
-		case !newest.Newer(have):
+		case !newest.NewerThan(have):
 			return
-		case o.Newer(have):
+		case o.NewerThan(have):
 			return
-		case wait <= 0 || wait > rules.Most:
+		case wait <= 0 || wait > rules.MaxBackoff:
 			t.Fatalf("something newer is there, and the next question is in %v", wait)
 		}
 	})
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -9,12 +9,12 @@
 
 // QuarantineRules bound when a request is kept from the endpoints, and what is remembered.
 type QuarantineRules struct {
-	Ends    int           // of endpoints under a request, before it is quarantined
-	Hold    time.Duration // since the last end, how long it is
-	Memory  time.Duration // since the last end, after which it is forgotten
-	Records int           // the most requests that are remembered
-	Sound   int           // the most requests that are remembered as sound
-	Proof   time.Duration // since a run that an endpoint survived, how long it proves the request sound
+	CrashThreshold int           // of endpoints under a request, before it is quarantined
+	Duration       time.Duration // since the last end, how long it is
+	Retention      time.Duration // since the last end, after which it is forgotten
+	MaxRecords     int           // the most requests that are remembered
+	MaxCleared     int           // the most requests that are remembered as sound
+	ClearedFor     time.Duration // since a run that an endpoint survived, how long it proves the request sound
 }
 
 // DefaultQuarantineRules gives the rules that the boxes use. One end under a request is
@@ -25,17 +25,17 @@
 // engines that end at once; the sound ones are those of half a minute at a box.
 func DefaultQuarantineRules() QuarantineRules {
 	return QuarantineRules{
-		Ends:    3,
-		Hold:    10 * time.Minute,
-		Memory:  20 * time.Minute,
-		Records: 2048,
-		Sound:   4096,
-		Proof:   30 * time.Second,
+		CrashThreshold: 3,
+		Duration:       10 * time.Minute,
+		Retention:      20 * time.Minute,
+		MaxRecords:     2048,
+		MaxCleared:     4096,
+		ClearedFor:     30 * time.Second,
 	}
 }
 
-// End is the end of an endpoint under a request.
-type End struct {
+// Crash is the end of an endpoint under a request.
+type Crash struct {
 	Endpoint string        `cbor:"1,keyasint"` // its incarnation
 	Age      time.Duration `cbor:"2,keyasint"` // since it ended, by whom tells
 }
@@ -68,18 +68,18 @@
 	}
 }
 
-// Ended takes the end of an endpoint under a request, as this box saw it, and tells
+// Crashed takes the end of an endpoint under a request, as this box saw it, and tells
 // whether it says anything against the request.
-func (q *Quarantine) Ended(now time.Time, request Digest, endpoint string) bool {
+func (q *Quarantine) Crashed(now time.Time, request Digest, endpoint string) bool {
 	if q.proved(now, request) {
 		return false
 	}
 	return q.add(now, request, endpoint, now)
 }
 
-// Survived takes a run of a request that its endpoint survived, and tells whether others
+// RecordSuccess takes a run of a request that its endpoint survived, and tells whether others
 // should know: two ends or more speak against the request.
-func (q *Quarantine) Survived(now time.Time, request Digest) bool {
+func (q *Quarantine) RecordSuccess(now time.Time, request Digest) bool {
 	q.remember(now, request)
 	r := q.records[request]
 	if r == nil {
@@ -90,13 +90,13 @@
 	return others
 }
 
-// Held tells whether a request is quarantined, and until when.
-func (q *Quarantine) Held(now time.Time, request Digest) (time.Time, bool) {
+// QuarantinedUntil tells whether a request is quarantined, and until when.
+func (q *Quarantine) QuarantinedUntil(now time.Time, request Digest) (time.Time, bool) {
 	r := q.records[request]
-	if r == nil || len(r.ends) < q.rules.Ends {
+	if r == nil || len(r.ends) < q.rules.CrashThreshold {
 		return time.Time{}, false
 	}
-	until := r.last.Add(q.rules.Hold)
+	until := r.last.Add(q.rules.Duration)
 	return until, now.Before(until)
 }
 
@@ -104,7 +104,7 @@
 func (q *Quarantine) All(now time.Time) []Digest {
 	var all []Digest
 	for request := range q.records {
-		if _, held := q.Held(now, request); held {
+		if _, held := q.QuarantinedUntil(now, request); held {
 			all = append(all, request)
 		}
 	}
@@ -114,8 +114,8 @@
 	return all
 }
 
-// Ends gives the endpoints that ended under a request, sorted.
-func (q *Quarantine) Ends(request Digest) []string {
+// Crashes gives the endpoints that ended under a request, sorted.
+func (q *Quarantine) Crashes(request Digest) []string {
 	r := q.records[request]
 	if r == nil {
 		return nil
--- a/core/quarantine_record.go
+++ b/core/quarantine_record.go
@@ -7,7 +7,7 @@
 
 // add takes one end, and tells whether it is new and counts.
 func (q *Quarantine) add(now time.Time, request Digest, endpoint string, at time.Time) bool {
-	if now.Sub(at) > q.rules.Memory {
+	if now.Sub(at) > q.rules.Retention {
 		return false
 	}
 	r := q.records[request]
@@ -21,7 +21,7 @@
 	if _, known := r.ends[endpoint]; known || !r.counts(at) {
 		return false
 	}
-	if len(r.ends) > q.rules.Ends {
+	if len(r.ends) > q.rules.CrashThreshold {
 		oldest := r.oldest()
 		if !at.After(r.ends[oldest]) {
 			return false // it was dropped before
@@ -79,13 +79,13 @@
 // proved tells whether an endpoint survived the request a short while ago, at this box.
 func (q *Quarantine) proved(now time.Time, request Digest) bool {
 	at, ok := q.sound[request]
-	return ok && now.Sub(at) <= q.rules.Proof
+	return ok && now.Sub(at) <= q.rules.ClearedFor
 }
 
 // remember takes a request among the sound ones, in place of the oldest.
 func (q *Quarantine) remember(now time.Time, request Digest) {
 	if _, known := q.sound[request]; !known {
-		if len(q.order) >= q.rules.Sound {
+		if len(q.order) >= q.rules.MaxCleared {
 			delete(q.sound, q.order[0])
 			q.order = q.order[1:]
 		}
@@ -98,7 +98,7 @@
 // oldest of these, unless the new one's end is older still. So all boxes keep the same ones,
 // and don't take from each other in turns what they forgot.
 func (q *Quarantine) makeRoom(at time.Time) bool {
-	if len(q.records) < q.rules.Records {
+	if len(q.records) < q.rules.MaxRecords {
 		return true
 	}
 	var least Digest
--- a/core/quarantine_word.go
+++ b/core/quarantine_word.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// EndRecord is what a box tells others of a request under which endpoints ended.
-type EndRecord struct {
+// CrashRecord is what a box tells others of a request under which endpoints ended.
+type CrashRecord struct {
 	Request Digest        `cbor:"1,keyasint"`
-	Ends    []End         `cbor:"2,keyasint,omitempty"`
-	Sound   bool          `cbor:"3,keyasint,omitempty"` // an endpoint survived it
+	Crashes []Crash       `cbor:"2,keyasint,omitempty"`
+	Cleared bool          `cbor:"3,keyasint,omitempty"` // an endpoint survived it
 	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since then, by whom tells
 }
 
-// Hear takes what another box tells, and gives the part of it that this box didn't know
+// Merge takes what another box tells, and gives the part of it that this box didn't know
 // and what it has to say against it itself.
-func (q *Quarantine) Hear(now time.Time, told []EndRecord) (news, objections []EndRecord) {
+func (q *Quarantine) Merge(now time.Time, told []CrashRecord) (news, objections []CrashRecord) {
 	for _, t := range told {
 		changed := false
-		if t.Sound {
+		if t.Cleared {
 			changed = q.hearSound(now, t)
 		}
-		for _, e := range t.Ends {
+		for _, e := range t.Crashes {
 			if q.add(now, t.Request, e.Endpoint, now.Add(-max(e.Age, 0))) {
 				changed = true
 			}
@@ -42,19 +42,19 @@
 
 // correct lets a box that tells of ends from before a survived run hear of that run with
 // the next messages.
-func (q *Quarantine) correct(now time.Time, t EndRecord) {
+func (q *Quarantine) correct(now time.Time, t CrashRecord) {
 	r := q.records[t.Request]
 	if r == nil {
 		return
 	}
-	old := func(e End) bool { return !r.counts(now.Add(-max(e.Age, 0))) }
-	if slices.ContainsFunc(t.Ends, old) {
+	old := func(e Crash) bool { return !r.counts(now.Add(-max(e.Age, 0))) }
+	if slices.ContainsFunc(t.Crashes, old) {
 		r.told = 0
 	}
 }
 
 // hearSound takes word that an endpoint survived a request.
-func (q *Quarantine) hearSound(now time.Time, t EndRecord) bool {
+func (q *Quarantine) hearSound(now time.Time, t CrashRecord) bool {
 	r := q.records[t.Request]
 	at := now.Add(-max(t.Age, 0))
 	// Word that came round has the time that its box gave it, less the time that it took.
@@ -65,11 +65,11 @@
 	return true
 }
 
-// Tell gives what to tell about one request, or false for nothing.
-func (q *Quarantine) Tell(now time.Time, request Digest) (EndRecord, bool) {
+// Lookup gives what to tell about one request, or false for nothing.
+func (q *Quarantine) Lookup(now time.Time, request Digest) (CrashRecord, bool) {
 	r := q.records[request]
 	if r == nil {
-		return EndRecord{}, false
+		return CrashRecord{}, false
 	}
 	return r.tell(now, request), true
 }
@@ -96,11 +96,11 @@
 
 // Sample gives the records that another box should know: those that are new, and some of
 // those that speak against a request. Those told the least go first.
-func (q *Quarantine) Sample(now time.Time) []EndRecord {
+func (q *Quarantine) Sample(now time.Time) []CrashRecord {
 	var several, single, standing []Digest
 	for request, r := range q.records {
 		switch {
-		case now.Sub(r.last) > q.rules.Memory:
+		case now.Sub(r.last) > q.rules.Retention:
 			delete(q.records, request)
 		case r.doubtful() && r.told < singleTellings:
 			single = append(single, request)
@@ -112,7 +112,7 @@
 		}
 	}
 	chosen := slices.Concat(q.least(several, severalMost), q.least(single, singleMost), q.least(standing, standingMost))
-	out := make([]EndRecord, 0, len(chosen))
+	out := make([]CrashRecord, 0, len(chosen))
 	for _, request := range chosen {
 		r := q.records[request]
 		r.told++
@@ -133,16 +133,16 @@
 	return requests[:min(len(requests), most)]
 }
 
-func (r *endRecord) tell(now time.Time, request Digest) EndRecord {
-	t := EndRecord{Request: request}
+func (r *endRecord) tell(now time.Time, request Digest) CrashRecord {
+	t := CrashRecord{Request: request}
 	for _, endpoint := range slices.Sorted(maps.Keys(r.ends)) {
-		t.Ends = append(t.Ends, End{
+		t.Crashes = append(t.Crashes, Crash{
 			Endpoint: endpoint,
 			Age:      now.Sub(r.ends[endpoint]),
 		})
 	}
 	if !r.soundAt.IsZero() {
-		t.Sound = true
+		t.Cleared = true
 		t.Age = now.Sub(r.soundAt)
 	}
 	return t
--- a/core/ration.go
+++ b/core/ration.go
@@ -2,71 +2,71 @@
 
 import "time"
 
-// RationRules say how what an endpoint bears is counted.
-type RationRules struct {
-	Window time.Duration // in which no more than the share are sent
-	Hold   time.Duration // how long a send that was planned keeps its place
+// SendBudgetRules say how what an endpoint bears is counted.
+type SendBudgetRules struct {
+	Window              time.Duration // in which no more than the share are sent
+	ReservationLifetime time.Duration // how long a send that was planned keeps its place
 }
 
-// DefaultRationRules count a second and what two sends' ways to an endpoint may differ by.
+// DefaultSendBudgetRules count a second and what two sends' ways to an endpoint may differ by.
 // A planned send keeps its place as long as the longest plan lasts: a run's move, of 2.5 s,
 // and the wait for its copy.
-func DefaultRationRules() RationRules {
-	return RationRules{
-		Window: 1100 * time.Millisecond,
-		Hold:   4500 * time.Millisecond,
+func DefaultSendBudgetRules() SendBudgetRules {
+	return SendBudgetRules{
+		Window:              1100 * time.Millisecond,
+		ReservationLifetime: 4500 * time.Millisecond,
 	}
 }
 
-// Ration counts one box's sends to one endpoint that bears only some in a second.
-type Ration struct {
-	rules RationRules
+// SendBudget counts one box's sends to one endpoint that bears only some in a second.
+type SendBudget struct {
+	rules SendBudgetRules
 	sent  []time.Time // in the last window, oldest first
 	held  []time.Time // when planned ones took their places, oldest first
 }
 
-// NewRation builds a ration of which nothing is spent.
-func NewRation(rules RationRules) *Ration { return &Ration{rules: rules} }
+// NewSendBudget builds a ration of which nothing is spent.
+func NewSendBudget(rules SendBudgetRules) *SendBudget { return &SendBudget{rules: rules} }
 
-// Free tells whether one more send fits into the box's share.
-func (r *Ration) Free(now time.Time, share int) bool {
+// CanReserve tells whether one more send fits into the box's share.
+func (r *SendBudget) CanReserve(now time.Time, share int) bool {
 	r.sent = since(r.sent, now.Add(-r.rules.Window))
-	r.held = since(r.held, now.Add(-r.rules.Hold))
+	r.held = since(r.held, now.Add(-r.rules.ReservationLifetime))
 	return len(r.sent)+len(r.held) < share
 }
 
-// Hold keeps a place for a send that is planned, if one is free.
-func (r *Ration) Hold(now time.Time, share int) bool {
-	if !r.Free(now, share) {
+// Reserve keeps a place for a send that is planned, if one is free.
+func (r *SendBudget) Reserve(now time.Time, share int) bool {
+	if !r.CanReserve(now, share) {
 		return false
 	}
 	r.held = append(r.held, now)
 	return true
 }
 
-// Drop gives a place back that was kept.
-func (r *Ration) Drop() {
+// CancelReservation gives a place back that was kept.
+func (r *SendBudget) CancelReservation() {
 	if len(r.held) > 0 {
 		r.held = r.held[1:]
 	}
 }
 
-// Send counts a send, which takes a place that was kept for it or a free one; false says
+// Acquire counts a send, which takes a place that was kept for it or a free one; false says
 // that there is none.
-func (r *Ration) Send(now time.Time, share int, held bool) bool {
+func (r *SendBudget) Acquire(now time.Time, share int, held bool) bool {
 	if held {
-		r.Drop()
+		r.CancelReservation()
 	}
-	if !r.Free(now, share) {
+	if !r.CanReserve(now, share) {
 		return false
 	}
 	r.sent = append(r.sent, now)
 	return true
 }
 
-// Idle tells whether nothing is counted any more.
-func (r *Ration) Idle(now time.Time) bool {
-	r.Free(now, 0)
+// IsIdle tells whether nothing is counted any more.
+func (r *SendBudget) IsIdle(now time.Time) bool {
+	r.CanReserve(now, 0)
 	return len(r.sent)+len(r.held) == 0
 }
 
--- a/core/roster.go
+++ b/core/roster.go
@@ -8,27 +8,27 @@
 
 // Peer is what a box tells others about itself or another box.
 type Peer struct {
-	Box      string         `cbor:"1,keyasint"`
-	Zone     string         `cbor:"2,keyasint,omitempty"`
-	Address  netip.AddrPort `cbor:"3,keyasint"` // for other boxes
-	Life     uint64         `cbor:"4,keyasint"` // drawn at the process's start
-	Silence  time.Duration  `cbor:"5,keyasint"` // since it was last heard of, by whom tells
-	Leaving  bool           `cbor:"6,keyasint,omitempty"`
-	Suspect  bool           `cbor:"7,keyasint,omitempty"` // a box that greets it got no answer
-	LinkMbps uint32         `cbor:"8,keyasint,omitempty"` // of the box's link; 0 when unknown
+	Box        string         `cbor:"1,keyasint"`
+	Zone       string         `cbor:"2,keyasint,omitempty"`
+	Address    netip.AddrPort `cbor:"3,keyasint"` // for other boxes
+	InstanceID uint64         `cbor:"4,keyasint"` // drawn at the process's start
+	Silence    time.Duration  `cbor:"5,keyasint"` // since it was last heard of, by whom tells
+	Leaving    bool           `cbor:"6,keyasint,omitempty"`
+	Suspect    bool           `cbor:"7,keyasint,omitempty"` // a box that greets it got no answer
+	LinkMbps   uint32         `cbor:"8,keyasint,omitempty"` // of the box's link; 0 when unknown
 }
 
 // RosterRules bound what a roster keeps and tells.
 type RosterRules struct {
-	Least    time.Duration // a box heard of within this is never suspect
-	Fresh    time.Duration // word of a suspect that is newer than this clears it
-	Unheard  time.Duration // silence after which a box isn't taken to be there
-	Forget   time.Duration // silence after which a box is dropped
-	Share    time.Duration // how long a silent box still counts among those that share a budget
-	Sample   int           // members told in one message
-	Changes  int           // the most told in one message because something changed
-	Turns    int           // the fewest told in turn
-	Tellings int           // how often a change is told
+	MinSilence      time.Duration // a box heard of within this is never suspect
+	ClearWithin     time.Duration // word of a suspect that is newer than this clears it
+	MaxAliveSilence time.Duration // silence after which a box isn't taken to be there
+	MaxSilence      time.Duration // silence after which a box is dropped
+	BudgetSilence   time.Duration // how long a silent box still counts among those that share a budget
+	Sample          int           // members told in one message
+	MaxChanged      int           // the most told in one message because something changed
+	MinRotated      int           // the fewest told in turn
+	ChangeSends     int           // how often a change is told
 }
 
 // DefaultRosterRules gives the rules that the boxes use. Least is some rounds of
@@ -41,15 +41,15 @@
 // enough that they reach a thousand boxes.
 func DefaultRosterRules() RosterRules {
 	return RosterRules{
-		Least:    2500 * time.Millisecond,
-		Fresh:    1250 * time.Millisecond,
-		Unheard:  40 * time.Second,
-		Forget:   2 * time.Minute,
-		Share:    time.Minute,
-		Sample:   16,
-		Changes:  48,
-		Turns:    4,
-		Tellings: 12,
+		MinSilence:      2500 * time.Millisecond,
+		ClearWithin:     1250 * time.Millisecond,
+		MaxAliveSilence: 40 * time.Second,
+		MaxSilence:      2 * time.Minute,
+		BudgetSilence:   time.Minute,
+		Sample:          16,
+		MaxChanged:      48,
+		MinRotated:      4,
+		ChangeSends:     12,
 	}
 }
 
@@ -85,37 +85,37 @@
 // Self gives the box's own entry.
 func (r *Roster) Self() Peer { return r.self }
 
-// Leave marks the box itself as leaving.
-func (r *Roster) Leave() { r.self.Leaving = true }
+// MarkLeaving marks the box itself as leaving.
+func (r *Roster) MarkLeaving() { r.self.Leaving = true }
 
-// Meet takes the word of a box about itself, which goes before all others'.
-func (r *Roster) Meet(now time.Time, m Peer) {
+// RecordContact takes the word of a box about itself, which goes before all others'.
+func (r *Roster) RecordContact(now time.Time, m Peer) {
 	r.met = true
 	m.Silence = 0
 	m.Suspect = false
 	r.take(now, m, true)
 }
 
-// Hear takes what a box heard about others.
-func (r *Roster) Hear(now time.Time, members []Peer) {
+// Merge takes what a box heard about others.
+func (r *Roster) Merge(now time.Time, members []Peer) {
 	for _, m := range members {
 		r.take(now, m, false)
 	}
 }
 
-// Suspended takes that the machine was suspended for a time, which the steady clock didn't
+// HandleSuspension takes that the machine was suspended for a time, which the steady clock didn't
 // count: what was heard is so much older, and must not clear others' suspicions.
-func (r *Roster) Suspended(d time.Duration) {
+func (r *Roster) HandleSuspension(d time.Duration) {
 	for _, e := range r.members {
 		e.heard = e.heard.Add(-d)
 	}
 }
 
-// Unanswered suspects a box that didn't answer a greeting, unless it was heard
+// RecordNoAnswer suspects a box that didn't answer a greeting, unless it was heard
 // of lately, by this box or others.
-func (r *Roster) Unanswered(now time.Time, address netip.AddrPort) {
+func (r *Roster) RecordNoAnswer(now time.Time, address netip.AddrPort) {
 	for _, e := range r.members {
-		if e.Address == address && !e.Suspect && now.Sub(e.heard) > r.rules.Least {
+		if e.Address == address && !e.Suspect && now.Sub(e.heard) > r.rules.MinSilence {
 			e.Suspect = true
 			e.told = 0
 		}
@@ -123,7 +123,7 @@
 }
 
 func (r *Roster) take(now time.Time, m Peer, direct bool) {
-	if m.Box == r.self.Box || m.Silence > r.rules.Forget || m.Silence < 0 {
+	if m.Box == r.self.Box || m.Silence > r.rules.MaxSilence || m.Silence < 0 {
 		return
 	}
 	heard := now.Add(-m.Silence)
@@ -132,20 +132,20 @@
 		r.add(m, heard)
 		return
 	}
-	if m.Suspect && known.Life == m.Life {
+	if m.Suspect && known.InstanceID == m.InstanceID {
 		r.accuse(now, known, heard)
 		return
 	}
 	if !heard.After(known.heard) {
 		return
 	}
-	if !direct && known.Life == m.Life {
+	if !direct && known.InstanceID == m.InstanceID {
 		// Leaving is for good within one life, and old word of a suspect is
 		// from before it fell silent.
 		m.Leaving = m.Leaving || known.Leaving
-		m.Suspect = known.Suspect && m.Silence > r.rules.Fresh
+		m.Suspect = known.Suspect && m.Silence > r.rules.ClearWithin
 	}
-	if m.Leaving != known.Leaving || m.Suspect != known.Suspect || m.Life != known.Life {
+	if m.Leaving != known.Leaving || m.Suspect != known.Suspect || m.InstanceID != known.InstanceID {
 		known.told = 0
 	}
 	known.Peer = m
@@ -154,7 +154,7 @@
 
 // accuse takes another's suspicion, or contradicts it by what is known here.
 func (r *Roster) accuse(now time.Time, known *rosterEntry, heard time.Time) {
-	if now.Sub(known.heard) <= r.rules.Least {
+	if now.Sub(known.heard) <= r.rules.MinSilence {
 		known.told = 0
 		return
 	}
@@ -176,10 +176,10 @@
 	r.order = slices.Insert(r.order, at, m.Box)
 }
 
-// Tick drops boxes that have been silent for long.
-func (r *Roster) Tick(now time.Time) {
+// DropSilent drops boxes that have been silent for long.
+func (r *Roster) DropSilent(now time.Time) {
 	r.order = slices.DeleteFunc(r.order, func(box string) bool {
-		if now.Sub(r.members[box].heard) <= r.rules.Forget {
+		if now.Sub(r.members[box].heard) <= r.rules.MaxSilence {
 			return false
 		}
 		delete(r.members, box)
@@ -190,7 +190,7 @@
 // Alive gives the boxes that are likely there, by name.
 func (r *Roster) Alive(now time.Time) []Peer {
 	return slices.DeleteFunc(r.All(now), func(m Peer) bool {
-		return m.Leaving || m.Suspect || m.Silence > r.rules.Unheard
+		return m.Leaving || m.Suspect || m.Silence > r.rules.MaxAliveSilence
 	})
 }
 
@@ -203,8 +203,8 @@
 	return all
 }
 
-// Met tells whether any box answered since the start.
-func (r *Roster) Met() bool { return r.met }
+// HasContact tells whether any box answered since the start.
+func (r *Roster) HasContact() bool { return r.met }
 
 // Sharers counts the boxes that share a budget: this one, and all that were
 // heard of within the rules' time. It shrinks late on purpose: a box that is
@@ -212,7 +212,7 @@
 func (r *Roster) Sharers(now time.Time) int {
 	n := 1
 	for _, e := range r.members {
-		if now.Sub(e.heard) <= r.rules.Share {
+		if now.Sub(e.heard) <= r.rules.BudgetSilence {
 			n++
 		}
 	}
--- a/core/roster_fleet_test.go
+++ b/core/roster_fleet_test.go
@@ -41,10 +41,10 @@
 	}
 	for i := range size {
 		self := core.Peer{
-			Box:     fmt.Sprintf("box-%03d", i),
-			Zone:    fmt.Sprintf("zone-%d", i%3),
-			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 256), byte(i)}), 1),
-			Life:    1,
+			Box:        fmt.Sprintf("box-%03d", i),
+			Zone:       fmt.Sprintf("zone-%d", i%3),
+			Address:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 256), byte(i)}), 1),
+			InstanceID: 1,
 		}
 		f.index[self.Box] = i
 		f.boxes = append(f.boxes, &rosterBox{
@@ -69,7 +69,7 @@
 
 func (f *rosterFleet) greet(i int) {
 	b := f.boxes[i]
-	b.roster.Tick(f.now)
+	b.roster.DropSilent(f.now)
 	alive := b.roster.Alive(f.now)
 	b.look(alive)
 	if f.rounds%16 == 0 || f.boxes[b.visitor].down {
@@ -87,13 +87,13 @@
 	switch {
 	case other == b:
 	case other.down:
-		b.roster.Unanswered(f.now, other.self.Address)
+		b.roster.RecordNoAnswer(f.now, other.self.Address)
 	default:
 		told, answer := b.roster.Sample(f.now), other.roster.Sample(f.now)
-		other.roster.Hear(f.now, told)
-		other.roster.Meet(f.now, b.self)
-		b.roster.Hear(f.now, answer)
-		b.roster.Meet(f.now, other.self)
+		other.roster.Merge(f.now, told)
+		other.roster.RecordContact(f.now, b.self)
+		b.roster.Merge(f.now, answer)
+		b.roster.RecordContact(f.now, other.self)
 	}
 }
 
@@ -157,7 +157,7 @@
 
 		for _, b := range f.boxes[100:] {
 			b.down = false
-			b.self.Life = 2
+			b.self.InstanceID = 2
 			b.roster = core.NewRoster(b.self, core.DefaultRosterRules())
 			b.alive = nil
 		}
@@ -171,7 +171,7 @@
 		f.play(10 * time.Second)
 		// One box finds three others silent that all others reach.
 		for _, other := range f.boxes[4:7] {
-			f.boxes[3].roster.Unanswered(f.now.Add(3*time.Second), other.self.Address)
+			f.boxes[3].roster.RecordNoAnswer(f.now.Add(3*time.Second), other.self.Address)
 		}
 		f.play(6 * time.Second)
 		least, _ := f.holds()
--- a/core/roster_sample.go
+++ b/core/roster_sample.go
@@ -13,7 +13,7 @@
 		return r.All(now)
 	}
 	chosen := r.changed()
-	for enough := min(max(len(chosen)+r.rules.Turns, r.rules.Sample), len(r.order)); len(chosen) < enough; {
+	for enough := min(max(len(chosen)+r.rules.MinRotated, r.rules.Sample), len(r.order)); len(chosen) < enough; {
 		r.next = (r.next + 1) % len(r.order)
 		e := r.members[r.order[r.next]]
 		if !slices.Contains(chosen, e) {
@@ -32,12 +32,12 @@
 func (r *Roster) changed() []*rosterEntry {
 	var all []*rosterEntry
 	for _, box := range r.order {
-		if e := r.members[box]; e.told < r.rules.Tellings {
+		if e := r.members[box]; e.told < r.rules.ChangeSends {
 			all = append(all, e)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b *rosterEntry) int { return cmp.Compare(a.told, b.told) })
-	all = all[:min(len(all), r.rules.Changes)]
+	all = all[:min(len(all), r.rules.MaxChanged)]
 	for _, e := range all {
 		e.told++
 	}
--- a/core/suspicion.go
+++ b/core/suspicion.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// SuspicionRules bound when a silent box is suspected.
-type SuspicionRules struct {
-	Least      time.Duration // silence that is never suspect
-	Deviations float64       // silence in deviations of the usual interval
-	HeardFor   time.Duration // how long another's suspicion counts
+// FailureDetectorRules bound when a silent box is suspected.
+type FailureDetectorRules struct {
+	MinSilence     time.Duration // silence that is never suspect
+	MaxDeviations  float64       // silence in deviations of the usual interval
+	ReportLifetime time.Duration // how long another's suspicion counts
 }
 
-// DefaultSuspicionRules gives the bounds that the processes use.
-func DefaultSuspicionRules() SuspicionRules {
-	return SuspicionRules{
-		Least:      2500 * time.Millisecond,
-		Deviations: 6,
-		HeardFor:   5 * time.Second,
+// DefaultFailureDetectorRules gives the bounds that the processes use.
+func DefaultFailureDetectorRules() FailureDetectorRules {
+	return FailureDetectorRules{
+		MinSilence:     2500 * time.Millisecond,
+		MaxDeviations:  6,
+		ReportLifetime: 5 * time.Second,
 	}
 }
 
-// HeartbeatSeen tells that a box answered a heartbeat.
-type HeartbeatSeen struct {
+// HeartbeatReceived tells that a box answered a heartbeat.
+type HeartbeatReceived struct {
 	EventBase
 	Box string
 }
 
-// HeartbeatAwaited tells that a box is watched from now on.
-type HeartbeatAwaited struct {
+// HeartbeatExpected tells that a box is watched from now on.
+type HeartbeatExpected struct {
 	EventBase
 	Box string
 }
 
-// SuspectsHeard tells whom a peer suspects from its own observation.
-type SuspectsHeard struct {
+// SuspectsReported tells whom a peer suspects from its own observation.
+type SuspectsReported struct {
 	EventBase
 	From  string
 	Boxes []string
 }
 
-// Suspicion says which boxes are likely dead: by the rhythm of each box's own
+// FailureDetector says which boxes are likely dead: by the rhythm of each box's own
 // heartbeats and not by one time-out for all.
-type Suspicion struct {
-	rules   SuspicionRules
+type FailureDetector struct {
+	rules   FailureDetectorRules
 	watched map[string]*rhythm
 	heard   map[string]time.Time
 }
@@ -58,9 +58,9 @@
 // rhythmWeight is the weight of the newest interval.
 const rhythmWeight = 0.1
 
-// NewSuspicion starts with no box watched.
-func NewSuspicion(rules SuspicionRules) *Suspicion {
-	return &Suspicion{
+// NewFailureDetector starts with no box watched.
+func NewFailureDetector(rules FailureDetectorRules) *FailureDetector {
+	return &FailureDetector{
 		rules:   rules,
 		watched: make(map[string]*rhythm),
 		heard:   make(map[string]time.Time),
@@ -68,18 +68,18 @@
 }
 
 // Step applies one event.
-func (s *Suspicion) Step(now time.Time, ev Event) []Command {
+func (s *FailureDetector) Step(now time.Time, ev Event) []Command {
 	switch e := ev.(type) {
-	case HeartbeatAwaited:
+	case HeartbeatExpected:
 		if s.watched[e.Box] == nil {
 			s.watched[e.Box] = &rhythm{
 				last: now,
 				mean: 1,
 			}
 		}
-	case HeartbeatSeen:
+	case HeartbeatReceived:
 		s.seen(now, e.Box)
-	case SuspectsHeard:
+	case SuspectsReported:
 		for _, box := range e.Boxes {
 			s.heard[box] = now
 		}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (s *Suspicion) seen(now time.Time, box string) {
+func (s *FailureDetector) seen(now time.Time, box string) {
 	delete(s.heard, box)
 	r := s.watched[box]
 	if r == nil {
@@ -101,8 +101,8 @@
 	r.last = now
 }
 
-// Keep stops watching all but the named boxes.
-func (s *Suspicion) Keep(boxes []string) {
+// Retain stops watching all but the named boxes.
+func (s *FailureDetector) Retain(boxes []string) {
 	for name := range s.watched {
 		if !slices.Contains(boxes, name) {
 			delete(s.watched, name)
@@ -110,12 +110,12 @@
 	}
 }
 
-// Own gives the boxes that this box itself finds silent.
-func (s *Suspicion) Own(now time.Time) []string {
+// OwnSuspects gives the boxes that this box itself finds silent.
+func (s *FailureDetector) OwnSuspects(now time.Time) []string {
 	var silent []string
 	for name, r := range s.watched {
-		limit := r.mean + s.rules.Deviations*math.Sqrt(r.variance)
-		if silence := now.Sub(r.last); silence > s.rules.Least && silence.Seconds() > limit {
+		limit := r.mean + s.rules.MaxDeviations*math.Sqrt(r.variance)
+		if silence := now.Sub(r.last); silence > s.rules.MinSilence && silence.Seconds() > limit {
 			silent = append(silent, name)
 		}
 	}
@@ -123,16 +123,16 @@
 	return silent
 }
 
-// All gives the boxes that this box or a peer suspects; one's own fresh sight
+// Suspects gives the boxes that this box or a peer suspects; one's own fresh sight
 // of a box goes before a peer's suspicion.
-func (s *Suspicion) All(now time.Time) []string {
-	all := s.Own(now)
+func (s *FailureDetector) Suspects(now time.Time) []string {
+	all := s.OwnSuspects(now)
 	for name, at := range s.heard {
-		if now.Sub(at) > s.rules.HeardFor {
+		if now.Sub(at) > s.rules.ReportLifetime {
 			delete(s.heard, name)
 			continue
 		}
-		if r := s.watched[name]; r != nil && now.Sub(r.last) < s.rules.Least {
+		if r := s.watched[name]; r != nil && now.Sub(r.last) < s.rules.MinSilence {
 			continue
 		}
 		if !slices.Contains(all, name) {
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	h.remember(now, e.List)
-	h.reading = Reading{
+	h.reading = ListSnapshot{
 		List:        e.List,
 		ConfirmedAt: e.At,
 	}
--- a/engine/presence.go
+++ b/engine/presence.go
@@ -58,10 +58,10 @@
 // NewPresences builds one that has asked nobody.
 func NewPresences() *Presences { return &Presences{asked: make(map[string]*question)} }
 
-// Ended tells whether an endpoint, by its incarnation and address, has ended, and by what
+// Crashed tells whether an endpoint, by its incarnation and address, has ended, and by what
 // sign. A connection that broke off says little: resets, faulty answers and links do it
 // too. HeardSince tells whether anything came from the endpoint after a time.
-func (p *Presences) Ended(endpoint string, address netip.AddrPort, heardSince func(time.Time) bool) (Presence, bool) {
+func (p *Presences) Crashed(endpoint string, address netip.AddrPort, heardSince func(time.Time) bool) (Presence, bool) {
 	asked := time.Now()
 	answer := p.ask(asked, endpoint, address)
 	if answer != Refuses && answer != Present {
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -63,7 +63,7 @@
 	k.endAttempt()
 	k.freePlace(c.Code == core.EndDone)
 	if c.Code == core.EndDone {
-		k.entry.quarantine.Survived(time.Now(), k.content())
+		k.entry.quarantine.RecordSuccess(time.Now(), k.content())
 		return
 	}
 	if k.runAgain() {
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -61,7 +61,7 @@
 // look finds out whether the endpoint has ended. What came from it meanwhile isn't known
 // here, beside its own word.
 func (l *loss) look() {
-	sign, ended := l.entry.presences.Ended(l.life, l.address, func(time.Time) bool { return false })
+	sign, ended := l.entry.presences.Crashed(l.life, l.address, func(time.Time) bool { return false })
 	if !ended {
 		return
 	}
@@ -72,7 +72,7 @@
 		zap.Stringer("content", l.content),
 		zap.String("customer", l.customer),
 	)
-	l.entry.quarantine.Ended(time.Now(), l.content, l.life)
+	l.entry.quarantine.Crashed(time.Now(), l.content, l.life)
 }
 
 // leaves tells whether the platform's list says that an endpoint leaves or is gone.
@@ -94,7 +94,7 @@
 // more; now three end in all at one box.
 func (k *call) quarantined() bool {
 	now := time.Now()
-	until, held := k.entry.quarantine.Held(now, k.content())
+	until, held := k.entry.quarantine.QuarantinedUntil(now, k.content())
 	if !held {
 		return false
 	}
--- a/entry/model.go
+++ b/entry/model.go
@@ -171,10 +171,10 @@
 		}
 	}
 	size := subsetSize(len(v.Document.Models))
-	chosen := core.Nearest(self.Name, zone, (size+1)/2)
-	chosen = append(chosen, core.Nearest(self.Name, region, size-len(chosen))...)
+	chosen := core.TopByScore(self.Name, zone, (size+1)/2)
+	chosen = append(chosen, core.TopByScore(self.Name, region, size-len(chosen))...)
 	for _, more := range [][]string{zone, rest} {
-		for _, name := range core.Nearest(self.Name, more, len(more)) {
+		for _, name := range core.TopByScore(self.Name, more, len(more)) {
 			if len(chosen) < size && !slices.Contains(chosen, name) {
 				chosen = append(chosen, name)
 			}
--- a/fleet/belief.go
+++ b/fleet/belief.go
@@ -157,10 +157,10 @@
 	}
 }
 
-// Suspended takes that the machine was suspended for a time, which the steady clock didn't
+// HandleSuspension takes that the machine was suspended for a time, which the steady clock didn't
 // count: what was confirmed before is so much older. Other boxes are told of its age, and
 // would take an old list for a fresh one.
-func (b *Belief) Suspended(d time.Duration) {
+func (b *Belief) HandleSuspension(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.confirm = b.confirm.Add(-d)
--- a/fleet/belief_test.go
+++ b/fleet/belief_test.go
@@ -154,7 +154,7 @@
 
 	It("is as old as it is after a suspension of its machine", func() {
 		b.HeardOf(noon, 9)
-		b.Suspended(3 * time.Second)
+		b.HandleSuspension(3 * time.Second)
 		Expect(b.View().Confirmed).To(Equal(noon.Add(-3 * time.Second)))
 		Expect(b.Awaited(noon)).To(Equal(3 * time.Second))
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
--- a/fleet/division.go
+++ b/fleet/division.go
@@ -7,7 +7,7 @@
 func (p *Peers) UnitShare(endpoint string, units int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.settled || (!p.roster.Met() && len(p.seeds) > 0) {
+	if !p.settled || (!p.roster.HasContact() && len(p.seeds) > 0) {
 		return 0
 	}
 	return p.division.Share(time.Now(), endpoint, units)
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -35,14 +35,14 @@
 	for i, m := range []any{
 		fleet.Greeting{
 			From: core.Peer{Box: "a"},
-			Ends: []core.EndRecord{{
-				Ends: []core.End{{Endpoint: "e", Age: -time.Second}},
+			Crashes: []core.CrashRecord{{
+				Crashes: []core.Crash{{Endpoint: "e", Age: -time.Second}},
 			}},
 			Reports: []routing.Report{{Endpoint: "e", Age: -1}},
 			Age:     -1,
 		},
 		fleet.News{Changed: 9, Updated: []routing.Endpoint{{ID: "e"}}},
-		fleet.EndRecords{All: []core.EndRecord{{Sound: true, Age: 1 << 62}}},
+		fleet.EndRecords{All: []core.CrashRecord{{Cleared: true, Age: 1 << 62}}},
 		fleet.Placements{All: []fleet.Placement{{Endpoint: "e", Tokens: -1}}},
 		fleet.Evacuating{Endpoint: "e", Runs: []fleet.MovingRun{{ID: "r", CopyTime: -1}}},
 		fleet.Want{Configuration: 1 << 63},
--- a/fleet/give.go
+++ b/fleet/give.go
@@ -55,14 +55,14 @@
 	belief *Belief
 	log    *zap.Logger
 	mu     sync.Mutex
-	giving *core.Giving[*wire.Conn]
+	giving *core.TransferLimiter[*wire.Conn]
 	kept   []packed // the last used at the end
 }
 
 // packed is what answers one kind of question.
 type packed struct {
 	want   Want
-	of     core.Offer // the view that it was made from
+	of     core.Advertisement // the view that it was made from
 	digest uint64
 	data   []byte
 }
@@ -71,13 +71,13 @@
 	return &giver{
 		belief: b,
 		log:    log,
-		giving: core.NewGiving[*wire.Conn](core.DefaultGivingRules()),
+		giving: core.NewTransferLimiter[*wire.Conn](core.DefaultTransferRules()),
 	}
 }
 
 // offerOf says how new a view is.
-func offerOf(v *View) core.Offer {
-	return core.Offer{
+func offerOf(v *View) core.Advertisement {
+	return core.Advertisement{
 		Configuration: v.Configuration(),
 		Changed:       v.Changed,
 	}
@@ -91,7 +91,7 @@
 	if w.Changed != noList {
 		out.Age = time.Since(v.Confirmed)
 	}
-	if !offerOf(v).Newer(core.Offer{
+	if !offerOf(v).NewerThan(core.Advertisement{
 		Configuration: w.Configuration,
 		Changed:       w.Changed,
 	}) {
@@ -103,7 +103,7 @@
 	if err != nil {
 		return Part{}, err
 	}
-	if len(k.data) > partBytes && !g.giving.Begin(time.Now(), c) {
+	if len(k.data) > partBytes && !g.giving.TryStart(time.Now(), c) {
 		return Part{Busy: true}, nil
 	}
 	out.Digest = k.digest
@@ -120,12 +120,12 @@
 	if i < 0 || w.Offset < 0 || w.Offset >= len(g.kept[i].data) {
 		return Part{}, nil
 	}
-	g.giving.GoOn(time.Now(), c)
+	g.giving.RecordProgress(time.Now(), c)
 	k := g.use(i)
 	data := k.data
 	end := min(w.Offset+partBytes, len(data))
 	if end == len(data) {
-		took := g.giving.Done(time.Now(), c)
+		took := g.giving.Finish(time.Now(), c)
 		g.log.Info("views given", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", k.of.Configuration), zap.Int("bytes", len(data)), zap.Duration("took", took))
 	}
 	return Part{
@@ -154,8 +154,8 @@
 
 // alone gives the question for a configuration alone, whose answer is the same whatever
 // the asker has, and what that answer holds.
-func alone(version uint64) (Want, core.Offer) {
-	return Want{Changed: noList}, core.Offer{Configuration: version}
+func alone(version uint64) (Want, core.Advertisement) {
+	return Want{Changed: noList}, core.Advertisement{Configuration: version}
 }
 
 // took keeps a configuration as another box packed it, to be given as it came: to pack
@@ -175,7 +175,7 @@
 	return k
 }
 
-func (g *giver) keep(w Want, of core.Offer, data []byte) packed {
+func (g *giver) keep(w Want, of core.Advertisement, data []byte) packed {
 	k := packed{
 		want:   w,
 		of:     of,
--- a/fleet/greeting.go
+++ b/fleet/greeting.go
@@ -48,13 +48,13 @@
 		Configuration: v.Configuration(),
 		Changed:       v.Changed,
 		Age:           now.Sub(v.Confirmed),
-		Ends:          p.quarantine.sample(now),
+		Crashes:       p.quarantine.sample(now),
 		Limits:        p.limits.sample(now),
 	}
 	if p.reports != nil {
 		var share map[string]bool // all
 		if !fellow {
-			share = p.Share(v)
+			share = p.PreferredEndpoints(v)
 		}
 		g.Reports = p.reports.Sample(now, share)
 	}
@@ -80,22 +80,22 @@
 
 func (p *Peers) take(g Greeting, fellow bool) {
 	now := time.Now()
-	p.endsGreeted(g.Ends, fellow)
+	p.endsGreeted(g.Crashes, fellow)
 	p.limitsGreeted(g.Limits, fellow)
 	if p.reports != nil {
-		p.reports.Hear(now, g.Reports)
+		p.reports.Merge(now, g.Reports)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.roster.Hear(now, g.Members)
-	p.roster.Meet(now, g.From)
+	p.roster.Merge(now, g.Members)
+	p.roster.RecordContact(now, g.From)
 }
 
 // compare takes a box's word that nothing is newer, or what it has.
 func (p *Peers) compare(c *wire.Conn, g Greeting) {
 	v := p.belief.View()
 	p.belief.Confirm(time.Now(), g.Changed, g.Age)
-	o := core.Offer{Configuration: g.Configuration}
+	o := core.Advertisement{Configuration: g.Configuration}
 	if !v.Listed || time.Since(v.Confirmed) > listPatience {
 		o.Changed = g.Changed
 	}
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Answered takes what an endpoint's answer to this box says of its limit.
-func (l *Limits) Answered(now time.Time, endpoint string, limited bool, perSecond float64) {
+// RecordAnswer takes what an endpoint's answer to this box says of its limit.
+func (l *Limits) RecordAnswer(now time.Time, endpoint string, limited bool, perSecond float64) {
 	if !limited && !l.present.Load() {
 		return
 	}
@@ -58,23 +58,23 @@
 		Limited:   limited,
 		PerSecond: perSecond,
 	}
-	news := l.limits.Answered(now, w)
-	l.present.Store(!l.limits.Empty())
+	news := l.limits.RecordAnswer(now, w)
+	l.present.Store(!l.limits.IsEmpty())
 	if news {
 		l.changed([]core.LimitRecord{w}, "own")
 		l.tell([]core.LimitRecord{w})
 	}
 }
 
-// Of gives the requests a second that an endpoint takes from all boxes together, if it
+// Lookup gives the requests a second that an endpoint takes from all boxes together, if it
 // named a limit.
-func (l *Limits) Of(now time.Time, endpoint string) (perSecond float64, limited bool) {
+func (l *Limits) Lookup(now time.Time, endpoint string) (perSecond float64, limited bool) {
 	if !l.present.Load() {
 		return 0, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limits.Of(now, endpoint)
+	return l.limits.Lookup(now, endpoint)
 }
 
 // All gives the endpoints that named limits, by id.
@@ -93,17 +93,17 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, endpoint := range l.limits.Forget(now) {
+	for _, endpoint := range l.limits.Expire(now) {
 		l.log.Info("limit of an endpoint is forgotten, no box heard of it lately", zap.String("endpoint", endpoint))
 	}
-	l.present.Store(!l.limits.Empty())
+	l.present.Store(!l.limits.IsEmpty())
 }
 
-// Suspended takes that the machine was suspended for a time that its clock didn't count.
-func (l *Limits) Suspended(d time.Duration) {
+// HandleSuspension takes that the machine was suspended for a time that its clock didn't count.
+func (l *Limits) HandleSuspension(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.Suspended(d)
+	l.limits.HandleSuspension(d)
 }
 
 // sample gives what a greeting tells.
@@ -123,8 +123,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := l.limits.Hear(now, told)
-	l.present.Store(!l.limits.Empty())
+	news := l.limits.Merge(now, told)
+	l.present.Store(!l.limits.IsEmpty())
 	l.changed(news, from)
 	return news
 }
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -24,7 +24,7 @@
 func (f *smallFleet) limitedAt() int {
 	n := 0
 	for _, l := range f.limits {
-		if _, limited := l.Of(time.Now(), strained); limited {
+		if _, limited := l.Lookup(time.Now(), strained); limited {
 			n++
 		}
 	}
@@ -32,7 +32,7 @@
 }
 
 func (f *smallFleet) answered(box int, limited bool) {
-	f.limits[box].Answered(time.Now(), strained, limited, 4.5)
+	f.limits[box].RecordAnswer(time.Now(), strained, limited, 4.5)
 }
 
 func TestAllBoxesKnowALimitThatAnEndpointNamedToOne(t *testing.T) {
@@ -42,7 +42,7 @@
 		f.answered(7, true)
 		time.Sleep(knownWithin)
 		g.Expect(f.limitedAt()).To(gomega.Equal(severalGroups))
-		perSecond, _ := f.limits[23].Of(time.Now(), strained)
+		perSecond, _ := f.limits[23].Lookup(time.Now(), strained)
 		g.Expect(perSecond).To(gomega.Equal(4.5))
 		f.answered(23, false)
 		time.Sleep(knownWithin)
@@ -62,7 +62,7 @@
 		f.start(severalGroups)
 		time.Sleep(knownWithin)
 		g.Expect(f.limitedAt()).To(gomega.Equal(severalGroups+1), "the box that starts later knows it too")
-		time.Sleep(core.DefaultLimitRules().Memory + knownWithin)
+		time.Sleep(core.DefaultLimitRules().Retention + knownWithin)
 		g.Expect(f.limitedAt()).To(gomega.BeZero())
 	})
 }
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -16,7 +16,7 @@
 	Changed       routing.Revision   `cbor:"4,keyasint"` // the list's last change; 0 for no list
 	Reports       []routing.Report   `cbor:"5,keyasint,omitempty"`
 	Age           time.Duration      `cbor:"6,keyasint"` // since the list was confirmed
-	Ends          []core.EndRecord   `cbor:"7,keyasint,omitempty"`
+	Crashes       []core.CrashRecord `cbor:"7,keyasint,omitempty"`
 	Limits        []core.LimitRecord `cbor:"8,keyasint,omitempty"` // that endpoints named
 }
 
--- a/fleet/news.go
+++ b/fleet/news.go
@@ -66,7 +66,7 @@
 	if !n.Large {
 		p.belief.ApplyNews(time.Now(), fromPeer, n)
 	}
-	o := core.Offer{Configuration: n.Version}
+	o := core.Advertisement{Configuration: n.Version}
 	if n.Large {
 		o.Changed = n.Changed
 	}
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -25,7 +25,7 @@
 func (p *Peers) nextPartner(now time.Time) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.roster.Tick(now)
+	p.roster.DropSilent(now)
 	p.notice(now)
 	p.rotate(now)
 	n := p.turn
@@ -106,6 +106,6 @@
 func (p *Peers) abandon(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.roster.Unanswered(time.Now(), address)
+	p.roster.RecordNoAnswer(time.Now(), address)
 	p.strangers = slices.DeleteFunc(p.strangers, func(a netip.AddrPort) bool { return a == address })
 }
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -26,14 +26,14 @@
 type Peers struct {
 	give         *giver
 	mu           sync.Mutex // guards all that follows
-	pull         *core.Pull[*wire.Conn]
+	pull         *core.SourceSelector[*wire.Conn]
 	pulling      bool          // whether newer views are asked for
 	ended        chan struct{} // closed when this box greets nobody any more
 	woken        chan struct{} // tells who asks for them that somebody offered some
 	memo         shareMemo
 	roster       *core.Roster
 	settling     *core.PeerDiscovery
-	division     *core.Division
+	division     *core.ShareAllocator
 	settled      bool // whether most other boxes are known
 	belief       *Belief
 	seeds        []netip.AddrPort
@@ -100,7 +100,7 @@
 	p := &Peers{
 		roster:       core.NewRoster(self, core.DefaultRosterRules()),
 		settling:     core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
-		division:     core.NewDivision(time.Now(), self.Box, core.DefaultDivisionRules()),
+		division:     core.NewShareAllocator(time.Now(), self.Box, core.DefaultShareRules()),
 		belief:       belief,
 		seeds:        others(seeds, self.Address),
 		log:          zap.NewNop(),
@@ -108,7 +108,7 @@
 		onPlaced:     func(time.Time, Placement) {},
 		onEvacuating: func(time.Time, Evacuating) {},
 		telling:      make(map[netip.AddrPort]bool),
-		pull:         core.NewPull[*wire.Conn](core.DefaultPullRules()),
+		pull:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
 		ended:        make(chan struct{}),
 		woken:        make(chan struct{}, 1),
 		network:      wire.Sockets{},
@@ -167,17 +167,17 @@
 	p.server.Close()
 }
 
-// Suspended takes that the machine was suspended for a time, which its steady clock didn't
+// HandleSuspension takes that the machine was suspended for a time, which its steady clock didn't
 // count.
-func (p *Peers) Suspended(d time.Duration) {
-	p.belief.Suspended(d)
+func (p *Peers) HandleSuspension(d time.Duration) {
+	p.belief.HandleSuspension(d)
 	if p.reports != nil {
 		p.reports.Forget()
 	}
-	p.limits.Suspended(d)
+	p.limits.HandleSuspension(d)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.roster.Suspended(d)
+	p.roster.HandleSuspension(d)
 }
 
 // tellFellows tells the boxes of the group of something at once, without waiting.
@@ -196,12 +196,12 @@
 	}
 }
 
-// Leave tells the other boxes, with the greetings that follow, that this one
+// MarkLeaving tells the other boxes, with the greetings that follow, that this one
 // is leaving.
-func (p *Peers) Leave() {
+func (p *Peers) MarkLeaving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.roster.Leave()
+	p.roster.MarkLeaving()
 }
 
 // Sharers counts the boxes that share a budget with this one. Before any other
@@ -209,7 +209,7 @@
 func (p *Peers) Sharers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.roster.Met() && len(p.seeds) > 0 {
+	if !p.roster.HasContact() && len(p.seeds) > 0 {
 		return math.MaxInt32
 	}
 	return p.roster.Sharers(time.Now())
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -26,9 +26,9 @@
 	for i, text := range texts {
 		b := fleet.NewBelief()
 		p, err := fleet.NewPeers(core.Peer{
-			Box:     string(rune('a' + i)),
-			Address: netip.MustParseAddrPort(text),
-			Life:    uint64(i),
+			Box:        string(rune('a' + i)),
+			Address:    netip.MustParseAddrPort(text),
+			InstanceID: uint64(i),
 		}, []netip.AddrPort{seed}, b)
 		Expect(err).NotTo(HaveOccurred())
 		go p.Run(ctx)
--- a/fleet/pull.go
+++ b/fleet/pull.go
@@ -25,15 +25,15 @@
 
 // offered takes a box's word that it has newer views, and asks for them unless that is
 // under way.
-func (p *Peers) offered(c *wire.Conn, o core.Offer) {
+func (p *Peers) offered(c *wire.Conn, o core.Advertisement) {
 	now := time.Now()
 	p.belief.HeardOf(now, o.Configuration)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !o.Newer(offerOf(p.belief.View())) {
+	if !o.NewerThan(offerOf(p.belief.View())) {
 		return
 	}
-	p.pull.Told(now, c, o)
+	p.pull.RecordAdvertisement(now, c, o)
 	if !p.pulling {
 		p.pulling = true
 		go p.pullAll()
@@ -67,7 +67,7 @@
 }
 
 // nextHolder gives whom to ask, or how long to wait; neither ends the asking.
-func (p *Peers) nextHolder() (*wire.Conn, core.Offer, time.Duration) {
+func (p *Peers) nextHolder() (*wire.Conn, core.Advertisement, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
@@ -79,12 +79,12 @@
 		if !c.IsClosed() {
 			return c, o, 0
 		}
-		p.pull.Gone(c)
+		p.pull.Remove(c)
 	}
 }
 
 // pullFrom takes the newer views of one box, and tells the others of them.
-func (p *Peers) pullFrom(c *wire.Conn, o core.Offer) {
+func (p *Peers) pullFrom(c *wire.Conn, o core.Advertisement) {
 	v := p.belief.View()
 	want := Want{
 		Configuration: v.Configuration(),
@@ -100,7 +100,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.pull.Gave(c)
+	p.pull.RecordSuccess(c)
 	p.mu.Unlock()
 	p.viewsCame(c.Remote(), views, len(data), began)
 	if want.Changed == noList && views.Document != nil {
@@ -125,7 +125,7 @@
 }
 
 // refused notes that a box didn't give what it offered.
-func (p *Peers) refused(c *wire.Conn, o core.Offer, began time.Time, err error) {
+func (p *Peers) refused(c *wire.Conn, o core.Advertisement, began time.Time, err error) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -14,7 +14,7 @@
 // EndRecords is what a box tells its group at once of requests under which endpoints
 // ended.
 type EndRecords struct {
-	All []core.EndRecord `cbor:"1,keyasint"`
+	All []core.CrashRecord `cbor:"1,keyasint"`
 }
 
 // Kind names the message.
@@ -27,7 +27,7 @@
 	mu   sync.Mutex
 	q    *core.Quarantine
 	log  *zap.Logger
-	tell func([]core.EndRecord)
+	tell func([]core.CrashRecord)
 }
 
 // NewQuarantine builds one that knows of no end.
@@ -35,41 +35,41 @@
 	return &Quarantine{
 		q:    core.NewQuarantine(core.DefaultQuarantineRules()),
 		log:  log,
-		tell: func([]core.EndRecord) {},
+		tell: func([]core.CrashRecord) {},
 	}
 }
 
-// Ended takes the end of an endpoint under a request of this box.
-func (q *Quarantine) Ended(now time.Time, request core.Digest, endpoint string) {
+// Crashed takes the end of an endpoint under a request of this box.
+func (q *Quarantine) Crashed(now time.Time, request core.Digest, endpoint string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.q.Ended(now, request, endpoint) {
+	if !q.q.Crashed(now, request, endpoint) {
 		return
 	}
 	q.changed(now, request, "own")
-	if record, ok := q.q.Tell(now, request); ok {
-		q.tell([]core.EndRecord{record})
+	if record, ok := q.q.Lookup(now, request); ok {
+		q.tell([]core.CrashRecord{record})
 	}
 }
 
-// Survived takes a run of a request that its endpoint survived.
-func (q *Quarantine) Survived(now time.Time, request core.Digest) {
+// RecordSuccess takes a run of a request that its endpoint survived.
+func (q *Quarantine) RecordSuccess(now time.Time, request core.Digest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.q.Survived(now, request) {
+	if !q.q.RecordSuccess(now, request) {
 		return
 	}
 	q.changed(now, request, "own")
-	if record, ok := q.q.Tell(now, request); ok {
-		q.tell([]core.EndRecord{record})
+	if record, ok := q.q.Lookup(now, request); ok {
+		q.tell([]core.CrashRecord{record})
 	}
 }
 
-// Held tells whether no endpoint may get a request, and until when.
-func (q *Quarantine) Held(now time.Time, request core.Digest) (time.Time, bool) {
+// QuarantinedUntil tells whether no endpoint may get a request, and until when.
+func (q *Quarantine) QuarantinedUntil(now time.Time, request core.Digest) (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.q.Held(now, request)
+	return q.q.QuarantinedUntil(now, request)
 }
 
 // HeldRequest is a request that no endpoint may get.
@@ -85,10 +85,10 @@
 	defer q.mu.Unlock()
 	var all []HeldRequest
 	for _, request := range q.q.All(now) {
-		until, _ := q.q.Held(now, request)
+		until, _ := q.q.QuarantinedUntil(now, request)
 		all = append(all, HeldRequest{
 			Content: request,
-			Ended:   q.q.Ends(request),
+			Ended:   q.q.Crashes(request),
 			Left:    until.Sub(now),
 		})
 	}
@@ -96,20 +96,20 @@
 }
 
 // sample gives what a greeting tells.
-func (q *Quarantine) sample(now time.Time) []core.EndRecord {
+func (q *Quarantine) sample(now time.Time) []core.CrashRecord {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.q.Sample(now)
 }
 
 // hear takes what another box told, and gives what the group should hear of it.
-func (q *Quarantine) hear(now time.Time, told []core.EndRecord, from string) (news, objections []core.EndRecord) {
+func (q *Quarantine) hear(now time.Time, told []core.CrashRecord, from string) (news, objections []core.CrashRecord) {
 	if len(told) == 0 {
 		return nil, nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	news, objections = q.q.Hear(now, told)
+	news, objections = q.q.Merge(now, told)
 	for _, t := range news {
 		q.changed(now, t.Request, from)
 	}
@@ -120,7 +120,7 @@
 // the box that saw it: where many servers crash at once, there is one for each request
 // that ran there.
 func (q *Quarantine) changed(now time.Time, request core.Digest, from string) {
-	ended := q.q.Ends(request)
+	ended := q.q.Crashes(request)
 	if len(ended) == 1 {
 		return
 	}
@@ -129,7 +129,7 @@
 		zap.Strings("ended", ended),
 		zap.String("from", from),
 	}
-	if until, held := q.q.Held(now, request); held {
+	if until, held := q.q.QuarantinedUntil(now, request); held {
 		q.log.Info("request is kept from endpoints: they end under it", append(fields, zap.Duration("for", until.Sub(now)))...)
 		return
 	}
@@ -150,7 +150,7 @@
 
 // tellEnds tells the boxes of the group at once: each repeat meanwhile may end another
 // endpoint. Who isn't reached hears it with a greeting.
-func (p *Peers) tellEnds(records []core.EndRecord) {
+func (p *Peers) tellEnds(records []core.CrashRecord) {
 	p.tellFellows(EndRecords{All: records})
 }
 
@@ -164,7 +164,7 @@
 
 // endsGreeted takes what a greeting told; what comes from another group is handed on in
 // this one.
-func (p *Peers) endsGreeted(told []core.EndRecord, fellow bool) {
+func (p *Peers) endsGreeted(told []core.CrashRecord, fellow bool) {
 	news, objections := p.quarantine.hear(time.Now(), told, fromPeer)
 	if !fellow {
 		objections = append(objections, news...)
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -31,7 +31,7 @@
 func (f *smallFleet) sendsOn(request core.Digest) int {
 	n := 0
 	for _, q := range f.held {
-		if _, held := q.Held(time.Now(), request); !held {
+		if _, held := q.QuarantinedUntil(time.Now(), request); !held {
 			n++
 		}
 	}
@@ -42,7 +42,7 @@
 func (f *smallFleet) endThree(apart time.Duration) {
 	for i, box := range []int{5, 14, 27} {
 		time.Sleep(apart)
-		f.held[box].Ended(time.Now(), deadly, fmt.Sprintf("e-%d", i))
+		f.held[box].Crashed(time.Now(), deadly, fmt.Sprintf("e-%d", i))
 	}
 }
 
@@ -63,7 +63,7 @@
 		g := gomega.NewWithT(t)
 		f := startFleet(t, severalGroups, smallLink)
 		for i := range 8 * severalGroups {
-			f.held[i%severalGroups].Ended(time.Now(), core.NewDigest(fmt.Appendf(nil, "bystander %d", i)), "e-0")
+			f.held[i%severalGroups].Crashed(time.Now(), core.NewDigest(fmt.Appendf(nil, "bystander %d", i)), "e-0")
 		}
 		f.endThree(300 * time.Millisecond)
 		time.Sleep(refusedWithin)
@@ -90,7 +90,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := startFleet(t, severalGroups, smallLink)
-		f.held[17].Survived(time.Now(), deadly)
+		f.held[17].RecordSuccess(time.Now(), deadly)
 		f.endThree(0)
 		time.Sleep(refusedWithin)
 		g.Expect(f.sendsOn(deadly)).To(gomega.Equal(severalGroups))
--- a/fleet/reports.go
+++ b/fleet/reports.go
@@ -113,7 +113,7 @@
 		return nil
 	}
 	self, group := r.peers.Self(), r.peers.Group()
-	share := r.peers.Share(v)
+	share := r.peers.PreferredEndpoints(v)
 	var mine []routing.Endpoint
 	for _, s := range v.Table.Document().Services {
 		if s.Engine == nil {
@@ -170,8 +170,8 @@
 	clear(r.known)
 }
 
-// Hear takes reports that another box handed on.
-func (r *Reports) Hear(now time.Time, reports []routing.Report) {
+// Merge takes reports that another box handed on.
+func (r *Reports) Merge(now time.Time, reports []routing.Report) {
 	for _, report := range reports {
 		if report.Age >= 0 && report.Age < reportLife {
 			if report.Leaving {
--- a/fleet/reports_test.go
+++ b/fleet/reports_test.go
@@ -14,7 +14,7 @@
 var _ = Describe("the reports that a box hands on", func() {
 	It("are all it has to its group, and its group's engines' to others", func() {
 		r := fleet.NewReports(restartedEngine{}, fleet.NewBelief(), zap.NewNop(), func(time.Time, routing.Report) {})
-		r.Hear(noon, []routing.Report{{Endpoint: "own"}, {Endpoint: "other"}})
+		r.Merge(noon, []routing.Report{{Endpoint: "own"}, {Endpoint: "other"}})
 		later := noon.Add(time.Second)
 		Expect(r.Sample(later, nil)).To(HaveLen(2))
 		told := r.Sample(later, map[string]bool{"own": true})
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -17,10 +17,10 @@
 	share   map[string]bool
 }
 
-// Share gives the endpoints that this box's group uses first, by id; it must
+// PreferredEndpoints gives the endpoints that this box's group uses first, by id; it must
 // not be changed. Plain services are not divided: their calls are short and
 // need no news of placements.
-func (p *Peers) Share(v *View) map[string]bool {
+func (p *Peers) PreferredEndpoints(v *View) map[string]bool {
 	if v.Table == nil {
 		return nil
 	}
@@ -38,7 +38,7 @@
 			}
 			continue
 		}
-		maps.Copy(share, p.group.Share(sites(v.Serving(s.Name))))
+		maps.Copy(share, p.group.PreferredEndpoints(sites(v.Serving(s.Name))))
 	}
 	p.memo = shareMemo{
 		changed: v.Changed,
@@ -49,10 +49,10 @@
 	return share
 }
 
-func sites(endpoints []routing.Endpoint) []core.Site {
-	out := make([]core.Site, 0, len(endpoints))
+func sites(endpoints []routing.Endpoint) []core.EndpointLocation {
+	out := make([]core.EndpointLocation, 0, len(endpoints))
 	for _, e := range endpoints {
-		out = append(out, core.Site{
+		out = append(out, core.EndpointLocation{
 			ID:   e.ID,
 			Zone: e.Zone,
 		})
--- a/fleet/spread_test.go
+++ b/fleet/spread_test.go
@@ -80,10 +80,10 @@
 		limits := fleet.NewLimits(zap.NewNop())
 		heard := new(atomic.Int64)
 		p, err := fleet.NewPeers(core.Peer{
-			Box:     fmt.Sprintf("box-%02d", i),
-			Address: netip.AddrPortFrom(hostOf(i), 8000),
-			Zone:    fmt.Sprintf("zone-%d", i%2),
-			Life:    uint64(i + 1),
+			Box:        fmt.Sprintf("box-%02d", i),
+			Address:    netip.AddrPortFrom(hostOf(i), 8000),
+			Zone:       fmt.Sprintf("zone-%d", i%2),
+			InstanceID: uint64(i + 1),
 		}, []netip.AddrPort{seed}, b, append(reporting(reports(b)), fleet.WithNetwork(n.At(hostOf(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
 			fleet.WithPlacements(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
 		if err != nil {
@@ -271,7 +271,7 @@
 		g := gomega.NewWithT(t)
 		f := startFleet(t, 2, smallLink)
 		f.beliefs[0].Confirm(time.Now(), f.beliefs[0].View().Changed, 0)
-		f.peers[0].Suspended(time.Minute)
+		f.peers[0].HandleSuspension(time.Minute)
 		time.Sleep(2 * time.Second)
 		for i, b := range f.beliefs {
 			g.Expect(time.Since(b.View().Confirmed)).To(gomega.BeNumerically(">=", settle), "box %d", i)
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -22,7 +22,7 @@
 }
 
 type coldEndpoint struct {
-	ration   *core.Ration
+	ration   *core.SendBudget
 	share    int
 	sharedAt time.Time
 }
@@ -46,7 +46,7 @@
 	}
 	known := c.all[e.ID]
 	if known == nil {
-		known = &coldEndpoint{ration: core.NewRation(core.DefaultRationRules())}
+		known = &coldEndpoint{ration: core.NewSendBudget(core.DefaultSendBudgetRules())}
 		c.all[e.ID] = known
 	}
 	if known.sharedAt.IsZero() || now.Sub(known.sharedAt) > shareMemory {
@@ -65,7 +65,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.all[e.ID]
-	return known != nil && now.Sub(known.sharedAt) <= shareMemory && !known.ration.Free(now, known.share)
+	return known != nil && now.Sub(known.sharedAt) <= shareMemory && !known.ration.CanReserve(now, known.share)
 }
 
 // hold keeps a place for a request that is planned; false says that there is none.
@@ -73,7 +73,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.bound(now, s, e)
-	return known == nil || known.ration.Hold(now, known.share)
+	return known == nil || known.ration.Reserve(now, known.share)
 }
 
 // drop gives a place back whose request isn't sent.
@@ -81,7 +81,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known := c.all[e.ID]; known != nil {
-		known.ration.Drop()
+		known.ration.CancelReservation()
 	}
 }
 
@@ -90,7 +90,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.bound(now, s, e)
-	return known == nil || known.ration.Send(now, known.share, true)
+	return known == nil || known.ration.Acquire(now, known.share, true)
 }
 
 // sweep forgets endpoints that nothing was sent to lately.
@@ -98,7 +98,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, known := range c.all {
-		if known.ration.Idle(now) && now.Sub(known.sharedAt) > shareMemory {
+		if known.ration.IsIdle(now) && now.Sub(known.sharedAt) > shareMemory {
 			delete(c.all, id)
 		}
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -75,7 +75,7 @@
 		return
 	}
 	heardSince := func(at time.Time) bool { return p.gateway.spread.ActiveSince(at, r.endpoint.ID) }
-	if sign, ended := p.gateway.presences.Ended(r.endpoint.ID, r.endpoint.Address, heardSince); ended {
+	if sign, ended := p.gateway.presences.Crashed(r.endpoint.ID, r.endpoint.Address, heardSince); ended {
 		p.endpointEnded(r, sign)
 	}
 }
@@ -100,7 +100,7 @@
 		zap.Duration("after", time.Since(r.sent)),
 		zap.Int("events", r.events),
 	)
-	p.gateway.quarantine.Ended(time.Now(), p.content, r.endpoint.ID)
+	p.gateway.quarantine.Crashed(time.Now(), p.content, r.endpoint.ID)
 }
 
 // quarantined tells whether no endpoint may get the request. Callers that repeat what
@@ -108,18 +108,18 @@
 // once a second ended eleven of nine engines and their replacements in twelve seconds,
 // and cut nine streams of others; with this, three engines (as the fleet's test plays it).
 func (p *passage) quarantined() bool {
-	_, held := p.gateway.quarantine.Held(time.Now(), p.content)
+	_, held := p.gateway.quarantine.QuarantinedUntil(time.Now(), p.content)
 	return held
 }
 
 // survived says that an endpoint ran the request and is still there.
 func (p *passage) survived() {
-	p.gateway.quarantine.Survived(time.Now(), p.content)
+	p.gateway.quarantine.RecordSuccess(time.Now(), p.content)
 }
 
 // releasedIn gives when the request may be sent again.
 func (p *passage) releasedIn() time.Duration {
 	now := time.Now()
-	until, _ := p.gateway.quarantine.Held(now, p.content)
+	until, _ := p.gateway.quarantine.QuarantinedUntil(now, p.content)
 	return max(until.Sub(now), time.Second).Round(time.Second)
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -25,7 +25,7 @@
 }
 
 type limitedEndpoint struct {
-	pace      *core.Pace
+	pace      *core.RateLimiter
 	perSecond float64
 	share     int
 	each      time.Duration
@@ -43,17 +43,17 @@
 
 // bound gives the pace of an endpoint that named a limit, or nil for any other.
 func (l *limitedSends) bound(now time.Time, endpoint string) *limitedEndpoint {
-	perSecond, limited := l.named.Of(now, endpoint)
+	perSecond, limited := l.named.Lookup(now, endpoint)
 	if !limited {
 		return nil
 	}
 	known := l.all[endpoint]
 	if known == nil {
-		known = &limitedEndpoint{pace: core.NewPace(core.DefaultPaceRules(), rand.Float64)}
+		known = &limitedEndpoint{pace: core.NewRateLimiter(core.DefaultRateLimiterRules(), rand.Float64)}
 		l.all[endpoint] = known
 	}
 	if known.perSecond != perSecond || now.Sub(known.sharedAt) > shareMemory {
-		units, each := core.DefaultPaceRules().Units(perSecond)
+		units, each := core.DefaultRateLimiterRules().SplitRate(perSecond)
 		known.perSecond = perSecond
 		known.each = each
 		known.share = l.share(endpoint, units)
@@ -65,7 +65,7 @@
 
 // limited tells whether an endpoint named a limit.
 func (l *limitedSends) limited(now time.Time, endpoint string) bool {
-	_, limited := l.named.Of(now, endpoint)
+	_, limited := l.named.Lookup(now, endpoint)
 	return limited
 }
 
@@ -78,7 +78,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.all[endpoint]
-	return known != nil && now.Sub(known.sharedAt) <= shareMemory && !known.pace.Free(now)
+	return known != nil && now.Sub(known.sharedAt) <= shareMemory && !known.pace.CanReserve(now)
 }
 
 // hold keeps a place for a request that is planned; false says that there is none.
@@ -86,7 +86,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.bound(now, endpoint)
-	return known == nil || known.pace.Hold(now)
+	return known == nil || known.pace.Reserve(now)
 }
 
 // drop gives a place back whose request isn't sent.
@@ -94,7 +94,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.all[endpoint]; known != nil {
-		known.pace.Drop()
+		known.pace.CancelReservation()
 	}
 }
 
@@ -103,7 +103,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.bound(now, endpoint)
-	return known == nil || known.pace.Send(now, held)
+	return known == nil || known.pace.Acquire(now, held)
 }
 
 // check counts a question for an endpoint's load; false says that it may not be asked now.
@@ -118,7 +118,7 @@
 		return false
 	}
 	every := time.Duration(float64(known.each) / (float64(known.share) * checkPart))
-	if now.Sub(known.checkedAt) < every || !known.pace.Send(now, false) {
+	if now.Sub(known.checkedAt) < every || !known.pace.Acquire(now, false) {
 		return false
 	}
 	known.checkedAt = now
@@ -146,7 +146,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, known := range l.all {
-		if !l.limited(now, id) && known.pace.Idle(now) {
+		if !l.limited(now, id) && known.pace.IsIdle(now) {
 			delete(l.all, id)
 		}
 	}
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -25,7 +25,7 @@
 		g.gate.rests.ask(now, e.ID, n.Backoff)
 		g.log.Info("endpoint asks this box for rest", zap.String("endpoint", e.ID), zap.Duration("for", n.Backoff))
 	}
-	g.gate.limits.named.Answered(now, e.ID, n.Limited, n.Limit)
+	g.gate.limits.named.RecordAnswer(now, e.ID, n.Limited, n.Limit)
 }
 
 // Throttle is what an endpoint has asked for.
--- a/gateway/suspension.go
+++ b/gateway/suspension.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Suspended takes that the machine was suspended for a time, which its steady clock didn't
+// HandleSuspension takes that the machine was suspended for a time, which its steady clock didn't
 // count: what was under way has so much less time, and connections that rested may have
 // been closed by their endpoints, so that a request which may run once would be lost on
 // them.
-func (g *Gateway) Suspended(d time.Duration) {
+func (g *Gateway) HandleSuspension(d time.Duration) {
 	g.suspended.Add(int64(d))
 	g.gate.rests.suspended(d)
 	g.pool.Sweep(time.Now(), func(string) bool { return false })
@@ -17,7 +17,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.budgets {
-		b.Suspended()
+		b.HandleSuspension()
 	}
 }
 
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -26,7 +26,7 @@
 		b.look = func() {
 			looks++
 			if looks == n {
-				b.gateway.Suspended(d)
+				b.gateway.HandleSuspension(d)
 			}
 		}
 	}
--- a/watch/peers.go
+++ b/watch/peers.go
@@ -42,10 +42,10 @@
 		}
 	}
 	quota := count / peerCircles
-	names := core.Nearest(self, zone, count-2*quota)
-	names = append(names, core.Nearest(self, region, quota)...)
-	names = append(names, core.Nearest(self, rest, quota)...)
-	for _, name := range core.Nearest(self, slices.Concat(zone, region, rest), len(list.Boxes)) {
+	names := core.TopByScore(self, zone, count-2*quota)
+	names = append(names, core.TopByScore(self, region, quota)...)
+	names = append(names, core.TopByScore(self, rest, quota)...)
+	for _, name := range core.TopByScore(self, slices.Concat(zone, region, rest), len(list.Boxes)) {
 		if len(names) >= count {
 			break
 		}
@@ -82,10 +82,10 @@
 	names := make([]string, 0, len(peers))
 	for _, m := range peers {
 		names = append(names, m.Name)
-		w.step(core.HeartbeatAwaited{Box: m.Name})
+		w.step(core.HeartbeatExpected{Box: m.Name})
 	}
 	w.mu.Lock()
-	w.suspicion.Keep(names)
+	w.suspicion.Retain(names)
 	w.mu.Unlock()
 	var wait sync.WaitGroup
 	for _, m := range peers {
@@ -103,7 +103,7 @@
 	if err != nil {
 		return
 	}
-	w.step(core.HeartbeatSeen{Box: m.Name})
+	w.step(core.HeartbeatReceived{Box: m.Name})
 	w.heard(answer, asked)
 }
 
@@ -114,7 +114,7 @@
 		From:        w.self,
 		ListAge:     time.Since(w.state.View().ConfirmedAt),
 		Leaving:     w.leaving.Load(),
-		Suspected:   w.suspicion.All(time.Now()),
+		Suspected:   w.suspicion.Suspects(time.Now()),
 		ListVersion: w.state.Versions().List,
 	}
 }
@@ -122,7 +122,7 @@
 // heartbeat answers a peer's; only an answer to a question of one's own says
 // how old the peer's reading is, since a message may have been held up.
 func (w *Watch) heartbeat(_ context.Context, _ *wire.Conn, q wire.Heartbeat) (wire.Heartbeat, error) {
-	w.step(core.SuspectsHeard{
+	w.step(core.SuspectsReported{
 		From:  q.From.Name,
 		Boxes: q.Suspected,
 	})
@@ -131,7 +131,7 @@
 }
 
 func (w *Watch) heard(h wire.Heartbeat, asked time.Time) {
-	w.step(core.SuspectsHeard{
+	w.step(core.SuspectsReported{
 		From:  h.From.Name,
 		Boxes: h.Suspected,
 	})
@@ -167,5 +167,5 @@
 func (w *Watch) suspects() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.suspicion.All(time.Now())
+	return w.suspicion.Suspects(time.Now())
 }
--- a/watch/state.go
+++ b/watch/state.go
@@ -20,7 +20,7 @@
 	mu       sync.Mutex
 	versions *core.Versions
 	document *config.Document
-	reading  core.Reading
+	reading  core.ListSnapshot
 	suspects []string
 	log      *zap.Logger
 	changed  []func(View)
@@ -181,7 +181,7 @@
 		}
 		return false
 	}
-	s.reading = core.Reading{
+	s.reading = core.ListSnapshot{
 		List:        list,
 		ConfirmedAt: at,
 	}
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -41,7 +41,7 @@
 	pool      *wire.Pool
 	handlers  *wire.Handlers
 	mu        sync.Mutex
-	suspicion *core.Suspicion
+	suspicion *core.FailureDetector
 	retired   map[string]core.Incarnation
 	asked     atomic.Bool
 	leaving   atomic.Bool
@@ -66,7 +66,7 @@
 		log:       log,
 		state:     NewState(log),
 		platform:  p,
-		suspicion: core.NewSuspicion(core.DefaultSuspicionRules()),
+		suspicion: core.NewFailureDetector(core.DefaultFailureDetectorRules()),
 		retired:   make(map[string]core.Incarnation),
 		left:      make(chan struct{}),
 		stop:      cancel,
