--- a/box/box.go
+++ b/box/box.go
@@ -52,7 +52,7 @@
 	settings *platform.Settings
 	log      *zap.Logger
 	sink     *eventlog.Sink
-	belief   *fleet.Belief
+	belief   *fleet.State
 	peers    *fleet.Peers
 	gateway  *gateway.Gateway
 	clock    *clock.Suspensions
@@ -86,9 +86,9 @@
 		zap.Bool("first", s.FirstStart),
 	)
 	b.clock = clock.New(b.suspended, clock.WithOnFault(func(err error) { log.Warn("suspensions aren't noticed", zap.Error(err)) }))
-	b.belief = fleet.NewBelief(fleet.WithOnChange(b.changed))
+	b.belief = fleet.NewState(fleet.WithOnChange(b.changed))
 	engines := platform.NewEngines(platform.WithOnNotice(b.noticed))
-	reports := fleet.NewReports(engines, b.belief, log.Named("reports"), b.reported, fleet.WithMayAsk(b.mayAsk))
+	reports := fleet.NewLoadReports(engines, b.belief, log.Named("reports"), b.reported, fleet.WithLoadQueryFilter(b.mayAsk))
 	b.quarantine = fleet.NewQuarantine(log.Named("quarantine"))
 	b.limits = fleet.NewLimits(log.Named("limits"))
 	peers, err := fleet.NewPeers(core.Peer{
@@ -97,7 +97,7 @@
 		Address:    s.Peer,
 		InstanceID: rand.Uint64(),
 		LinkMbps:   s.LinkMbps,
-	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithReports(reports), fleet.WithPlacements(b.placed), fleet.WithEvacuations(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Look))
+	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithLoadReports(reports), fleet.WithPlacementHandler(b.placed), fleet.WithEvacuationHandler(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Look))
 	if err != nil {
 		return nil, err
 	}
@@ -118,27 +118,27 @@
 		gateway.WithLog(log.Named("gateway")),
 		gateway.WithMover(engines),
 		gateway.WithBoxes(b.peers.Sharers),
-		gateway.WithRateShare(b.peers.UnitShare),
-		gateway.WithOnPlaced(b.peers.Tell),
-		gateway.WithOnEvacuating(b.peers.Evacuate),
-		gateway.WithOnLeaving(b.peers.EndpointLeaves),
-		gateway.WithBorrow(b.peers.BorrowNow),
+		gateway.WithRateShare(b.peers.RateShare),
+		gateway.WithOnPlaced(b.peers.BroadcastPlacement),
+		gateway.WithOnEvacuating(b.peers.BroadcastEvacuating),
+		gateway.WithOnLeaving(b.peers.ReportLeaving),
+		gateway.WithBorrow(b.peers.BorrowRetries),
 		gateway.WithQuarantine(b.quarantine),
 		gateway.WithLimits(b.limits),
 		gateway.WithSuspensionCheck(b.clock.Look),
 	)
-	b.peers.SetBudgets(b.gateway)
+	b.peers.SetRetryBudgets(b.gateway)
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
 	b.reload("start")
 	if err := b.listen(); err != nil {
 		return nil, err
 	}
-	follower := fleet.NewFollower(b.store(), b.belief, s.ChangeBound(),
-		fleet.WithFollowerLog(log.Named("store")),
-		fleet.WithRank(b.peers.ReaderRank),
-		fleet.WithOnNews(b.peers.Spread),
-		fleet.WithCallCount(countStoreCalls),
+	follower := fleet.NewStoreWatcher(b.store(), b.belief, s.ChangeBound(),
+		fleet.WithStoreWatcherLog(log.Named("store")),
+		fleet.WithReaderRank(b.peers.ReaderRank),
+		fleet.WithOnUpdate(b.peers.BroadcastUpdate),
+		fleet.WithOnStoreCall(countStoreCalls),
 	)
 	go follower.Run(ctx)
 	go b.peers.Run(ctx)
@@ -157,22 +157,22 @@
 	fields := []zap.Field{
 		zap.Uint64("era", c.Revision.Era()),
 		zap.Uint64("revision", c.Revision.Number()),
-		zap.String("from", c.From),
+		zap.String("from", c.Source),
 	}
 	switch c.Kind {
 	case fleet.ConfigurationInForce:
-		waited := c.Waited(time.Now())
+		waited := c.PropagationDelay(time.Now())
 		configurationWait.Update(waited.Seconds())
 		fields = append(fields, zap.Uint64("version", c.Version), zap.Int("routes", c.Routes), zap.Duration("waited", waited))
-	case fleet.ZoneDrained, fleet.ZoneTakenBack:
+	case fleet.ZoneDrained, fleet.ZoneDrainEnded:
 		fields = append(fields, zap.String("drained_zone", c.Zone))
-	case fleet.StoreReplaced:
+	case fleet.StoreRestored:
 		storeEras.Inc()
-		fields = append(fields, zap.Uint64("era_before", c.Before.Era()), zap.Uint64("revision_before", c.Before.Number()))
-	case fleet.ListKnown:
+		fields = append(fields, zap.Uint64("era_before", c.PreviousRevision.Era()), zap.Uint64("revision_before", c.PreviousRevision.Number()))
+	case fleet.EndpointListLoaded:
 		fields = append(fields, zap.Int("count", c.Count))
 	case fleet.EndpointJoined:
-		fields = append(fields, zap.Int("count", len(c.Joined)), zap.Strings("endpoints", c.Joined[:min(len(c.Joined), namesMost)]))
+		fields = append(fields, zap.Int("count", len(c.JoinedIDs)), zap.Strings("endpoints", c.JoinedIDs[:min(len(c.JoinedIDs), namesMost)]))
 	default:
 		fields = append(fields, zap.String("endpoint", c.Endpoint.ID), zap.String("service", c.Endpoint.Service))
 	}
--- a/box/operators.go
+++ b/box/operators.go
@@ -66,7 +66,7 @@
 // endpoints, and isn't leaving.
 func (b *Box) ready() bool {
 	v := b.belief.View()
-	return v.Table != nil && v.Listed && !b.stopping.Load()
+	return v.Table != nil && v.HasEndpointList && !b.stopping.Load()
 }
 
 func (b *Box) answerReady(w http.ResponseWriter, _ *http.Request) {
@@ -83,15 +83,15 @@
 	v := b.belief.View()
 	s := Status{
 		Program:     Program,
-		StoreAway:   b.belief.Away(),
+		StoreAway:   b.belief.IsStoreDown(),
 		Reader:      b.peers.Reader(),
 		Sharers:     b.peers.Sharers(),
 		Box:         b.settings.Box,
 		Zone:        b.settings.Zone,
 		Ready:       b.ready(),
-		ListChanged: v.Changed.Number(),
-		StoreEra:    v.Changed.Era(),
-		ListAge:     time.Since(v.Confirmed).Round(time.Millisecond).String(),
+		ListChanged: v.ListRevision.Number(),
+		StoreEra:    v.ListRevision.Era(),
+		ListAge:     time.Since(v.ConfirmedAt).Round(time.Millisecond).String(),
 		Active:      b.gateway.Active(),
 		LeftOut:     b.sink.LeftOut(),
 	}
@@ -113,7 +113,7 @@
 		s.Held = append(s.Held, Held{
 			Content: h.Content.String(),
 			Ended:   h.Ended,
-			For:     h.Left.Round(time.Second).String(),
+			For:     h.TimeLeft.Round(time.Second).String(),
 		})
 	}
 	s.Restrained = b.restrained()
--- a/core/pull.go
+++ b/core/pull.go
@@ -10,13 +10,13 @@
 // Advertisement says how new the views are that a box has: the version of its configuration
 // and the last change of its list. Zero says nothing of either.
 type Advertisement struct {
-	Configuration uint64
-	Changed       routing.Revision
+	ConfigVersion uint64
+	ListRevision  routing.Revision
 }
 
 // NewerThan tells whether an offer has anything that is newer than another.
 func (o Advertisement) NewerThan(than Advertisement) bool {
-	return o.Configuration > than.Configuration || o.Changed > than.Changed
+	return o.ConfigVersion > than.ConfigVersion || o.ListRevision > than.ListRevision
 }
 
 // SourceRules say how long a box is left alone before it is asked again.
@@ -68,8 +68,8 @@
 		p.holders = append(p.holders, holder[K]{key: key})
 		h = &p.holders[len(p.holders)-1]
 	}
-	h.offer.Configuration = max(h.offer.Configuration, o.Configuration)
-	h.offer.Changed = max(h.offer.Changed, o.Changed)
+	h.offer.ConfigVersion = max(h.offer.ConfigVersion, o.ConfigVersion)
+	h.offer.ListRevision = max(h.offer.ListRevision, o.ListRevision)
 	h.told = now
 }
 
--- a/core/pull_test.go
+++ b/core/pull_test.go
@@ -15,7 +15,7 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rules := core.DefaultSourceRules()
 	first := func(int) int { return 0 }
-	version := func(v uint64) core.Advertisement { return core.Advertisement{Configuration: v} }
+	version := func(v uint64) core.Advertisement { return core.Advertisement{ConfigVersion: v} }
 	var p *core.SourceSelector[string]
 	BeforeEach(func() { p = core.NewSourceSelector[string](rules) })
 
@@ -88,7 +88,7 @@
 			box := rapid.IntRange(0, 3).Draw(t, "box")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				newest.Configuration++
+				newest.ConfigVersion++
 				p.RecordAdvertisement(now, box, newest)
 			case 1:
 				p.Busy(now, box)
--- a/fleet/belief.go
+++ b/fleet/belief.go
@@ -31,44 +31,44 @@
 	ConfigurationInForce ChangeKind = "configuration in force"
 	EndpointJoined       ChangeKind = "endpoint joined"
 	EndpointLeaving      ChangeKind = "endpoint leaving"
-	EndpointGone         ChangeKind = "endpoint gone"
+	EndpointRemoved      ChangeKind = "endpoint gone"
 	EndpointMissing      ChangeKind = "endpoint missing after an outage"
 	EndpointRestarted    ChangeKind = "endpoint restarted under its name" // its former incarnation is gone
-	StoreReplaced        ChangeKind = "the store came back from an older copy"
+	StoreRestored        ChangeKind = "the store came back from an older copy"
 	EndpointUnusable     ChangeKind = "endpoint's entry names no server any more"
-	ListKnown            ChangeKind = "list known" // the first one
+	EndpointListLoaded   ChangeKind = "list known" // the first one
 	ZoneDrained          ChangeKind = "zone drained"
-	ZoneTakenBack        ChangeKind = "zone taken back"
+	ZoneDrainEnded       ChangeKind = "zone drain ended"
 )
 
 // Change is one change of belief, for logs and for whoever acts on it.
 type Change struct {
-	Kind     ChangeKind
-	Endpoint routing.Endpoint
-	Zone     string   // that was drained or taken back
-	Version  uint64   // of the configuration
-	Routes   int      // in it
-	Count    int      // of endpoints in the first list
-	Joined   []string // for EndpointJoined: the ids of all that joined with this view, by the same source
-	Revision routing.Revision
-	Before   routing.Revision // for StoreReplaced: the list's last change until then
-	From     string           // the store or a peer
+	Kind             ChangeKind
+	Endpoint         routing.Endpoint
+	Zone             string   // that was drained or taken back
+	Version          uint64   // of the configuration
+	Routes           int      // in it
+	Count            int      // of endpoints in the first list
+	JoinedIDs        []string // for EndpointJoined: the ids of all that joined with this view, by the same source
+	Revision         routing.Revision
+	PreviousRevision routing.Revision // for StoreReplaced: the list's last change until then
+	Source           string           // the store or a peer
 
 	// For a configuration: when this process first heard of this version or a
 	// newer one, from anyone; zero when it came unannounced.
-	Announced time.Time
+	AnnouncedAt time.Time
 }
 
-// Waited gives how long a process that had heard of a version was without it.
-func (c Change) Waited(now time.Time) time.Duration {
-	if c.Announced.IsZero() {
+// PropagationDelay gives how long a process that had heard of a version was without it.
+func (c Change) PropagationDelay(now time.Time) time.Duration {
+	if c.AnnouncedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(c.Announced)
+	return now.Sub(c.AnnouncedAt)
 }
 
-// Belief holds the newest view and makes the next ones.
-type Belief struct {
+// State holds the newest view and makes the next ones.
+type State struct {
 	mu       sync.Mutex
 	view     atomic.Pointer[View]
 	onChange func(Change)
@@ -102,20 +102,20 @@
 	missing bool // it lapsed during an outage and may still come back
 }
 
-// BeliefOption changes how a belief is built.
-type BeliefOption func(*Belief)
+// StateOption changes how a belief is built.
+type StateOption func(*State)
 
 // WithOnChange is called for each change, in order and under the belief's lock,
 // when the view holds it and those that came with it. Endpoints that joined together
 // are one change: on a fleet of 295 boxes and 141 endpoints, their start took 42,000
 // lines of the boxes' logs with a change each.
-func WithOnChange(onChange func(Change)) BeliefOption {
-	return func(b *Belief) { b.onChange = onChange }
+func WithOnChange(onChange func(Change)) StateOption {
+	return func(b *State) { b.onChange = onChange }
 }
 
-// NewBelief builds an empty belief.
-func NewBelief(options ...BeliefOption) *Belief {
-	b := &Belief{
+// NewState builds an empty belief.
+func NewState(options ...StateOption) *State {
+	b := &State{
 		onChange: func(Change) {},
 		entries:  make(map[string]*entry),
 		touched:  make(map[string]string),
@@ -131,24 +131,24 @@
 }
 
 // View gives the newest view.
-func (b *Belief) View() *View { return b.view.Load() }
+func (b *State) View() *View { return b.view.Load() }
 
-// StoreAway notes that the store can't be reached.
-func (b *Belief) StoreAway() {
+// MarkStoreDown notes that the store can't be reached.
+func (b *State) MarkStoreDown() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.away = true
 }
 
-// Away tells whether the store can't be reached at present.
-func (b *Belief) Away() bool {
+// IsStoreDown tells whether the store can't be reached at present.
+func (b *State) IsStoreDown() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.away
 }
 
-// StoreBack notes that the store answered.
-func (b *Belief) StoreBack(now time.Time) {
+// MarkStoreUp notes that the store answered.
+func (b *State) MarkStoreUp(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.away {
@@ -160,7 +160,7 @@
 // HandleSuspension takes that the machine was suspended for a time, which the steady clock didn't
 // count: what was confirmed before is so much older. Other boxes are told of its age, and
 // would take an old list for a fresh one.
-func (b *Belief) HandleSuspension(d time.Duration) {
+func (b *State) HandleSuspension(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.confirm = b.confirm.Add(-d)
@@ -173,10 +173,10 @@
 
 // returned tells whether what the store lacked after an outage, or after it came back from
 // an older copy, had its time to come back.
-func (b *Belief) returned(now time.Time) bool { return !b.away && now.Sub(b.backAt) >= returnGrace }
+func (b *State) returned(now time.Time) bool { return !b.away && now.Sub(b.backAt) >= returnGrace }
 
 // Tick drops entries whose time to come back is over.
-func (b *Belief) Tick(now time.Time) {
+func (b *State) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed := false
@@ -202,7 +202,7 @@
 
 // publish makes the next view from the last one and the entries that changed, and
 // tells of the changes.
-func (b *Belief) publish() {
+func (b *State) publish() {
 	v := b.view.Load().next(b.zoneStates(), b.touched, func(id string) (routing.Endpoint, bool) {
 		e := b.entries[b.touched[id]]
 		if e == nil || e.ID != id {
@@ -212,9 +212,9 @@
 	})
 	clear(b.touched)
 	v.Table = b.table
-	v.Listed = b.listed
-	v.Changed = b.changed
-	v.Confirmed = b.confirm
+	v.HasEndpointList = b.listed
+	v.ListRevision = b.changed
+	v.ConfirmedAt = b.confirm
 	b.view.Store(v)
 	for _, c := range joinedTogether(b.untold) {
 		b.onChange(c)
@@ -231,13 +231,13 @@
 			out = append(out, c)
 			continue
 		}
-		i, known := first[c.From]
+		i, known := first[c.Source]
 		if !known {
 			i = len(out)
-			first[c.From] = i
+			first[c.Source] = i
 			out = append(out, c)
 		}
-		out[i].Joined = append(out[i].Joined, c.Endpoint.ID)
+		out[i].JoinedIDs = append(out[i].JoinedIDs, c.Endpoint.ID)
 		out[i].Revision = max(out[i].Revision, c.Revision)
 	}
 	return out
--- a/fleet/belief_era.go
+++ b/fleet/belief_era.go
@@ -10,7 +10,7 @@
 // newer era comes. What the copy lacks may be written again within the next moments:
 // endpoints and drained zones stay until then. What changed since a revision of an older
 // era can't be told any more, so that the list is handed on as a whole.
-func (b *Belief) enterEra(now time.Time, from string, revision routing.Revision) {
+func (b *State) enterEra(now time.Time, from string, revision routing.Revision) {
 	if revision.Era() <= b.changed.Era() {
 		return
 	}
@@ -25,16 +25,16 @@
 	b.removed = nil
 	b.forgotten = revision
 	b.untold = append(b.untold, Change{
-		Kind:     StoreReplaced,
-		Revision: revision,
-		Before:   before,
-		From:     from,
+		Kind:             StoreRestored,
+		Revision:         revision,
+		PreviousRevision: before,
+		Source:           from,
 	})
 }
 
 // awaitReturn notes what a whole list of a peer has from an older era of the store: the
 // peer awaits it, too, and nobody tells when its time is over.
-func (b *Belief) awaitReturn(now time.Time, from string, revision routing.Revision) {
+func (b *State) awaitReturn(now time.Time, from string, revision routing.Revision) {
 	awaits := false
 	for _, e := range b.entries {
 		if e.Revision.Era() < revision.Era() {
@@ -54,7 +54,7 @@
 }
 
 // lack notes that a drained zone isn't one in the store's copy.
-func (b *Belief) lack(zone string, revision routing.Revision) {
+func (b *State) lack(zone string, revision routing.Revision) {
 	b.lacking[zone] = routing.ZoneDrain{
 		Zone:     zone,
 		Revision: revision,
@@ -63,7 +63,7 @@
 
 // giveUpZones takes back the drained zones that the store's copy doesn't have as drained
 // and whose drain was not written again.
-func (b *Belief) giveUpZones(now time.Time) {
+func (b *State) giveUpZones(now time.Time) {
 	for zone, z := range b.lacking {
 		delete(b.lacking, zone)
 		b.takeZones(now, fromStore, []routing.ZoneDrain{z})
--- a/fleet/belief_list.go
+++ b/fleet/belief_list.go
@@ -10,9 +10,9 @@
 // of thousands of servers replaces some hundreds at once.
 const removedMemory = 4096
 
-// Since gives what changed after a revision, or tells that the whole list is
+// ChangesSince gives what changed after a revision, or tells that the whole list is
 // needed.
-func (b *Belief) Since(changed routing.Revision) (updated []routing.Endpoint, removed []Removal, ok bool) {
+func (b *State) ChangesSince(changed routing.Revision) (updated []routing.Endpoint, removed []Removal, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if changed == 0 || changed < b.forgotten || changed < b.since {
@@ -33,7 +33,7 @@
 
 // update takes an entry, unless it is older than what is believed: by the store's
 // revision, or because the server has started again since.
-func (b *Belief) update(now time.Time, from string, e routing.Endpoint) {
+func (b *State) update(now time.Time, from string, e routing.Endpoint) {
 	name := e.Name()
 	old := b.entries[name]
 	if old != nil && (old.Revision > e.Revision || (e.Usable() && e.Started < old.Started)) {
@@ -71,7 +71,7 @@
 	return until
 }
 
-func (b *Belief) tellUpdate(from string, old *entry, e routing.Endpoint) {
+func (b *State) tellUpdate(from string, old *entry, e routing.Endpoint) {
 	known := old != nil && old.Usable()
 	switch {
 	case !known && !b.listed:
@@ -90,10 +90,10 @@
 	}
 }
 
-// Restarted takes a server's own word, by way of who told it, that it has started
+// MarkRestarted takes a server's own word, by way of who told it, that it has started
 // again since its entry was written. The former incarnation and all that was known of
 // it are gone; the new one is at the same place until the store says otherwise.
-func (b *Belief) Restarted(from string, former routing.Endpoint, started int64) {
+func (b *State) MarkRestarted(from string, former routing.Endpoint, started int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	name := former.Name()
@@ -112,9 +112,9 @@
 	b.publish()
 }
 
-// Leaves takes an endpoint's own word, by way of who told it, that it is on its
+// MarkLeaving takes an endpoint's own word, by way of who told it, that it is on its
 // way out; true says that this was news.
-func (b *Belief) Leaves(now time.Time, from, id string) bool {
+func (b *State) MarkLeaving(now time.Time, from, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, ok := b.view.Load().Endpoint(id)
@@ -135,7 +135,7 @@
 
 // remove takes an entry that went. One that went with the store away has its
 // time to come back; any other is leaving for good.
-func (b *Belief) remove(now time.Time, from string, e *entry, revision routing.Revision) {
+func (b *State) remove(now time.Time, from string, e *entry, revision routing.Revision) {
 	if e.missing {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // miss notes that an entry isn't there, and may come back.
-func (b *Belief) miss(from string, e *entry) {
+func (b *State) miss(from string, e *entry) {
 	if e.missing {
 		return
 	}
@@ -157,7 +157,7 @@
 	b.tell(EndpointMissing, from, e.Endpoint)
 }
 
-func (b *Belief) drop(from string, e *entry, revision routing.Revision) {
+func (b *State) drop(from string, e *entry, revision routing.Revision) {
 	name := e.Name()
 	delete(b.entries, name)
 	b.touched[e.ID] = name
@@ -169,14 +169,14 @@
 		b.forgotten = b.removed[0].Revision
 		b.removed = b.removed[1:]
 	}
-	b.tell(EndpointGone, from, e.Endpoint)
+	b.tell(EndpointRemoved, from, e.Endpoint)
 }
 
-func (b *Belief) tell(kind ChangeKind, from string, e routing.Endpoint) {
+func (b *State) tell(kind ChangeKind, from string, e routing.Endpoint) {
 	b.untold = append(b.untold, Change{
 		Kind:     kind,
 		Endpoint: e,
 		Revision: e.Revision,
-		From:     from,
+		Source:   from,
 	})
 }
--- a/fleet/belief_test.go
+++ b/fleet/belief_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func serving(b *fleet.Belief) []string {
+func serving(b *fleet.State) []string {
 	var out []string
 	for _, e := range b.View().Serving("s") {
 		out = append(out, e.ID)
@@ -42,11 +42,11 @@
 }
 
 var _ = Describe("a belief", func() {
-	var b *fleet.Belief
+	var b *fleet.State
 	var changes []fleet.ChangeKind
 	BeforeEach(func() {
 		changes = nil
-		b = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c.Kind) }))
+		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c.Kind) }))
 		b.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
 	})
 
@@ -64,9 +64,9 @@
 	// With the store silent for eight seconds nobody told of nine engines that left,
 	// and some 35 streams were cut.
 	It("takes an engine's own word that it leaves, whatever the store said last", func() {
-		Expect(b.Leaves(noon, "engine", "a")).To(BeTrue())
-		Expect(b.Leaves(noon, "peer", "a")).To(BeFalse())
-		Expect(b.Leaves(noon, "peer", "nobody knows it")).To(BeFalse())
+		Expect(b.MarkLeaving(noon, "engine", "a")).To(BeTrue())
+		Expect(b.MarkLeaving(noon, "peer", "a")).To(BeFalse())
+		Expect(b.MarkLeaving(noon, "peer", "nobody knows it")).To(BeFalse())
 		Expect(serving(b)).To(Equal([]string{"b"}))
 		Expect(changes).To(ContainElement(fleet.EndpointLeaving))
 		b.ApplySnapshot(noon.Add(time.Second), snapshot(11, endpoint("a", 1, false), endpoint("b", 2, false)))
@@ -75,8 +75,8 @@
 
 	It("tells of a change when its view holds it, and all that came with it", func() {
 		seen := 0
-		var told *fleet.Belief
-		told = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) {
+		var told *fleet.State
+		told = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 			if c.Kind == fleet.EndpointLeaving {
 				seen++
 				Expect(serving(told)).To(Equal([]string{"c"}))
@@ -106,9 +106,9 @@
 			Revision: 11,
 			Updated:  []routing.Endpoint{endpoint("a", 11, true)},
 		})
-		b.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   20,
-			Endpoints: []routing.Endpoint{endpoint("a", 15, false), endpoint("b", 2, false)},
+		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: 20,
+			Endpoints:    []routing.Endpoint{endpoint("a", 15, false), endpoint("b", 2, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
@@ -117,12 +117,12 @@
 		b.ApplyDocument("peer", document(7))
 		b.ApplyDocument("peer", document(5))
 		b.ApplySnapshot(noon, snapshot(30, endpoint("a", 1, false)))
-		Expect(b.View().Configuration()).To(BeEquivalentTo(7))
+		Expect(b.View().ConfigVersion()).To(BeEquivalentTo(7))
 	})
 
 	It("gives entries that went with the store away two seconds after its return", func() {
-		b.StoreAway()
-		b.StoreBack(noon)
+		b.MarkStoreDown()
+		b.MarkStoreUp(noon)
 		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
 		b.Tick(noon.Add(time.Second))
@@ -136,27 +136,27 @@
 	})
 
 	It("takes an entry that is still missing then as gone", func() {
-		b.StoreAway()
-		b.StoreBack(noon)
+		b.MarkStoreDown()
+		b.MarkStoreUp(noon)
 		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
 		b.Tick(noon.Add(2 * time.Second))
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
 	It("takes a list of a peer with a removal, though the store is away here", func() {
-		b.StoreAway()
-		b.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   25,
-			Endpoints: []routing.Endpoint{endpoint("b", 2, false)},
+		b.MarkStoreDown()
+		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: 25,
+			Endpoints:    []routing.Endpoint{endpoint("b", 2, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
 	It("is as old as it is after a suspension of its machine", func() {
-		b.HeardOf(noon, 9)
+		b.NoteConfigVersion(noon, 9)
 		b.HandleSuspension(3 * time.Second)
-		Expect(b.View().Confirmed).To(Equal(noon.Add(-3 * time.Second)))
-		Expect(b.Awaited(noon)).To(Equal(3 * time.Second))
+		Expect(b.View().ConfirmedAt).To(Equal(noon.Add(-3 * time.Second)))
+		Expect(b.ConfigLag(noon)).To(Equal(3 * time.Second))
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
 	})
 
@@ -165,55 +165,55 @@
 			Revision: 30,
 			Updated:  []routing.Endpoint{endpoint("c", 30, false)},
 		})
-		b.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   29,
-			Endpoints: []routing.Endpoint{endpoint("a", 1, false)},
+		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: 29,
+			Endpoints:    []routing.Endpoint{endpoint("a", 1, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"a", "b", "c"}))
 	})
 
 	It("takes news in order as complete, and news after a gap as not", func() {
-		at := b.View().Changed
+		at := b.View().ListRevision
 		later := noon.Add(time.Second)
-		Expect(b.ApplyNews(later, "peer", fleet.News{
-			After:   at,
-			Changed: 12,
-			Updated: []routing.Endpoint{endpoint("c", 12, false)},
+		Expect(b.ApplyUpdate(later, "peer", fleet.Update{
+			BaseRevision: at,
+			ListRevision: 12,
+			Updated:      []routing.Endpoint{endpoint("c", 12, false)},
 		})).To(BeTrue())
-		Expect(b.View().Changed).To(BeEquivalentTo(12))
-		Expect(b.View().Confirmed).To(Equal(later))
-		Expect(b.ApplyNews(later.Add(time.Second), "peer", fleet.News{
-			After:   15,
-			Changed: 16,
-			Updated: []routing.Endpoint{endpoint("d", 16, false)},
+		Expect(b.View().ListRevision).To(BeEquivalentTo(12))
+		Expect(b.View().ConfirmedAt).To(Equal(later))
+		Expect(b.ApplyUpdate(later.Add(time.Second), "peer", fleet.Update{
+			BaseRevision: 15,
+			ListRevision: 16,
+			Updated:      []routing.Endpoint{endpoint("d", 16, false)},
 		})).To(BeTrue())
 		Expect(serving(b)).To(ContainElement("d"))
-		Expect(b.View().Changed).To(BeEquivalentTo(12))
-		Expect(b.View().Confirmed).To(Equal(later))
+		Expect(b.View().ListRevision).To(BeEquivalentTo(12))
+		Expect(b.View().ConfirmedAt).To(Equal(later))
 	})
 
 	It("hands the same news on only once", func() {
-		n := fleet.News{
-			After:   b.View().Changed,
-			Changed: 12,
-			Updated: []routing.Endpoint{endpoint("c", 12, false)},
+		n := fleet.Update{
+			BaseRevision: b.View().ListRevision,
+			ListRevision: 12,
+			Updated:      []routing.Endpoint{endpoint("c", 12, false)},
 		}
-		Expect(b.ApplyNews(noon, "peer", n)).To(BeTrue())
-		Expect(b.ApplyNews(noon, "peer", n)).To(BeFalse())
+		Expect(b.ApplyUpdate(noon, "peer", n)).To(BeTrue())
+		Expect(b.ApplyUpdate(noon, "peer", n)).To(BeFalse())
 	})
 
 	It("is confirmed by peers only up to what they know", func() {
-		b.Confirm(noon.Add(time.Second), b.View().Changed+1, 0)
-		Expect(b.View().Confirmed).To(Equal(noon))
-		b.Confirm(noon.Add(2*time.Second), b.View().Changed, 500*time.Millisecond)
-		Expect(b.View().Confirmed).To(Equal(noon.Add(1500 * time.Millisecond)))
+		b.Confirm(noon.Add(time.Second), b.View().ListRevision+1, 0)
+		Expect(b.View().ConfirmedAt).To(Equal(noon))
+		b.Confirm(noon.Add(2*time.Second), b.View().ListRevision, 500*time.Millisecond)
+		Expect(b.View().ConfirmedAt).To(Equal(noon.Add(1500 * time.Millisecond)))
 	})
 })
 
 var _ = Describe("what changed since a revision", func() {
-	var b *fleet.Belief
+	var b *fleet.State
 	BeforeEach(func() {
-		b = fleet.NewBelief()
+		b = fleet.NewState()
 		b.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 15,
@@ -226,7 +226,7 @@
 	})
 
 	It("holds updates and removals by their own revisions", func() {
-		updated, removed, ok := b.Since(13)
+		updated, removed, ok := b.ChangesSince(13)
 		Expect(ok).To(BeTrue())
 		Expect(updated).To(BeEmpty())
 		Expect(removed).To(Equal([]fleet.Removal{{
@@ -236,41 +236,41 @@
 	})
 
 	It("isn't known from before the box's own first list", func() {
-		_, _, ok := b.Since(1)
+		_, _, ok := b.ChangesSince(1)
 		Expect(ok).To(BeFalse())
 	})
 
 	It("brings a box that is behind to the same list", func() {
-		behind := fleet.NewBelief()
+		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, endpoint("a", 1, false), endpoint("b", 2, false)))
-		updated, removed, _ := b.Since(behind.View().Changed)
-		behind.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   b.View().Changed,
-			Endpoints: updated,
-			Removed:   removed,
-			Partial:   true,
+		updated, removed, _ := b.ChangesSince(behind.View().ListRevision)
+		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: b.View().ListRevision,
+			Endpoints:    updated,
+			Removed:      removed,
+			Partial:      true,
 		})
 		Expect(serving(behind)).To(Equal(serving(b)))
-		Expect(behind.View().Changed).To(Equal(b.View().Changed))
+		Expect(behind.View().ListRevision).To(Equal(b.View().ListRevision))
 	})
 
 	It("is no whole list for a box that has none", func() {
-		empty := fleet.NewBelief()
-		empty.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   15,
-			Endpoints: []routing.Endpoint{endpoint("c", 13, false)},
-			Partial:   true,
+		empty := fleet.NewState()
+		empty.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: 15,
+			Endpoints:    []routing.Endpoint{endpoint("c", 13, false)},
+			Partial:      true,
 		})
-		Expect(empty.View().Listed).To(BeFalse())
+		Expect(empty.View().HasEndpointList).To(BeFalse())
 	})
 })
 
 var _ = Describe("endpoints that join together", func() {
 	It("are one change for each source, with all their ids", func() {
 		var joined [][]string
-		b := fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) {
+		b := fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 			if c.Kind == fleet.EndpointJoined {
-				joined = append(joined, c.Joined)
+				joined = append(joined, c.JoinedIDs)
 			}
 		}))
 		b.ApplySnapshot(noon, snapshot(10))
--- a/fleet/belief_zones.go
+++ b/fleet/belief_zones.go
@@ -11,7 +11,7 @@
 // takeZones takes the states of zones, each unless a newer one is believed. Word of
 // them may come in any order, twice, or late from a box that was cut off: the store's
 // revision of a zone's last change decides.
-func (b *Belief) takeZones(now time.Time, from string, all []routing.ZoneDrain) {
+func (b *State) takeZones(now time.Time, from string, all []routing.ZoneDrain) {
 	for _, z := range all {
 		old, known := b.zones[z.Zone]
 		if known && z.Revision <= old.Revision {
@@ -28,7 +28,7 @@
 
 // takeDrained takes all zones that the store told to be drained at a revision: any
 // other that was drained before is taken back.
-func (b *Belief) takeDrained(now time.Time, revision routing.Revision, drained []routing.ZoneDrain) {
+func (b *State) takeDrained(now time.Time, revision routing.Revision, drained []routing.ZoneDrain) {
 	b.takeZones(now, fromStore, drained)
 	for _, z := range drained {
 		b.changed = max(b.changed, z.Revision)
@@ -58,7 +58,7 @@
 const takenBackCold = 2500 * time.Millisecond
 
 // resort notes that the endpoints of a zone are to be sorted anew into the view.
-func (b *Belief) resort(now time.Time, z routing.ZoneDrain) {
+func (b *State) resort(now time.Time, z routing.ZoneDrain) {
 	for name, e := range b.entries {
 		if e.Zone != z.Zone {
 			continue
@@ -70,8 +70,8 @@
 	}
 }
 
-func (b *Belief) tellZone(from string, z routing.ZoneDrain) {
-	kind := ZoneTakenBack
+func (b *State) tellZone(from string, z routing.ZoneDrain) {
+	kind := ZoneDrainEnded
 	if z.Drained {
 		kind = ZoneDrained
 	}
@@ -79,12 +79,12 @@
 		Kind:     kind,
 		Zone:     z.Zone,
 		Revision: z.Revision,
-		From:     from,
+		Source:   from,
 	})
 }
 
 // zoneStates gives what is believed of zones, by name.
-func (b *Belief) zoneStates() []routing.ZoneDrain {
+func (b *State) zoneStates() []routing.ZoneDrain {
 	var all []routing.ZoneDrain
 	for _, zone := range slices.Sorted(maps.Keys(b.zones)) {
 		all = append(all, b.zones[zone])
--- a/fleet/counts.go
+++ b/fleet/counts.go
@@ -19,7 +19,7 @@
 
 // answered counts the views that this box gives, part by part.
 func (p *Peers) answered(a wire.Answered) {
-	if a.Kind != (Part{}).Kind() {
+	if a.Kind != (Chunk{}).Kind() {
 		return
 	}
 	viewsGiven.Add(a.Bytes)
@@ -27,7 +27,7 @@
 }
 
 // viewsCame logs and counts the views that another box gave.
-func (p *Peers) viewsCame(from netip.AddrPort, v Views, bytes int, asked time.Time) {
+func (p *Peers) viewsCame(from netip.AddrPort, v PeerState, bytes int, asked time.Time) {
 	took := time.Since(asked)
 	viewsTakeTime.Update(took.Seconds())
 	if v.Document == nil {
--- a/fleet/division.go
+++ b/fleet/division.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// UnitShare gives how many of the sends that an endpoint takes in a while, from all boxes
+// RateShare gives how many of the sends that an endpoint takes in a while, from all boxes
 // together, fall to this one.
-func (p *Peers) UnitShare(endpoint string, units int) int {
+func (p *Peers) RateShare(endpoint string, units int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.settled || (!p.roster.HasContact() && len(p.seeds) > 0) {
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -37,9 +37,9 @@
 		f.beliefs[4].ApplySnapshot(time.Now(), snapshot(revision(1, 70), endpoint("i-2", revision(1, 65), false)))
 		time.Sleep(1500 * time.Millisecond)
 		for _, b := range f.beliefs {
-			g.Expect(b.View().Changed.Era()).To(gomega.BeEquivalentTo(1))
-			g.Expect(b.View().Takes("i-2")).To(gomega.BeTrue())
-			g.Expect(b.View().Takes("i-1")).To(gomega.BeTrue(), "what the copy lacks has its time to come back")
+			g.Expect(b.View().ListRevision.Era()).To(gomega.BeEquivalentTo(1))
+			g.Expect(b.View().IsAvailable("i-2")).To(gomega.BeTrue())
+			g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue(), "what the copy lacks has its time to come back")
 		}
 	})
 }
@@ -49,46 +49,46 @@
 func TestWhatACopyLacksIsGivenUpByBoxesThatHeardOfItFromOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewBelief()
+	b := fleet.NewState()
 	b.ApplySnapshot(now, zoned(revision(0, 10), drain("zone-b", revision(0, 9))))
-	b.ApplyViews(now, "peer", fleet.Views{
-		Changed:   revision(1, 5),
-		Endpoints: []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
-		Zones:     []routing.ZoneDrain{drain("zone-b", revision(0, 9))},
+	b.ApplyPeerState(now, "peer", fleet.PeerState{
+		ListRevision: revision(1, 5),
+		Endpoints:    []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
+		Zones:        []routing.ZoneDrain{drain("zone-b", revision(0, 9))},
 	})
 	b.Tick(now.Add(time.Second))
-	g.Expect(b.View().Takes("i-old")).To(gomega.BeTrue())
+	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeTrue())
 	g.Expect(b.View().Drained("zone-b")).To(gomega.BeTrue())
 	b.Tick(now.Add(3 * time.Second))
-	g.Expect(b.View().Takes("i-old")).To(gomega.BeFalse())
-	g.Expect(b.View().Takes("i-new")).To(gomega.BeTrue())
+	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
+	g.Expect(b.View().IsAvailable("i-new")).To(gomega.BeTrue())
 	g.Expect(b.View().Drained("zone-b")).To(gomega.BeFalse())
 }
 
 func TestABoxThatKnowsANewerEraBelievesNothingOfAnOlderOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewBelief()
+	b := fleet.NewState()
 	b.ApplySnapshot(now, snapshot(revision(2, 5), endpoint("i-1", revision(2, 5), false)))
-	before := b.View().Confirmed
+	before := b.View().ConfirmedAt
 	later := now.Add(time.Second)
 	old := endpoint("i-old", revision(1, 900), false)
 	b.ApplySnapshot(later, snapshot(revision(1, 900), old))
-	b.ApplyNews(later, "peer", fleet.News{
-		After:   revision(1, 899),
-		Changed: revision(1, 900),
-		Updated: []routing.Endpoint{old},
-		Removed: []fleet.Removal{{Name: "i-1", Revision: revision(1, 900)}},
-		Zones:   []routing.ZoneDrain{drain("zone-a", revision(1, 900))},
+	b.ApplyUpdate(later, "peer", fleet.Update{
+		BaseRevision: revision(1, 899),
+		ListRevision: revision(1, 900),
+		Updated:      []routing.Endpoint{old},
+		Removed:      []fleet.Removal{{Name: "i-1", Revision: revision(1, 900)}},
+		Zones:        []routing.ZoneDrain{drain("zone-a", revision(1, 900))},
 	})
-	b.ApplyViews(later, "peer", fleet.Views{
-		Changed:   revision(1, 900),
-		Endpoints: []routing.Endpoint{old},
+	b.ApplyPeerState(later, "peer", fleet.PeerState{
+		ListRevision: revision(1, 900),
+		Endpoints:    []routing.Endpoint{old},
 	})
 	b.Confirm(later, revision(1, 900), 0)
-	g.Expect(b.View().Takes("i-old")).To(gomega.BeFalse())
-	g.Expect(b.View().Takes("i-1")).To(gomega.BeTrue())
-	g.Expect(b.View().Confirmed).To(gomega.Equal(before))
+	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
+	g.Expect(b.View().IsAvailable("i-1")).To(gomega.BeTrue())
+	g.Expect(b.View().ConfirmedAt).To(gomega.Equal(before))
 }
 
 func TestAnEndpointIsNotColdAgainBecauseItsEntryIsReadInALaterEra(t *testing.T) {
@@ -99,7 +99,7 @@
 		e.Cold = 5 * time.Second
 		return e
 	}
-	b := fleet.NewBelief()
+	b := fleet.NewState()
 	b.ApplySnapshot(now, snapshot(revision(0, 5), cold(0)))
 	later := now.Add(6 * time.Second)
 	b.ApplySnapshot(later, snapshot(revision(1, 5), cold(1)))
@@ -137,18 +137,18 @@
 }
 
 // give tells a box what another one has that is newer.
-func give(now time.Time, from, to *fleet.Belief) {
+func give(now time.Time, from, to *fleet.State) {
 	has := from.View()
 	wants := to.View()
-	if !has.Listed || has.Changed <= wants.Changed {
+	if !has.HasEndpointList || has.ListRevision <= wants.ListRevision {
 		return
 	}
-	v := fleet.Views{
-		Changed: has.Changed,
-		Age:     now.Sub(has.Confirmed),
-		Zones:   has.Zones,
+	v := fleet.PeerState{
+		ListRevision: has.ListRevision,
+		Age:          now.Sub(has.ConfirmedAt),
+		Zones:        has.Zones,
 	}
-	if updated, removed, ok := from.Since(wants.Changed); ok {
+	if updated, removed, ok := from.ChangesSince(wants.ListRevision); ok {
 		v.Partial = true
 		v.Endpoints, v.Removed = updated, removed
 	} else {
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	to.ApplyViews(now, "peer", v)
+	to.ApplyPeerState(now, "peer", v)
 }
 
 var drawnNames = []string{"i-1", "i-2", "i-3", "i-4"}
@@ -167,8 +167,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		s := &drawnStore{entries: map[string]routing.Endpoint{}, kept: map[string]routing.Endpoint{}}
-		boxes := []*fleet.Belief{fleet.NewBelief(), fleet.NewBelief(), fleet.NewBelief()}
-		any := func(what string) *fleet.Belief { return boxes[rapid.IntRange(0, 2).Draw(t, what)] }
+		boxes := []*fleet.State{fleet.NewState(), fleet.NewState(), fleet.NewState()}
+		any := func(what string) *fleet.State { return boxes[rapid.IntRange(0, 2).Draw(t, what)] }
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 			name := rapid.SampledFrom(drawnNames).Draw(t, "name")
@@ -208,12 +208,12 @@
 		for i, b := range boxes {
 			for _, name := range drawnNames {
 				_, published := s.entries[name]
-				if b.View().Takes(name) != published {
-					t.Fatal(fmt.Sprintf("box %d sends to %s: %t, published: %t", i, name, b.View().Takes(name), published))
+				if b.View().IsAvailable(name) != published {
+					t.Fatal(fmt.Sprintf("box %d sends to %s: %t, published: %t", i, name, b.View().IsAvailable(name), published))
 				}
 			}
-			if b.View().Changed.Era() != s.era {
-				t.Fatalf("box %d is in era %d of %d", i, b.View().Changed.Era(), s.era)
+			if b.View().ListRevision.Era() != s.era {
+				t.Fatalf("box %d is in era %d of %d", i, b.View().ListRevision.Era(), s.era)
 			}
 		}
 	})
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -11,42 +11,42 @@
 // Evacuating is what a box tells its group of an engine that leaves: the runs
 // that it has to move off it, and those that are over.
 type Evacuating struct {
-	Endpoint string      `cbor:"1,keyasint"`
-	Runs     []MovingRun `cbor:"2,keyasint,omitempty"`
-	Over     []string    `cbor:"3,keyasint,omitempty"`
-	Moving   string      `cbor:"4,keyasint,omitempty"` // the run whose memory goes to the target
-	Target   string      `cbor:"5,keyasint,omitempty"`
-	Relay    bool        `cbor:"6,keyasint,omitempty"` // hand it on to the boxes of the own zone
+	Endpoint     string        `cbor:"1,keyasint"`
+	Runs         []PendingMove `cbor:"2,keyasint,omitempty"`
+	FinishedRuns []string      `cbor:"3,keyasint,omitempty"`
+	MovingRunID  string        `cbor:"4,keyasint,omitempty"` // the run whose memory goes to the target
+	Target       string        `cbor:"5,keyasint,omitempty"`
+	Relay        bool          `cbor:"6,keyasint,omitempty"` // hand it on to the boxes of the own zone
 }
 
 // Kind names the message.
 func (Evacuating) Kind() string { return "evacuating" }
 
-// MovingRun is a run that waits for its move.
-type MovingRun struct {
+// PendingMove is a run that waits for its move.
+type PendingMove struct {
 	ID       string        `cbor:"1,keyasint"`
 	Rank     int           `cbor:"2,keyasint,omitempty"`
 	Value    float64       `cbor:"3,keyasint"`
 	CopyTime time.Duration `cbor:"4,keyasint"` // on a free link
 }
 
-// WithEvacuations is called with what other boxes of the group tell of engines
+// WithEvacuationHandler is called with what other boxes of the group tell of engines
 // that leave.
-func WithEvacuations(onEvacuating func(time.Time, Evacuating)) PeersOption {
+func WithEvacuationHandler(onEvacuating func(time.Time, Evacuating)) PeersOption {
 	return func(p *Peers) { p.onEvacuating = onEvacuating }
 }
 
-// EndpointLeaves takes an endpoint's own word to this box that it is on its way out, and
+// ReportLeaving takes an endpoint's own word to this box that it is on its way out, and
 // tells the boxes of the group if that is news.
-func (p *Peers) EndpointLeaves(endpoint string) {
-	if p.belief.Leaves(time.Now(), fromEngine, endpoint) {
-		p.Evacuate(Evacuating{Endpoint: endpoint})
+func (p *Peers) ReportLeaving(endpoint string) {
+	if p.belief.MarkLeaving(time.Now(), fromEngine, endpoint) {
+		p.BroadcastEvacuating(Evacuating{Endpoint: endpoint})
 	}
 }
 
-// Evacuate tells the boxes of the group at once: an engine that leaves is gone
+// BroadcastEvacuating tells the boxes of the group at once: an engine that leaves is gone
 // after a second or two.
-func (p *Peers) Evacuate(e Evacuating) {
+func (p *Peers) BroadcastEvacuating(e Evacuating) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pushEvacuating(p.paths.near, e)
@@ -77,6 +77,6 @@
 		p.mu.Unlock()
 	}
 	now := time.Now()
-	p.belief.Leaves(now, fromPeer, e.Endpoint)
+	p.belief.MarkLeaving(now, fromPeer, e.Endpoint)
 	p.onEvacuating(now, e)
 }
--- a/fleet/follower.go
+++ b/fleet/follower.go
@@ -55,14 +55,14 @@
 	awaitPart = 0.3
 )
 
-// Follower keeps a belief up to date from the store: as one of the readers, or
+// StoreWatcher keeps a belief up to date from the store: as one of the readers, or
 // when nothing comes from them.
-type Follower struct {
-	source Source
-	belief *Belief
+type StoreWatcher struct {
+	source Store
+	belief *State
 	within time.Duration // a change must be in force
 	rank   func() int    // this box's place among the readers, from 0
-	onNews func(News)
+	onNews func(Update)
 	log    *zap.Logger
 	calls  func(result string)
 	lost   bool
@@ -72,39 +72,39 @@
 	helper time.Time // until when this box reads though it is no reader
 }
 
-// FollowerOption changes how a follower is built.
-type FollowerOption func(*Follower)
+// StoreWatcherOption changes how a follower is built.
+type StoreWatcherOption func(*StoreWatcher)
 
-// WithFollowerLog gives the log of a follower.
-func WithFollowerLog(log *zap.Logger) FollowerOption {
-	return func(f *Follower) { f.log = log }
+// WithStoreWatcherLog gives the log of a follower.
+func WithStoreWatcherLog(log *zap.Logger) StoreWatcherOption {
+	return func(f *StoreWatcher) { f.log = log }
 }
 
-// WithCallCount is told the result of each call to the store.
-func WithCallCount(count func(result string)) FollowerOption {
-	return func(f *Follower) { f.calls = count }
+// WithOnStoreCall is told the result of each call to the store.
+func WithOnStoreCall(count func(result string)) StoreWatcherOption {
+	return func(f *StoreWatcher) { f.calls = count }
 }
 
-// WithRank tells this box's place, from 0, among those that read the store for all;
+// WithReaderRank tells this box's place, from 0, among those that read the store for all;
 // without it, it is the first.
-func WithRank(rank func() int) FollowerOption {
-	return func(f *Follower) { f.rank = rank }
+func WithReaderRank(rank func() int) StoreWatcherOption {
+	return func(f *StoreWatcher) { f.rank = rank }
 }
 
-// WithOnNews is called with each change that the store told.
-func WithOnNews(onNews func(News)) FollowerOption {
-	return func(f *Follower) { f.onNews = onNews }
+// WithOnUpdate is called with each change that the store told.
+func WithOnUpdate(onNews func(Update)) StoreWatcherOption {
+	return func(f *StoreWatcher) { f.onNews = onNews }
 }
 
-// NewFollower builds a follower of a source. Within is the time in which a
+// NewStoreWatcher builds a follower of a source. Within is the time in which a
 // change must be in force.
-func NewFollower(source Source, belief *Belief, within time.Duration, options ...FollowerOption) *Follower {
-	f := &Follower{
+func NewStoreWatcher(source Store, belief *State, within time.Duration, options ...StoreWatcherOption) *StoreWatcher {
+	f := &StoreWatcher{
 		source: source,
 		belief: belief,
 		within: within,
 		rank:   func() int { return 0 },
-		onNews: func(News) {},
+		onNews: func(Update) {},
 		log:    zap.NewNop(),
 		calls:  func(string) {},
 	}
@@ -114,10 +114,10 @@
 	return f
 }
 
-func (f *Follower) part(of float64) time.Duration { return time.Duration(of * float64(f.within)) }
+func (f *StoreWatcher) part(of float64) time.Duration { return time.Duration(of * float64(f.within)) }
 
 // Run follows the source until the context ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *StoreWatcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.idle(ctx)
 		revision, ok := f.read(ctx)
@@ -131,7 +131,7 @@
 
 // meet lets a starting box meet others before it watches: as long as it knows nobody it
 // takes itself for the first reader.
-func (f *Follower) meet(ctx context.Context) {
+func (f *StoreWatcher) meet(ctx context.Context) {
 	if !f.met {
 		f.met = true
 		Sleep(ctx, meetTime)
@@ -139,16 +139,16 @@
 }
 
 // reader tells whether this box reads the store for all.
-func (f *Follower) reader() bool { return f.rank() < readerCount }
+func (f *StoreWatcher) reader() bool { return f.rank() < readerCount }
 
 // reads tells whether this box is to read the store now.
-func (f *Follower) reads() bool {
+func (f *StoreWatcher) reads() bool {
 	return f.reader() || time.Now().Before(f.helper)
 }
 
 // rest gives the pause before the next watch. A box that reads though it is no reader
 // hears nothing from others, and rests as the first.
-func (f *Follower) rest() time.Duration {
+func (f *StoreWatcher) rest() time.Duration {
 	rank := f.rank()
 	if rank >= readerCount {
 		return restBetween
@@ -158,14 +158,14 @@
 
 // idle waits while others read: until this box is a reader, or what it believes
 // gets old.
-func (f *Follower) idle(ctx context.Context) {
+func (f *StoreWatcher) idle(ctx context.Context) {
 	for ctx.Err() == nil {
 		v := f.belief.View()
 		now := time.Now()
 		if f.reader() {
 			return
 		}
-		if !v.Listed || v.Table == nil {
+		if !v.HasEndpointList || v.Table == nil {
 			// Nothing was published yet when this box read, or the read failed.
 			if now.Sub(f.readAt) >= f.part(watchPart) {
 				return
@@ -173,7 +173,7 @@
 			Sleep(ctx, lookEvery)
 			continue
 		}
-		age, awaited := now.Sub(v.Confirmed), f.belief.Awaited(now)
+		age, awaited := now.Sub(v.ConfirmedAt), f.belief.ConfigLag(now)
 		if age > f.patience() || awaited > f.part(awaitPart) {
 			f.log.Info("nothing from the readers, reading the store", zap.Duration("list_age", age), zap.Duration("configuration_awaited", awaited))
 			f.helper = now.Add(helperTime)
@@ -184,14 +184,14 @@
 }
 
 // patience is how old what this box believes may get before it reads itself.
-func (f *Follower) patience() time.Duration {
+func (f *StoreWatcher) patience() time.Duration {
 	if f.rank() < readerCount+standbyCount {
 		return f.part(stalePart)
 	}
 	return f.part(latePart)
 }
 
-func (f *Follower) read(ctx context.Context) (routing.Revision, bool) {
+func (f *StoreWatcher) read(ctx context.Context) (routing.Revision, bool) {
 	s, err := f.source.Read(ctx)
 	if err != nil {
 		f.failed(ctx, "read", err)
@@ -205,19 +205,19 @@
 
 // watch asks for changes until history is lost; a call that failed is made
 // again from the same revision.
-func (f *Follower) watch(ctx context.Context, after routing.Revision) (routing.Revision, bool) {
+func (f *StoreWatcher) watch(ctx context.Context, after routing.Revision) (routing.Revision, bool) {
 	c, err := f.source.Watch(ctx, after, f.part(watchPart))
 	if errors.Is(err, ErrHistoryLost) {
 		f.calls("history lost")
 		f.log.Info("the store dropped its history, reading everything", zap.Uint64("after", after.Number()))
 		return 0, false
 	}
-	if errors.Is(err, ErrStoreReplaced) {
+	if errors.Is(err, ErrStoreRestored) {
 		f.calls("store replaced")
 		f.log.Info("the store came back from an older copy, reading everything", zap.Uint64("era", after.Era()), zap.Uint64("after", after.Number()))
 		return 0, false
 	}
-	if errors.Is(err, ErrTooMuch) {
+	if errors.Is(err, ErrChangesTooLarge) {
 		// The store holds each version that came since, and only the last is
 		// wanted; to ask for them again would bring still more.
 		f.calls("too much")
@@ -235,12 +235,12 @@
 	return c.Revision, true
 }
 
-func (f *Follower) failed(ctx context.Context, call string, err error) {
+func (f *StoreWatcher) failed(ctx context.Context, call string, err error) {
 	f.calls("failed")
 	if ctx.Err() != nil {
 		return
 	}
-	f.belief.StoreAway()
+	f.belief.MarkStoreDown()
 	if !f.lost {
 		f.lost = true
 		f.log.Warn("lost the store", zap.String("call", call), zap.Error(err))
@@ -252,7 +252,7 @@
 	Sleep(ctx, f.pause/2+rand.N(f.pause/2+1))
 }
 
-func (f *Follower) pauseMost() time.Duration {
+func (f *StoreWatcher) pauseMost() time.Duration {
 	if f.reader() {
 		return retryMost
 	}
@@ -261,14 +261,14 @@
 
 // last tells whether this box only tries the store after the readers and the standbys
 // did. When the store is away from all, 295 boxes would ask it some times a second.
-func (f *Follower) last() bool {
-	return f.belief.View().Listed && f.rank() >= readerCount+standbyCount
+func (f *StoreWatcher) last() bool {
+	return f.belief.View().HasEndpointList && f.rank() >= readerCount+standbyCount
 }
 
-func (f *Follower) reached() {
+func (f *StoreWatcher) reached() {
 	f.calls("answered")
 	f.pause = 0
-	f.belief.StoreBack(time.Now())
+	f.belief.MarkStoreUp(time.Now())
 	if f.lost {
 		f.lost = false
 		f.log.Info("regained the store")
--- a/fleet/follower_test.go
+++ b/fleet/follower_test.go
@@ -97,7 +97,7 @@
 		return nil, fleet.ErrHistoryLost
 	}
 	if s.much && after < s.revision {
-		return nil, fleet.ErrTooMuch
+		return nil, fleet.ErrChangesTooLarge
 	}
 	c := &fleet.Changes{Revision: s.revision}
 	for _, e := range s.all {
@@ -120,12 +120,12 @@
 )
 
 // follow plays a follower in virtual time.
-func follow(t *testing.T, play func(g *gomega.WithT, s *source, b *fleet.Belief), options ...fleet.FollowerOption) {
+func follow(t *testing.T, play func(g *gomega.WithT, s *source, b *fleet.State), options ...fleet.StoreWatcherOption) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newSource()
-		b := fleet.NewBelief()
-		f := fleet.NewFollower(s, b, within, options...)
+		b := fleet.NewState()
+		f := fleet.NewStoreWatcher(s, b, within, options...)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -140,7 +140,7 @@
 }
 
 func TestReaderSeesChangesWithinTheBound(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		s.put("b")
 		time.Sleep(within / 2)
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
@@ -148,7 +148,7 @@
 }
 
 func TestReaderReadsAnewWhenHistoryIsLost(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		s.set(nil, true)
 		s.put("b")
 		time.Sleep(within)
@@ -159,33 +159,33 @@
 // A watch that brings too much is not made again from the same revision: it would
 // bring still more.
 func TestReaderReadsAnewWhenTheChangesAreTooMuch(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		s.mu.Lock()
 		s.much = true
 		s.mu.Unlock()
 		s.put("b")
 		time.Sleep(within / 2)
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
-		g.Expect(b.Away()).To(gomega.BeFalse(), "the store is well")
+		g.Expect(b.IsStoreDown()).To(gomega.BeFalse(), "the store is well")
 	})
 }
 
 func TestReaderCatchesUpAfterAnOutage(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		s.set(errors.New("away"), false)
 		s.put("b")
 		time.Sleep(30 * time.Second)
-		g.Expect(b.Away()).To(gomega.BeTrue())
+		g.Expect(b.IsStoreDown()).To(gomega.BeTrue())
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a"}))
 		s.set(nil, false)
 		time.Sleep(within)
-		g.Expect(b.Away()).To(gomega.BeFalse())
+		g.Expect(b.IsStoreDown()).To(gomega.BeFalse())
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
 	})
 }
 
 func TestOutageIsNotHammered(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, _ *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, _ *fleet.State) {
 		s.set(errors.New("away"), false)
 		readsBefore, watchesBefore := s.calls()
 		time.Sleep(time.Minute)
@@ -195,10 +195,10 @@
 }
 
 func TestOtherBoxesReadOnlyWhenNothingComes(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		before, _ := s.calls()
 		for range 20 {
-			b.Confirm(time.Now(), b.View().Changed, 0)
+			b.Confirm(time.Now(), b.View().ListRevision, 0)
 			time.Sleep(500 * time.Millisecond)
 		}
 		reads, _ := s.calls()
@@ -206,23 +206,23 @@
 		s.put("b")
 		time.Sleep(within)
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}), "the readers are gone, so that it reads itself")
-	}, fleet.WithRank(func() int { return otherRank }))
+	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
 
 // A box that had heard of a newer configuration and got it from nobody kept waiting, as
 // long as other boxes' word said that its list was whole.
 func TestOtherBoxesReadAConfigurationThatNobodyGivesThem(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		s.mu.Lock()
 		s.version = 9
 		s.mu.Unlock()
-		b.HeardOf(time.Now(), 9)
+		b.NoteConfigVersion(time.Now(), 9)
 		for range 10 {
-			b.Confirm(time.Now(), b.View().Changed, 0)
+			b.Confirm(time.Now(), b.View().ListRevision, 0)
 			time.Sleep(within / 10)
 		}
-		g.Expect(b.View().Configuration()).To(gomega.BeEquivalentTo(9))
-	}, fleet.WithRank(func() int { return otherRank }))
+		g.Expect(b.View().ConfigVersion()).To(gomega.BeEquivalentTo(9))
+	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
 
 // A store that dropped its history, and answered no watch for a second before, made the
@@ -231,7 +231,7 @@
 	// readsAt gives when a box that hears nothing reads the store for the second time.
 	readsAt := func(rank int) time.Duration {
 		var at time.Duration
-		follow(t, func(g *gomega.WithT, s *source, _ *fleet.Belief) {
+		follow(t, func(g *gomega.WithT, s *source, _ *fleet.State) {
 			// It read at its start, a second ago.
 			for at = time.Second; at < within; at += 10 * time.Millisecond {
 				if reads, _ := s.calls(); reads > 1 {
@@ -240,7 +240,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			g.Expect(at).To(gomega.BeNumerically("<", within), "it reads in the end")
-		}, fleet.WithRank(func() int { return rank }))
+		}, fleet.WithReaderRank(func() int { return rank }))
 		return at
 	}
 	first, others := readsAt(standbyRank), readsAt(otherRank)
@@ -259,12 +259,12 @@
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newSource()
-		var beliefs []*fleet.Belief
+		var beliefs []*fleet.State
 		var all sync.WaitGroup
 		for rank := range 5 {
-			b := fleet.NewBelief()
+			b := fleet.NewState()
 			beliefs = append(beliefs, b)
-			f := fleet.NewFollower(s, b, within, fleet.WithRank(func() int { return rank }))
+			f := fleet.NewStoreWatcher(s, b, within, fleet.WithReaderRank(func() int { return rank }))
 			all.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(time.Second)
@@ -293,7 +293,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newSource()
 		begun := time.Now()
-		f := fleet.NewFollower(s, fleet.NewBelief(), within, fleet.WithRank(func() int {
+		f := fleet.NewStoreWatcher(s, fleet.NewState(), within, fleet.WithReaderRank(func() int {
 			if time.Since(begun) < 300*time.Millisecond {
 				return 0
 			}
@@ -316,7 +316,7 @@
 // While the store was silent for eight and six seconds, 295 boxes went on asking it some
 // seconds each.
 func TestOtherBoxesAskAStoreThatIsAwaySeldom(t *testing.T) {
-	follow(t, func(g *gomega.WithT, s *source, b *fleet.Belief) {
+	follow(t, func(g *gomega.WithT, s *source, b *fleet.State) {
 		s.set(errors.New("away"), false)
 		before, _ := s.calls()
 		time.Sleep(12 * time.Second)
@@ -326,5 +326,5 @@
 		s.put("b")
 		time.Sleep(4 * time.Second)
 		g.Expect(serving(b)).To(gomega.Equal([]string{"a", "b"}))
-	}, fleet.WithRank(func() int { return otherRank }))
+	}, fleet.WithReaderRank(func() int { return otherRank }))
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -29,11 +29,11 @@
 // must go on, answer a greeting, and give new requests to no endpoint without an address.
 func FuzzMessage(f *testing.F) {
 	kinds := []string{
-		fleet.Greeting{}.Kind(), fleet.News{}.Kind(), fleet.EndRecords{}.Kind(), fleet.Placements{}.Kind(),
-		fleet.Evacuating{}.Kind(), fleet.Want{}.Kind(), fleet.Borrow{}.Kind(),
+		fleet.Gossip{}.Kind(), fleet.Update{}.Kind(), fleet.EndRecords{}.Kind(), fleet.Placements{}.Kind(),
+		fleet.Evacuating{}.Kind(), fleet.StateRequest{}.Kind(), fleet.BorrowRequest{}.Kind(),
 	}
 	for i, m := range []any{
-		fleet.Greeting{
+		fleet.Gossip{
 			From: core.Peer{Box: "a"},
 			Crashes: []core.CrashRecord{{
 				Crashes: []core.Crash{{Endpoint: "e", Age: -time.Second}},
@@ -41,12 +41,12 @@
 			Reports: []routing.Report{{Endpoint: "e", Age: -1}},
 			Age:     -1,
 		},
-		fleet.News{Changed: 9, Updated: []routing.Endpoint{{ID: "e"}}},
+		fleet.Update{ListRevision: 9, Updated: []routing.Endpoint{{ID: "e"}}},
 		fleet.EndRecords{All: []core.CrashRecord{{Cleared: true, Age: 1 << 62}}},
 		fleet.Placements{All: []fleet.Placement{{Endpoint: "e", Tokens: -1}}},
-		fleet.Evacuating{Endpoint: "e", Runs: []fleet.MovingRun{{ID: "r", CopyTime: -1}}},
-		fleet.Want{Configuration: 1 << 63},
-		fleet.Borrow{Service: "s", Sends: -1},
+		fleet.Evacuating{Endpoint: "e", Runs: []fleet.PendingMove{{ID: "r", CopyTime: -1}}},
+		fleet.StateRequest{ConfigVersion: 1 << 63},
+		fleet.BorrowRequest{Service: "s", Sends: -1},
 	} {
 		body, err := cbor.Marshal(m)
 		if err != nil {
@@ -68,7 +68,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if _, err := wire.Request[fleet.Greeting](ctx, asked, at, fleet.Greeting{From: core.Peer{Box: "asks"}}); err != nil {
+		if _, err := wire.Request[fleet.Gossip](ctx, asked, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
 			t.Fatalf("no greeting is answered after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
 		}
 		for _, e := range belief.View().Serving("s") {
@@ -80,13 +80,13 @@
 }
 
 // fuzzedBox starts a box with a configuration and a list, and gives its address.
-func fuzzedBox(f *testing.F) (*fleet.Belief, netip.AddrPort) {
+func fuzzedBox(f *testing.F) (*fleet.State, netip.AddrPort) {
 	texts, err := emulator.FreeAddresses(1)
 	if err != nil {
 		f.Fatal(err)
 	}
 	at := netip.MustParseAddrPort(texts[0])
-	belief := fleet.NewBelief()
+	belief := fleet.NewState()
 	belief.ApplySnapshot(time.Now(), snapshot(1))
 	_, err = fleet.NewPeers(core.Peer{
 		Box:     "listens",
--- a/fleet/give.go
+++ b/fleet/give.go
@@ -26,8 +26,8 @@
 	packedKept = 4
 )
 
-// Part is a piece of packed views.
-type Part struct {
+// Chunk is a piece of packed views.
+type Chunk struct {
 	Digest uint64        `cbor:"1,keyasint,omitempty"` // of the whole, to ask for more of it
 	Size   int           `cbor:"2,keyasint,omitempty"` // of the whole; 0 when there is nothing newer, or no such digest
 	Data   []byte        `cbor:"3,keyasint,omitempty"`
@@ -36,23 +36,23 @@
 }
 
 // Kind names the message.
-func (Part) Kind() string { return "part" }
+func (Chunk) Kind() string { return "part" }
 
-// WantPart asks for more of packed views.
-type WantPart struct {
+// ChunkRequest asks for more of packed views.
+type ChunkRequest struct {
 	Digest uint64 `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
 }
 
 // Kind names the message.
-func (WantPart) Kind() string { return "want-part" }
+func (ChunkRequest) Kind() string { return "want-part" }
 
 // noList in a Want says that only a configuration is asked for.
 const noList = math.MaxUint64
 
 // giver gives this box's views to others, in parts and to a few at a time.
 type giver struct {
-	belief *Belief
+	belief *State
 	log    *zap.Logger
 	mu     sync.Mutex
 	giving *core.TransferLimiter[*wire.Conn]
@@ -61,13 +61,13 @@
 
 // packed is what answers one kind of question.
 type packed struct {
-	want   Want
+	want   StateRequest
 	of     core.Advertisement // the view that it was made from
 	digest uint64
 	data   []byte
 }
 
-func newGiver(b *Belief, log *zap.Logger) *giver {
+func newGiver(b *State, log *zap.Logger) *giver {
 	return &giver{
 		belief: b,
 		log:    log,
@@ -78,22 +78,22 @@
 // offerOf says how new a view is.
 func offerOf(v *View) core.Advertisement {
 	return core.Advertisement{
-		Configuration: v.Configuration(),
-		Changed:       v.Changed,
+		ConfigVersion: v.ConfigVersion(),
+		ListRevision:  v.ListRevision,
 	}
 }
 
 // first answers a box that asks for newer views: with all of them where they are
 // small, else with the first part or word that it must wait.
-func (g *giver) first(_ context.Context, c *wire.Conn, w Want) (Part, error) {
+func (g *giver) first(_ context.Context, c *wire.Conn, w StateRequest) (Chunk, error) {
 	v := g.belief.View()
-	out := Part{Age: -1}
-	if w.Changed != noList {
-		out.Age = time.Since(v.Confirmed)
+	out := Chunk{Age: -1}
+	if w.ListRevision != noList {
+		out.Age = time.Since(v.ConfirmedAt)
 	}
 	if !offerOf(v).NewerThan(core.Advertisement{
-		Configuration: w.Configuration,
-		Changed:       w.Changed,
+		ConfigVersion: w.ConfigVersion,
+		ListRevision:  w.ListRevision,
 	}) {
 		return out, nil
 	}
@@ -101,10 +101,10 @@
 	defer g.mu.Unlock()
 	k, err := g.pack(w, v)
 	if err != nil {
-		return Part{}, err
+		return Chunk{}, err
 	}
 	if len(k.data) > partBytes && !g.giving.TryStart(time.Now(), c) {
-		return Part{Busy: true}, nil
+		return Chunk{Busy: true}, nil
 	}
 	out.Digest = k.digest
 	out.Size = len(k.data)
@@ -113,12 +113,12 @@
 }
 
 // more answers a box that takes the next part.
-func (g *giver) more(_ context.Context, c *wire.Conn, w WantPart) (Part, error) {
+func (g *giver) more(_ context.Context, c *wire.Conn, w ChunkRequest) (Chunk, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	i := slices.IndexFunc(g.kept, func(k packed) bool { return k.digest == w.Digest })
 	if i < 0 || w.Offset < 0 || w.Offset >= len(g.kept[i].data) {
-		return Part{}, nil
+		return Chunk{}, nil
 	}
 	g.giving.RecordProgress(time.Now(), c)
 	k := g.use(i)
@@ -126,9 +126,9 @@
 	end := min(w.Offset+partBytes, len(data))
 	if end == len(data) {
 		took := g.giving.Finish(time.Now(), c)
-		g.log.Info("views given", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", k.of.Configuration), zap.Int("bytes", len(data)), zap.Duration("took", took))
+		g.log.Info("views given", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", k.of.ConfigVersion), zap.Int("bytes", len(data)), zap.Duration("took", took))
 	}
-	return Part{
+	return Chunk{
 		Digest: w.Digest,
 		Size:   len(data),
 		Data:   data[w.Offset:end],
@@ -137,10 +137,10 @@
 }
 
 // pack gives a view's answer to a question, made once for all that ask the same.
-func (g *giver) pack(w Want, v *View) (packed, error) {
+func (g *giver) pack(w StateRequest, v *View) (packed, error) {
 	of := offerOf(v)
-	if w.Changed == noList {
-		w, of = alone(of.Configuration)
+	if w.ListRevision == noList {
+		w, of = alone(of.ConfigVersion)
 	}
 	if i := slices.IndexFunc(g.kept, func(k packed) bool { return k.want == w && k.of == of }); i >= 0 {
 		return g.use(i), nil
@@ -154,8 +154,8 @@
 
 // alone gives the question for a configuration alone, whose answer is the same whatever
 // the asker has, and what that answer holds.
-func alone(version uint64) (Want, core.Advertisement) {
-	return Want{Changed: noList}, core.Advertisement{Configuration: version}
+func alone(version uint64) (StateRequest, core.Advertisement) {
+	return StateRequest{ListRevision: noList}, core.Advertisement{ConfigVersion: version}
 }
 
 // took keeps a configuration as another box packed it, to be given as it came: to pack
@@ -175,7 +175,7 @@
 	return k
 }
 
-func (g *giver) keep(w Want, of core.Advertisement, data []byte) packed {
+func (g *giver) keep(w StateRequest, of core.Advertisement, data []byte) packed {
 	k := packed{
 		want:   w,
 		of:     of,
@@ -190,17 +190,17 @@
 }
 
 // views gives what is newer than somebody has.
-func (g *giver) views(w Want, v *View) Views {
-	var out Views
-	if v.Configuration() > w.Configuration {
+func (g *giver) views(w StateRequest, v *View) PeerState {
+	var out PeerState
+	if v.ConfigVersion() > w.ConfigVersion {
 		out.Document = v.Table.Document()
 	}
-	if !v.Listed || v.Changed <= w.Changed {
+	if !v.HasEndpointList || v.ListRevision <= w.ListRevision {
 		return out
 	}
-	out.Changed = v.Changed
+	out.ListRevision = v.ListRevision
 	out.Zones = v.Zones
-	if updated, removed, ok := g.belief.Since(w.Changed); ok {
+	if updated, removed, ok := g.belief.ChangesSince(w.ListRevision); ok {
 		out.Partial = true
 		out.Endpoints = updated
 		out.Removed = removed
--- a/fleet/greeting.go
+++ b/fleet/greeting.go
@@ -23,7 +23,7 @@
 func (p *Peers) greet(ctx context.Context, address netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(ctx, greetTime)
 	defer cancel()
-	answer, err := wire.Request[Greeting](ctx, p.pool, address, p.greeting(p.isFellow(address)))
+	answer, err := wire.Request[Gossip](ctx, p.pool, address, p.greeting(p.isFellow(address)))
 	if err != nil {
 		p.log.Debug("box didn't answer", zap.Stringer("address", address), zap.Error(err))
 		p.abandon(address)
@@ -40,14 +40,14 @@
 // greeting gives what this box tells another. A box of another group gets the reports of
 // this group's engines only: it has the others from theirs, and bytes between zones have a
 // price. On 295 boxes in five zones greetings were most of them.
-func (p *Peers) greeting(fellow bool) Greeting {
+func (p *Peers) greeting(fellow bool) Gossip {
 	p.look()
 	v := p.belief.View()
 	now := time.Now()
-	g := Greeting{
-		Configuration: v.Configuration(),
-		Changed:       v.Changed,
-		Age:           now.Sub(v.Confirmed),
+	g := Gossip{
+		ConfigVersion: v.ConfigVersion(),
+		ListRevision:  v.ListRevision,
+		Age:           now.Sub(v.ConfirmedAt),
 		Crashes:       p.quarantine.sample(now),
 		Limits:        p.limits.sample(now),
 	}
@@ -65,7 +65,7 @@
 	return g
 }
 
-func (p *Peers) greeted(c *wire.Conn, g Greeting) Greeting {
+func (p *Peers) greeted(c *wire.Conn, g Gossip) Gossip {
 	fellow := slices.Contains(p.Group().Members, g.From.Box)
 	p.take(g, fellow)
 	p.compare(c, g)
@@ -78,7 +78,7 @@
 	return slices.Contains(p.fellows, address)
 }
 
-func (p *Peers) take(g Greeting, fellow bool) {
+func (p *Peers) take(g Gossip, fellow bool) {
 	now := time.Now()
 	p.endsGreeted(g.Crashes, fellow)
 	p.limitsGreeted(g.Limits, fellow)
@@ -92,12 +92,12 @@
 }
 
 // compare takes a box's word that nothing is newer, or what it has.
-func (p *Peers) compare(c *wire.Conn, g Greeting) {
+func (p *Peers) compare(c *wire.Conn, g Gossip) {
 	v := p.belief.View()
-	p.belief.Confirm(time.Now(), g.Changed, g.Age)
-	o := core.Advertisement{Configuration: g.Configuration}
-	if !v.Listed || time.Since(v.Confirmed) > listPatience {
-		o.Changed = g.Changed
+	p.belief.Confirm(time.Now(), g.ListRevision, g.Age)
+	o := core.Advertisement{ConfigVersion: g.ConfigVersion}
+	if !v.HasEndpointList || time.Since(v.ConfirmedAt) > listPatience {
+		o.ListRevision = g.ListRevision
 	}
 	p.offered(c, o)
 }
--- a/fleet/lend.go
+++ b/fleet/lend.go
@@ -20,51 +20,51 @@
 	borrowTries = 12
 )
 
-// Borrow asks a box of the group for a part of its retry budget.
-type Borrow struct {
+// BorrowRequest asks a box of the group for a part of its retry budget.
+type BorrowRequest struct {
 	Service string `cbor:"1,keyasint"`
 	Sends   int    `cbor:"2,keyasint"`
 }
 
 // Kind names the message.
-func (Borrow) Kind() string { return "borrow" }
+func (BorrowRequest) Kind() string { return "borrow" }
 
-// Lent is what the asked box gave: it counted these sends as its own.
-type Lent struct {
+// BorrowResponse is what the asked box gave: it counted these sends as its own.
+type BorrowResponse struct {
 	Sends int `cbor:"1,keyasint"`
 }
 
 // Kind names the message.
-func (Lent) Kind() string { return "lent" }
+func (BorrowResponse) Kind() string { return "lent" }
 
-// Budgets are a box's parts of the retry budgets, as others borrow from them.
-type Budgets interface {
+// RetryBudgets are a box's parts of the retry budgets, as others borrow from them.
+type RetryBudgets interface {
 	// TransferOut gives up to some sends of a service, counted as spent here.
 	TransferOut(now time.Time, service string, sends int) int
 	// ReceiveTransfer takes sends that another box gave.
 	ReceiveTransfer(now time.Time, service string, sends int)
 }
 
-// SetBudgets lets the boxes of a group lend each other parts of their budgets.
-func (p *Peers) SetBudgets(b Budgets) {
+// SetRetryBudgets lets the boxes of a group lend each other parts of their budgets.
+func (p *Peers) SetRetryBudgets(b RetryBudgets) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budgets = b
 }
 
-func (p *Peers) lender() Budgets {
+func (p *Peers) lender() RetryBudgets {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.budgets
 }
 
 // lend answers a box that asks.
-func (p *Peers) lend(_ context.Context, _ *wire.Conn, q Borrow) (Lent, error) {
+func (p *Peers) lend(_ context.Context, _ *wire.Conn, q BorrowRequest) (BorrowResponse, error) {
 	b := p.lender()
 	if b == nil || q.Sends <= 0 {
-		return Lent{}, nil
+		return BorrowResponse{}, nil
 	}
-	return Lent{Sends: b.TransferOut(time.Now(), q.Service, min(q.Sends, lendAsk))}, nil
+	return BorrowResponse{Sends: b.TransferOut(time.Now(), q.Service, min(q.Sends, lendAsk))}, nil
 }
 
 func (p *Peers) anyFellow() (netip.AddrPort, bool) {
@@ -76,9 +76,9 @@
 	return p.fellows[rand.N(len(p.fellows))], true
 }
 
-// BorrowNow asks boxes of the group one after the other, until one gives a part
+// BorrowRetries asks boxes of the group one after the other, until one gives a part
 // of its budget or the context ends.
-func (p *Peers) BorrowNow(ctx context.Context, service string) {
+func (p *Peers) BorrowRetries(ctx context.Context, service string) {
 	b := p.lender()
 	if b == nil {
 		return
@@ -92,10 +92,10 @@
 }
 
 // borrow asks one box, and tells whether it gave something.
-func (p *Peers) borrow(ctx context.Context, b Budgets, from netip.AddrPort, service string) bool {
+func (p *Peers) borrow(ctx context.Context, b RetryBudgets, from netip.AddrPort, service string) bool {
 	ctx, cancel := context.WithTimeout(ctx, greetTime)
 	defer cancel()
-	lent, err := wire.Request[Lent](ctx, p.pool, from, Borrow{
+	lent, err := wire.Request[BorrowResponse](ctx, p.pool, from, BorrowRequest{
 		Service: service,
 		Sends:   lendAsk,
 	})
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -51,9 +51,9 @@
 	p.log.Info("most boxes are known", zap.Int("known", len(p.alive)))
 }
 
-// Settled tells whether this box knows most of the others, and so its own part of what
+// IsSettled tells whether this box knows most of the others, and so its own part of what
 // is divided among all.
-func (p *Peers) Settled() bool {
+func (p *Peers) IsSettled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.settled
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -7,13 +7,13 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Greeting is what two boxes tell each other: who they are, whom they heard of,
+// Gossip is what two boxes tell each other: who they are, whom they heard of,
 // and how new their views are.
-type Greeting struct {
+type Gossip struct {
 	From          core.Peer          `cbor:"1,keyasint"`
 	Members       []core.Peer        `cbor:"2,keyasint,omitempty"`
-	Configuration uint64             `cbor:"3,keyasint"` // version in force; 0 for none
-	Changed       routing.Revision   `cbor:"4,keyasint"` // the list's last change; 0 for no list
+	ConfigVersion uint64             `cbor:"3,keyasint"` // version in force; 0 for none
+	ListRevision  routing.Revision   `cbor:"4,keyasint"` // the list's last change; 0 for no list
 	Reports       []routing.Report   `cbor:"5,keyasint,omitempty"`
 	Age           time.Duration      `cbor:"6,keyasint"` // since the list was confirmed
 	Crashes       []core.CrashRecord `cbor:"7,keyasint,omitempty"`
@@ -21,54 +21,54 @@
 }
 
 // Kind names the message.
-func (Greeting) Kind() string { return "greeting" }
+func (Gossip) Kind() string { return "greeting" }
 
-// Want asks a peer for its views where they are newer; the first part of them answers
+// StateRequest asks a peer for its views where they are newer; the first part of them answers
 // it.
-type Want struct {
-	Configuration uint64           `cbor:"1,keyasint"`
-	Changed       routing.Revision `cbor:"2,keyasint"`
+type StateRequest struct {
+	ConfigVersion uint64           `cbor:"1,keyasint"`
+	ListRevision  routing.Revision `cbor:"2,keyasint"`
 }
 
 // Kind names the message.
-func (Want) Kind() string { return "want" }
+func (StateRequest) Kind() string { return "want" }
 
-// Views is a peer's newer configuration and list, or nothing of either. The
+// PeerState is a peer's newer configuration and list, or nothing of either. The
 // list is given whole, or as what changed since the revision asked for.
-type Views struct {
-	Document  *routing.Document   `cbor:"1,keyasint,omitempty"`
-	Endpoints []routing.Endpoint  `cbor:"2,keyasint,omitempty"`
-	Changed   routing.Revision    `cbor:"3,keyasint,omitempty"` // 0 when the list is not newer
-	Age       time.Duration       `cbor:"-"`                    // since the list was confirmed; it goes with the first part
-	Partial   bool                `cbor:"5,keyasint,omitempty"` // only what changed
-	Removed   []Removal           `cbor:"6,keyasint,omitempty"` // with a partial list
-	Zones     []routing.ZoneDrain `cbor:"7,keyasint,omitempty"` // all that is known of zones; they are few
+type PeerState struct {
+	Document     *routing.Document   `cbor:"1,keyasint,omitempty"`
+	Endpoints    []routing.Endpoint  `cbor:"2,keyasint,omitempty"`
+	ListRevision routing.Revision    `cbor:"3,keyasint,omitempty"` // 0 when the list is not newer
+	Age          time.Duration       `cbor:"-"`                    // since the list was confirmed; it goes with the first part
+	Partial      bool                `cbor:"5,keyasint,omitempty"` // only what changed
+	Removed      []Removal           `cbor:"6,keyasint,omitempty"` // with a partial list
+	Zones        []routing.ZoneDrain `cbor:"7,keyasint,omitempty"` // all that is known of zones; they are few
 }
 
 // Kind names the views.
-func (Views) Kind() string { return "views" }
+func (PeerState) Kind() string { return "views" }
 
 // newsMost is how many changes one piece of news carries; each takes some
 // seventy bytes, and a box hears the news from each of its partners.
 const newsMost = 8
 
-// News is a change that a box learned from the store, as boxes hand it on.
-type News struct {
-	After   routing.Revision    `cbor:"1,keyasint"` // the list's last change before it
-	Changed routing.Revision    `cbor:"2,keyasint"`
-	Version uint64              `cbor:"3,keyasint,omitempty"` // of a newer configuration; it is asked for once
-	Updated []routing.Endpoint  `cbor:"4,keyasint,omitempty"`
-	Removed []Removal           `cbor:"5,keyasint,omitempty"`
-	Age     time.Duration       `cbor:"6,keyasint"`           // since the store told it
-	Large   bool                `cbor:"7,keyasint,omitempty"` // the changes are left out; they are asked for once
-	Zones   []routing.ZoneDrain `cbor:"8,keyasint,omitempty"`
+// Update is a change that a box learned from the store, as boxes hand it on.
+type Update struct {
+	BaseRevision routing.Revision    `cbor:"1,keyasint"` // the list's last change before it
+	ListRevision routing.Revision    `cbor:"2,keyasint"`
+	Version      uint64              `cbor:"3,keyasint,omitempty"` // of a newer configuration; it is asked for once
+	Updated      []routing.Endpoint  `cbor:"4,keyasint,omitempty"`
+	Removed      []Removal           `cbor:"5,keyasint,omitempty"`
+	Age          time.Duration       `cbor:"6,keyasint"`           // since the store told it
+	Truncated    bool                `cbor:"7,keyasint,omitempty"` // the changes are left out; they are asked for once
+	Zones        []routing.ZoneDrain `cbor:"8,keyasint,omitempty"`
 }
 
 // Kind names the message.
-func (News) Kind() string { return "news" }
+func (Update) Kind() string { return "news" }
 
 // newest gives the revision of the last change of the list.
-func (n News) newest() routing.Revision {
+func (n Update) newest() routing.Revision {
 	var at routing.Revision
 	for _, e := range n.Updated {
 		at = max(at, e.Revision)
@@ -84,16 +84,16 @@
 
 // announcement gives the news as they are handed on: many changes are left out,
 // since every partner hears them from many others.
-func (n News) announcement() News {
+func (n Update) announcement() Update {
 	if len(n.Updated)+len(n.Removed)+len(n.Zones) > newsMost {
 		n.Updated = nil
 		n.Removed = nil
 		n.Zones = nil
-		n.Large = true
+		n.Truncated = true
 	}
 	return n
 }
 
-func (n News) empty() bool {
+func (n Update) empty() bool {
 	return n.Version == 0 && len(n.Updated) == 0 && len(n.Removed) == 0 && len(n.Zones) == 0
 }
--- a/fleet/news.go
+++ b/fleet/news.go
@@ -28,14 +28,14 @@
 // Reader tells whether this box is among those that read the store for all.
 func (p *Peers) Reader() bool { return p.ReaderRank() < readerCount }
 
-// Spread tells the partners at once of what this box has learned.
-func (p *Peers) Spread(n News) {
+// BroadcastUpdate tells the partners at once of what this box has learned.
+func (p *Peers) BroadcastUpdate(n Update) {
 	if p.firstSeen(n) {
 		p.spread(n.announcement(), nil)
 	}
 }
 
-func (p *Peers) spread(n News, from *wire.Conn) {
+func (p *Peers) spread(n Update, from *wire.Conn) {
 	p.mu.Lock()
 	partners := p.partners()
 	p.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-func (p *Peers) pushNews(address netip.AddrPort, n News, from *wire.Conn) {
+func (p *Peers) pushNews(address netip.AddrPort, n Update, from *wire.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), greetTime)
 	defer cancel()
 	c, err := p.pool.Get(ctx, address)
@@ -59,20 +59,20 @@
 
 // newsCame takes news from a peer, asks for what they leave out, and hands on what
 // is new. Word of what this box doesn't have to give goes on once it has.
-func (p *Peers) newsCame(_ context.Context, c *wire.Conn, n News) {
+func (p *Peers) newsCame(_ context.Context, c *wire.Conn, n Update) {
 	if n.Age < 0 {
 		n.Age = math.MaxInt64
 	}
-	if !n.Large {
-		p.belief.ApplyNews(time.Now(), fromPeer, n)
+	if !n.Truncated {
+		p.belief.ApplyUpdate(time.Now(), fromPeer, n)
 	}
-	o := core.Advertisement{Configuration: n.Version}
-	if n.Large {
-		o.Changed = n.Changed
+	o := core.Advertisement{ConfigVersion: n.Version}
+	if n.Truncated {
+		o.ListRevision = n.ListRevision
 	}
 	p.offered(c, o)
 	n.Version = 0
-	if n.Changed > 0 && !n.Large && p.firstSeen(n) {
+	if n.ListRevision > 0 && !n.Truncated && p.firstSeen(n) {
 		p.spread(n, c)
 	}
 }
@@ -86,9 +86,9 @@
 // firstSeen tells whether news came for the first time, and remembers them.
 // What a box believes doesn't tell: after a gap, it takes the same news again
 // and again.
-func (p *Peers) firstSeen(n News) bool {
+func (p *Peers) firstSeen(n Update) bool {
 	key := newsKey{
-		changed: n.Changed,
+		changed: n.ListRevision,
 		version: n.Version,
 	}
 	p.mu.Lock()
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -46,7 +46,7 @@
 // strangers now and then, so that parts of a fleet that lost each other meet.
 func (p *Peers) rotate(now time.Time) {
 	alive := p.roster.Alive(now)
-	p.group = core.GroupOf(p.roster.Self(), alive, p.belief.View().Engines())
+	p.group = core.GroupOf(p.roster.Self(), alive, p.belief.View().EngineCount())
 	var fellows, choices []netip.AddrPort
 	var members []core.Peer
 	for _, m := range alive {
--- a/fleet/paths_test.go
+++ b/fleet/paths_test.go
@@ -41,7 +41,7 @@
 			g.Expect(p.Group().Members).To(gomega.HaveLen(boxes-1), "box %d", i)
 		}
 		for teller := range 3 {
-			f.peers[teller].Tell(fleet.Placement{
+			f.peers[teller].BroadcastPlacement(fleet.Placement{
 				Endpoint: "e-00",
 				Tokens:   100,
 			})
@@ -69,7 +69,7 @@
 			Updated:  []routing.Endpoint{e},
 		})
 		g.Expect(fresh).To(gomega.BeTrue())
-		f.peers[7].Spread(news)
+		f.peers[7].BroadcastUpdate(news)
 		time.Sleep(50 * time.Millisecond)
 		for i, b := range f.beliefs {
 			_, known := b.View().Endpoint("e-new")
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -35,7 +35,7 @@
 	settling     *core.PeerDiscovery
 	division     *core.ShareAllocator
 	settled      bool // whether most other boxes are known
-	belief       *Belief
+	belief       *State
 	seeds        []netip.AddrPort
 	log          *zap.Logger
 	network      wire.Network
@@ -49,8 +49,8 @@
 	turn         int
 	rotated      time.Time
 	alive        map[string]bool
-	reports      *Reports
-	budgets      Budgets
+	reports      *LoadReports
+	budgets      RetryBudgets
 	quarantine   *Quarantine
 	limits       *Limits
 	look         func()
@@ -69,8 +69,8 @@
 	return func(p *Peers) { p.log = log }
 }
 
-// WithReports lets greetings carry the engines' reports.
-func WithReports(r *Reports) PeersOption {
+// WithLoadReports lets greetings carry the engines' reports.
+func WithLoadReports(r *LoadReports) PeersOption {
 	return func(p *Peers) {
 		p.reports = r
 		r.peers = p
@@ -83,8 +83,8 @@
 	return func(p *Peers) { p.network = n }
 }
 
-// WithPlacements is called with each placement of a partner.
-func WithPlacements(onPlaced func(time.Time, Placement)) PeersOption {
+// WithPlacementHandler is called with each placement of a partner.
+func WithPlacementHandler(onPlaced func(time.Time, Placement)) PeersOption {
 	return func(p *Peers) { p.onPlaced = onPlaced }
 }
 
@@ -96,7 +96,7 @@
 
 // NewPeers listens on the box's own address for others; seeds are addresses to
 // begin with, which may be stale.
-func NewPeers(self core.Peer, seeds []netip.AddrPort, belief *Belief, options ...PeersOption) (*Peers, error) {
+func NewPeers(self core.Peer, seeds []netip.AddrPort, belief *State, options ...PeersOption) (*Peers, error) {
 	p := &Peers{
 		roster:       core.NewRoster(self, core.DefaultRosterRules()),
 		settling:     core.NewPeerDiscovery(time.Now(), core.DefaultPeerDiscoveryRules()),
@@ -120,7 +120,7 @@
 		o(p)
 	}
 	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.answered), wire.WithNetwork(p.network))
-	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Greeting) (Greeting, error) { return p.greeted(c, g), nil })
+	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.greeted(c, g), nil })
 	p.give = newGiver(belief, p.log)
 	wire.Answer(p.handlers, p.give.first)
 	wire.Answer(p.handlers, p.give.more)
@@ -155,7 +155,7 @@
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		every := greetEvery
-		if p.belief.Away() {
+		if p.belief.IsStoreDown() {
 			every = greetLost
 		}
 		if address, ok := p.nextPartner(time.Now()); ok {
@@ -172,7 +172,7 @@
 func (p *Peers) HandleSuspension(d time.Duration) {
 	p.belief.HandleSuspension(d)
 	if p.reports != nil {
-		p.reports.Forget()
+		p.reports.Clear()
 	}
 	p.limits.HandleSuspension(d)
 	p.mu.Lock()
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -17,14 +17,14 @@
 )
 
 // fleetOf starts boxes' peers that know only the first one's address.
-func fleetOf(n int) (all []*fleet.Peers, beliefs []*fleet.Belief) {
+func fleetOf(n int) (all []*fleet.Peers, beliefs []*fleet.State) {
 	texts, err := emulator.FreeAddresses(n)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	seed := netip.MustParseAddrPort(texts[0])
 	for i, text := range texts {
-		b := fleet.NewBelief()
+		b := fleet.NewState()
 		p, err := fleet.NewPeers(core.Peer{
 			Box:        string(rune('a' + i)),
 			Address:    netip.MustParseAddrPort(text),
@@ -84,10 +84,10 @@
 			Updated:  []routing.Endpoint{endpoint("x", 20, true)},
 		})
 		Expect(any).To(BeTrue())
-		all[1].Spread(news)
+		all[1].BroadcastUpdate(news)
 		for _, b := range beliefs {
 			Eventually(func() []string { return serving(b) }).WithTimeout(patience).Should(BeEmpty())
-			Eventually(func() uint64 { return b.View().Configuration() }).WithTimeout(patience).Should(BeEquivalentTo(6))
+			Eventually(func() uint64 { return b.View().ConfigVersion() }).WithTimeout(patience).Should(BeEquivalentTo(6))
 		}
 	})
 
@@ -98,7 +98,7 @@
 		p, err := fleet.NewPeers(core.Peer{
 			Box:     "a",
 			Address: own,
-		}, []netip.AddrPort{own, netip.MustParseAddrPort(texts[1])}, fleet.NewBelief())
+		}, []netip.AddrPort{own, netip.MustParseAddrPort(texts[1])}, fleet.NewState())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Sharers()).To(BeNumerically(">", 1_000_000))
 	})
@@ -108,14 +108,14 @@
 		purses := make([]*purse, len(all))
 		for i, p := range all {
 			purses[i] = &purse{}
-			p.SetBudgets(purses[i])
+			p.SetRetryBudgets(purses[i])
 		}
 		for _, p := range all {
 			Eventually(func() []string { return p.Group().Members }).WithTimeout(patience).Should(HaveLen(2))
 		}
 		purses[2].set(3)
 		Eventually(func() int {
-			all[0].BorrowNow(context.Background(), "model")
+			all[0].BorrowRetries(context.Background(), "model")
 			return purses[0].has()
 		}).WithTimeout(patience).Should(Equal(1))
 		Expect(purses[2].has()).To(Equal(2))
@@ -127,8 +127,8 @@
 			Eventually(func() []string { return p.Group().Members }).WithTimeout(patience).Should(HaveLen(2))
 			beliefs[i].ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
-		beliefs[0].Leaves(time.Now(), "engine", "x")
-		all[0].Evacuate(fleet.Evacuating{Endpoint: "x"})
+		beliefs[0].MarkLeaving(time.Now(), "engine", "x")
+		all[0].BroadcastEvacuating(fleet.Evacuating{Endpoint: "x"})
 		for _, b := range beliefs {
 			Eventually(func() []string { return serving(b) }).WithTimeout(patience).Should(BeEmpty())
 		}
@@ -166,10 +166,10 @@
 			b.ApplySnapshot(time.Now(), snapshot(10, endpoint("x", 1, false)))
 		}
 		before := all[0].Traffic()
-		all[0].Spread(fleet.News{
-			After:   15, // nobody has this
-			Changed: 16,
-			Updated: []routing.Endpoint{endpoint("y", 16, false)},
+		all[0].BroadcastUpdate(fleet.Update{
+			BaseRevision: 15, // nobody has this
+			ListRevision: 16,
+			Updated:      []routing.Endpoint{endpoint("y", 16, false)},
 		})
 		Eventually(func() []string { return serving(beliefs[3]) }).WithTimeout(20 * time.Second).Should(ContainElement("y"))
 		Consistently(func() uint64 { return all[0].Traffic() - before }).Should(BeNumerically("<", 200))
@@ -195,7 +195,7 @@
 			Revision: 60,
 			Updated:  many,
 		})
-		all[0].Spread(news)
+		all[0].BroadcastUpdate(news)
 		for _, b := range beliefs {
 			Eventually(func() int { return len(serving(b)) }).WithTimeout(20 * time.Second).Should(Equal(41))
 		}
--- a/fleet/placements.go
+++ b/fleet/placements.go
@@ -20,13 +20,13 @@
 // is sent there as the run grows, the end of either, or word that an endpoint owes an
 // answer or broke a stream off.
 type Placement struct {
-	Endpoint string `cbor:"1,keyasint"`
-	Tokens   int    `cbor:"2,keyasint"` // of the prompt, or of the copy at its end; with the end of a run, as told at its begin
-	Copy     bool   `cbor:"3,keyasint,omitempty"`
-	Overdue  bool   `cbor:"4,keyasint,omitempty"` // an answer of the endpoint is overdue
-	Broke    bool   `cbor:"5,keyasint,omitempty"` // a stream of the endpoint broke off unannounced
-	RunEnded bool   `cbor:"6,keyasint,omitempty"` // the run has ended
-	Held     int    `cbor:"7,keyasint,omitempty"` // tokens that a run held at its end
+	Endpoint      string `cbor:"1,keyasint"`
+	Tokens        int    `cbor:"2,keyasint"` // of the prompt, or of the copy at its end; with the end of a run, as told at its begin
+	Copy          bool   `cbor:"3,keyasint,omitempty"`
+	AnswerOverdue bool   `cbor:"4,keyasint,omitempty"` // an answer of the endpoint is overdue
+	StreamBroken  bool   `cbor:"5,keyasint,omitempty"` // a stream of the endpoint broke off unannounced
+	RunEnded      bool   `cbor:"6,keyasint,omitempty"` // the run has ended
+	HeldTokens    int    `cbor:"7,keyasint,omitempty"` // tokens that a run held at its end
 }
 
 // Placements is what a box placed in the last moments.
@@ -38,10 +38,10 @@
 // Kind names the message.
 func (Placements) Kind() string { return "placements" }
 
-// Tell tells the boxes of the group of a placement, soon and without waiting. A partner
+// BroadcastPlacement tells the boxes of the group of a placement, soon and without waiting. A partner
 // that still takes the message before gets none: news of placements are worth
 // nothing when they are late.
-func (p *Peers) Tell(placed Placement) {
+func (p *Peers) BroadcastPlacement(placed Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.untold) >= tellMost {
--- a/fleet/pull.go
+++ b/fleet/pull.go
@@ -27,7 +27,7 @@
 // under way.
 func (p *Peers) offered(c *wire.Conn, o core.Advertisement) {
 	now := time.Now()
-	p.belief.HeardOf(now, o.Configuration)
+	p.belief.NoteConfigVersion(now, o.ConfigVersion)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !o.NewerThan(offerOf(p.belief.View())) {
@@ -86,12 +86,12 @@
 // pullFrom takes the newer views of one box, and tells the others of them.
 func (p *Peers) pullFrom(c *wire.Conn, o core.Advertisement) {
 	v := p.belief.View()
-	want := Want{
-		Configuration: v.Configuration(),
-		Changed:       v.Changed,
+	want := StateRequest{
+		ConfigVersion: v.ConfigVersion(),
+		ListRevision:  v.ListRevision,
 	}
-	if o.Changed <= v.Changed {
-		want.Changed = noList
+	if o.ListRevision <= v.ListRevision {
+		want.ListRevision = noList
 	}
 	began := time.Now()
 	views, data, err := takeViews(c, want)
@@ -103,23 +103,23 @@
 	p.pull.RecordSuccess(c)
 	p.mu.Unlock()
 	p.viewsCame(c.Remote(), views, len(data), began)
-	if want.Changed == noList && views.Document != nil {
+	if want.ListRevision == noList && views.Document != nil {
 		p.give.took(views.Document.Version, data)
 	}
-	p.belief.ApplyViews(time.Now(), c.Remote().String(), views)
+	p.belief.ApplyPeerState(time.Now(), c.Remote().String(), views)
 	p.handOn(v, p.belief.View())
 }
 
 // handOn tells the partners of what this box can give since it has taken it.
 func (p *Peers) handOn(before, now *View) {
-	if now.Configuration() > before.Configuration() {
-		p.Spread(News{Version: now.Configuration()})
-	}
-	if now.Changed > before.Changed {
-		p.Spread(News{
-			Changed: now.Changed,
-			Age:     time.Since(now.Confirmed),
-			Large:   true,
+	if now.ConfigVersion() > before.ConfigVersion() {
+		p.BroadcastUpdate(Update{Version: now.ConfigVersion()})
+	}
+	if now.ListRevision > before.ListRevision {
+		p.BroadcastUpdate(Update{
+			ListRevision: now.ListRevision,
+			Age:          time.Since(now.ConfirmedAt),
+			Truncated:    true,
 		})
 	}
 }
@@ -135,34 +135,34 @@
 		return
 	}
 	p.pull.Failed(now, c)
-	p.log.Info("newer views didn't come", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", o.Configuration), zap.Duration("took", now.Sub(began)), zap.Error(err))
+	p.log.Info("newer views didn't come", zap.Stringer("box_address", c.Remote()), zap.Uint64("version", o.ConfigVersion), zap.Duration("took", now.Sub(began)), zap.Error(err))
 }
 
 // takeViews gives a box's newer views, and their bytes as they came.
-func takeViews(c *wire.Conn, want Want) (Views, []byte, error) {
+func takeViews(c *wire.Conn, want StateRequest) (PeerState, []byte, error) {
 	asked := time.Now()
 	first, err := askPart(c, want)
 	if err != nil {
-		return Views{}, nil, err
+		return PeerState{}, nil, err
 	}
 	if first.Size == 0 {
-		return Views{}, nil, errNothing
+		return PeerState{}, nil, errNothing
 	}
 	data := first.Data
 	for len(data) < first.Size {
-		next, err := askPart(c, WantPart{
+		next, err := askPart(c, ChunkRequest{
 			Digest: first.Digest,
 			Offset: len(data),
 		})
 		if err != nil {
-			return Views{}, nil, err
+			return PeerState{}, nil, err
 		}
 		if next.Digest != first.Digest || len(next.Data) == 0 {
-			return Views{}, nil, errDropped
+			return PeerState{}, nil, errDropped
 		}
 		data = append(data, next.Data...)
 	}
-	views, err := wire.Unpack[Views](data)
+	views, err := wire.Unpack[PeerState](data)
 	views.Age = first.Age
 	if first.Age >= 0 {
 		views.Age += time.Since(asked)
@@ -172,10 +172,10 @@
 
 // askPart asks for one part. A box that doesn't answer is connected to anew: a stalled
 // link doesn't break by itself.
-func askPart(c *wire.Conn, q wire.Message) (Part, error) {
+func askPart(c *wire.Conn, q wire.Message) (Chunk, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), partTime)
 	defer cancel()
-	answer, err := wire.Call[Part](ctx, c, q)
+	answer, err := wire.Call[Chunk](ctx, c, q)
 	switch {
 	case err != nil && ctx.Err() != nil:
 		c.Close()
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -72,24 +72,24 @@
 	return q.q.QuarantinedUntil(now, request)
 }
 
-// HeldRequest is a request that no endpoint may get.
-type HeldRequest struct {
-	Content core.Digest
-	Ended   []string // the endpoints that ended under it
-	Left    time.Duration
+// QuarantinedRequest is a request that no endpoint may get.
+type QuarantinedRequest struct {
+	Content  core.Digest
+	Ended    []string // the endpoints that ended under it
+	TimeLeft time.Duration
 }
 
 // All gives the requests that no endpoint may get, the last ones first.
-func (q *Quarantine) All(now time.Time) []HeldRequest {
+func (q *Quarantine) All(now time.Time) []QuarantinedRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var all []HeldRequest
+	var all []QuarantinedRequest
 	for _, request := range q.q.All(now) {
 		until, _ := q.q.QuarantinedUntil(now, request)
-		all = append(all, HeldRequest{
-			Content: request,
-			Ended:   q.q.Crashes(request),
-			Left:    until.Sub(now),
+		all = append(all, QuarantinedRequest{
+			Content:  request,
+			Ended:    q.q.Crashes(request),
+			TimeLeft: until.Sub(now),
 		})
 	}
 	return all
--- a/fleet/reports.go
+++ b/fleet/reports.go
@@ -30,8 +30,8 @@
 	reportSample = 64
 )
 
-// Reporter asks an engine for its load.
-type Reporter interface {
+// LoadReporter asks an engine for its load.
+type LoadReporter interface {
 	Report(ctx context.Context, e routing.Endpoint) (routing.Report, error)
 }
 
@@ -46,12 +46,12 @@
 	return fmt.Sprintf("the server has started again, at %d; what is known of it is of its former life", e.Started)
 }
 
-// Reports knows the load of engines. Each engine is asked by one box, which
+// LoadReports knows the load of engines. Each engine is asked by one box, which
 // follows from the roster, and that box's greetings tell the others.
-type Reports struct {
+type LoadReports struct {
 	mu       sync.Mutex
-	reporter Reporter
-	belief   *Belief
+	reporter LoadReporter
+	belief   *State
 	peers    *Peers
 	log      *zap.Logger
 	onReport func(time.Time, routing.Report)
@@ -64,19 +64,19 @@
 	at time.Time
 }
 
-// ReportsOption changes how a table of reports is built.
-type ReportsOption func(*Reports)
+// LoadReportsOption changes how a table of reports is built.
+type LoadReportsOption func(*LoadReports)
 
-// WithMayAsk is asked before each question to an engine: one that takes only some requests
+// WithLoadQueryFilter is asked before each question to an engine: one that takes only some requests
 // may take none now.
-func WithMayAsk(mayAsk func(routing.Endpoint) bool) ReportsOption {
-	return func(r *Reports) { r.mayAsk = mayAsk }
+func WithLoadQueryFilter(mayAsk func(routing.Endpoint) bool) LoadReportsOption {
+	return func(r *LoadReports) { r.mayAsk = mayAsk }
 }
 
-// NewReports builds an empty table; onReport is called with each report that is
+// NewLoadReports builds an empty table; onReport is called with each report that is
 // newer than the one before, and with when it was true.
-func NewReports(reporter Reporter, belief *Belief, log *zap.Logger, onReport func(time.Time, routing.Report), options ...ReportsOption) *Reports {
-	r := &Reports{
+func NewLoadReports(reporter LoadReporter, belief *State, log *zap.Logger, onReport func(time.Time, routing.Report), options ...LoadReportsOption) *LoadReports {
+	r := &LoadReports{
 		reporter: reporter,
 		belief:   belief,
 		log:      log,
@@ -91,13 +91,13 @@
 }
 
 // Run asks the engines that fall to this box until the context ends.
-func (r *Reports) Run(ctx context.Context) {
+func (r *LoadReports) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, e := range r.mine() {
 			go r.ask(ctx, e)
 		}
 		every := reportEvery
-		if time.Since(r.belief.View().Confirmed) > staleList {
+		if time.Since(r.belief.View().ConfirmedAt) > staleList {
 			every = staleEvery
 		}
 		Sleep(ctx, every)
@@ -107,9 +107,9 @@
 // mine gives the engines that this box asks: those of its group's share for
 // which its name hashes highest in the group. A box that knows few of the others yet
 // asks none, as all would ask all.
-func (r *Reports) mine() []routing.Endpoint {
+func (r *LoadReports) mine() []routing.Endpoint {
 	v := r.belief.View()
-	if v.Table == nil || !r.peers.Settled() {
+	if v.Table == nil || !r.peers.IsSettled() {
 		return nil
 	}
 	self, group := r.peers.Self(), r.peers.Group()
@@ -139,7 +139,7 @@
 	return true
 }
 
-func (r *Reports) ask(ctx context.Context, e routing.Endpoint) {
+func (r *LoadReports) ask(ctx context.Context, e routing.Endpoint) {
 	if !r.mayAsk(e) {
 		return
 	}
@@ -148,7 +148,7 @@
 	report, err := r.reporter.Report(ctx, e)
 	var restarted *RestartedError
 	if errors.As(err, &restarted) {
-		r.belief.Restarted(fromEngine, e, restarted.Started)
+		r.belief.MarkRestarted(fromEngine, e, restarted.Started)
 		return
 	}
 	if err != nil {
@@ -157,32 +157,32 @@
 	}
 	now := time.Now()
 	if report.Leaving {
-		r.peers.EndpointLeaves(e.ID)
+		r.peers.ReportLeaving(e.ID)
 	}
 	r.take(now, report)
 }
 
-// Forget drops all reports: after a suspension of the machine, they are older than their
+// Clear drops all reports: after a suspension of the machine, they are older than their
 // ages say.
-func (r *Reports) Forget() {
+func (r *LoadReports) Clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.known)
 }
 
 // Merge takes reports that another box handed on.
-func (r *Reports) Merge(now time.Time, reports []routing.Report) {
+func (r *LoadReports) Merge(now time.Time, reports []routing.Report) {
 	for _, report := range reports {
 		if report.Age >= 0 && report.Age < reportLife {
 			if report.Leaving {
-				r.belief.Leaves(now, fromPeer, report.Endpoint)
+				r.belief.MarkLeaving(now, fromPeer, report.Endpoint)
 			}
 			r.take(now, report)
 		}
 	}
 }
 
-func (r *Reports) take(now time.Time, report routing.Report) {
+func (r *LoadReports) take(now time.Time, report routing.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := now.Add(-report.Age)
@@ -197,7 +197,7 @@
 }
 
 // Sample gives the reports to hand on, with their ages: of some engines by id, or of all.
-func (r *Reports) Sample(now time.Time, of map[string]bool) []routing.Report {
+func (r *LoadReports) Sample(now time.Time, of map[string]bool) []routing.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []routing.Report
--- a/fleet/reports_test.go
+++ b/fleet/reports_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("the reports that a box hands on", func() {
 	It("are all it has to its group, and its group's engines' to others", func() {
-		r := fleet.NewReports(restartedEngine{}, fleet.NewBelief(), zap.NewNop(), func(time.Time, routing.Report) {})
+		r := fleet.NewLoadReports(restartedEngine{}, fleet.NewState(), zap.NewNop(), func(time.Time, routing.Report) {})
 		r.Merge(noon, []routing.Report{{Endpoint: "own"}, {Endpoint: "other"}})
 		later := noon.Add(time.Second)
 		Expect(r.Sample(later, nil)).To(HaveLen(2))
--- a/fleet/restart_test.go
+++ b/fleet/restart_test.go
@@ -23,7 +23,7 @@
 }
 
 var _ = Describe("a server that starts again under its name", func() {
-	var b *fleet.Belief
+	var b *fleet.State
 	var changes []fleet.Change
 	kinds := func() []fleet.ChangeKind {
 		var out []fleet.ChangeKind
@@ -34,7 +34,7 @@
 	}
 	BeforeEach(func() {
 		changes = nil
-		b = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c) }))
+		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { changes = append(changes, c) }))
 		b.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
 		changes = nil
 	})
@@ -69,9 +69,9 @@
 
 	It("isn't undone by a list that comes late, whatever its revisions say", func() {
 		restart()
-		b.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   20,
-			Endpoints: []routing.Endpoint{started("a", 1000, 20, false), started("b", 1000, 2, false)},
+		b.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: 20,
+			Endpoints:    []routing.Endpoint{started("a", 1000, 20, false), started("b", 1000, 2, false)},
 		})
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 	})
@@ -90,11 +90,11 @@
 
 	It("is noticed by its report, before its entry tells", func() {
 		former, _ := b.View().Endpoint("a@1000")
-		b.Restarted("engine", former, 5000)
+		b.MarkRestarted("engine", former, 5000)
 		Expect(serving(b)).To(Equal([]string{"a@5000", "b@1000"}))
 		// Word of the former life that comes late, and the same word again, change nothing.
-		b.Restarted("engine", former, 5000)
-		b.Restarted("engine", former, 900)
+		b.MarkRestarted("engine", former, 5000)
+		b.MarkRestarted("engine", former, 900)
 		b.ApplyChanges(noon, &fleet.Changes{
 			Revision: 11,
 			Updated:  []routing.Endpoint{started("a", 1000, 11, false)},
@@ -105,26 +105,26 @@
 	})
 
 	It("brings a box that is behind to the same list", func() {
-		behind := fleet.NewBelief()
+		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
 		restart()
-		updated, removed, ok := b.Since(behind.View().Changed)
+		updated, removed, ok := b.ChangesSince(behind.View().ListRevision)
 		Expect(ok).To(BeTrue())
-		behind.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   b.View().Changed,
-			Endpoints: updated,
-			Removed:   removed,
-			Partial:   true,
+		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: b.View().ListRevision,
+			Endpoints:    updated,
+			Removed:      removed,
+			Partial:      true,
 		})
 		Expect(serving(behind)).To(Equal(serving(b)))
 	})
 })
 
 var _ = Describe("an entry that names no server", func() {
-	var b *fleet.Belief
+	var b *fleet.State
 	var kinds []fleet.ChangeKind
 	BeforeEach(func() {
-		b = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) { kinds = append(kinds, c.Kind) }))
+		b = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) { kinds = append(kinds, c.Kind) }))
 		b.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
 		kinds = nil
 	})
@@ -159,15 +159,15 @@
 	})
 
 	It("reaches a box that has the list from a peer", func() {
-		behind := fleet.NewBelief()
+		behind := fleet.NewState()
 		behind.ApplySnapshot(noon, snapshot(10, started("a", 1000, 1, false), started("b", 1000, 2, false)))
 		spoil("a", 11)
-		updated, removed, _ := b.Since(10)
-		behind.ApplyViews(noon, "peer", fleet.Views{
-			Changed:   b.View().Changed,
-			Endpoints: updated,
-			Removed:   removed,
-			Partial:   true,
+		updated, removed, _ := b.ChangesSince(10)
+		behind.ApplyPeerState(noon, "peer", fleet.PeerState{
+			ListRevision: b.View().ListRevision,
+			Endpoints:    updated,
+			Removed:      removed,
+			Partial:      true,
 		})
 		Expect(serving(behind)).To(Equal([]string{"b@1000"}))
 	})
@@ -182,7 +182,7 @@
 
 var _ = Describe("the reports of a server that started again", func() {
 	It("replace what is believed of it", func() {
-		b := fleet.NewBelief()
+		b := fleet.NewState()
 		b.ApplySnapshot(time.Now(), &fleet.Snapshot{
 			Revision: 10,
 			Document: &routing.Document{
@@ -194,7 +194,7 @@
 			},
 			Endpoints: []routing.Endpoint{started("a", 1000, 1, false)},
 		})
-		reports := fleet.NewReports(restartedEngine{}, b, zap.NewNop(), func(time.Time, routing.Report) {})
+		reports := fleet.NewLoadReports(restartedEngine{}, b, zap.NewNop(), func(time.Time, routing.Report) {})
 		addresses, err := emulator.FreeAddresses(1)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -202,7 +202,7 @@
 		p, err := fleet.NewPeers(core.Peer{
 			Box:     "a",
 			Address: netip.MustParseAddrPort(addresses[0]),
-		}, nil, b, fleet.WithReports(reports))
+		}, nil, b, fleet.WithLoadReports(reports))
 		Expect(err).NotTo(HaveOccurred())
 		go p.Run(ctx)
 		go reports.Run(ctx)
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -27,7 +27,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := &p.memo
-	if m.share != nil && m.changed == v.Changed && m.version == v.Configuration() && slices.Equal(m.group.Members, p.group.Members) {
+	if m.share != nil && m.changed == v.ListRevision && m.version == v.ConfigVersion() && slices.Equal(m.group.Members, p.group.Members) {
 		return m.share
 	}
 	share := make(map[string]bool)
@@ -41,8 +41,8 @@
 		maps.Copy(share, p.group.PreferredEndpoints(sites(v.Serving(s.Name))))
 	}
 	p.memo = shareMemo{
-		changed: v.Changed,
-		version: v.Configuration(),
+		changed: v.ListRevision,
+		version: v.ConfigVersion(),
 		group:   p.group,
 		share:   share,
 	}
--- a/fleet/source.go
+++ b/fleet/source.go
@@ -10,8 +10,8 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// Source is a store that publishes the configuration and the endpoints.
-type Source interface {
+// Store is a store that publishes the configuration and the endpoints.
+type Store interface {
 	// Read gives all that is published now.
 	Read(ctx context.Context) (*Snapshot, error)
 	// Watch gives what changed after a revision, as soon as there is something
@@ -21,10 +21,10 @@
 
 // Snapshot is all that the store published at a revision.
 type Snapshot struct {
-	Revision  routing.Revision
-	Document  *routing.Document // nil before the operator published one
-	Endpoints []routing.Endpoint
-	Drained   []routing.ZoneDrain // all zones that the operator wants to be drained
+	Revision     routing.Revision
+	Document     *routing.Document // nil before the operator published one
+	Endpoints    []routing.Endpoint
+	DrainedZones []routing.ZoneDrain // all zones that the operator wants to be drained
 }
 
 // Changes is what the store published since a revision.
@@ -46,13 +46,13 @@
 // revision asked for; the remedy is to read everything again.
 var ErrHistoryLost = errors.New("the store dropped its history; read everything again")
 
-// ErrTooMuch reports that an answer about changes is larger than all that is published
+// ErrChangesTooLarge reports that an answer about changes is larger than all that is published
 // now; the remedy is to read everything again.
-var ErrTooMuch = errors.New("the changes are larger than all there is; read everything again")
+var ErrChangesTooLarge = errors.New("the changes are larger than all there is; read everything again")
 
-// ErrStoreReplaced reports that the store has come back from an older copy, or that an
+// ErrStoreRestored reports that the store has come back from an older copy, or that an
 // answer is of an older copy than one before; the remedy is to read everything again.
-var ErrStoreReplaced = errors.New("the store came back from an older copy; read everything again")
+var ErrStoreRestored = errors.New("the store came back from an older copy; read everything again")
 
 // RefusedError reports that the store answered and turned the call away.
 type RefusedError struct {
--- a/fleet/spread_test.go
+++ b/fleet/spread_test.go
@@ -45,7 +45,7 @@
 type smallFleet struct {
 	network *emulator.Network
 	peers   []*fleet.Peers
-	beliefs []*fleet.Belief
+	beliefs []*fleet.State
 	held    []*fleet.Quarantine
 	limits  []*fleet.Limits
 	placed  []*atomic.Int64 // placements that each box heard of
@@ -56,13 +56,13 @@
 // empty list; the first one's address is all that they know. They have met when it
 // returns.
 func startFleet(t *testing.T, boxes int, bytesPerSecond float64) *smallFleet {
-	f := beginFleet(t, boxes, bytesPerSecond, func(*fleet.Belief) *fleet.Reports { return nil })
+	f := beginFleet(t, boxes, bytesPerSecond, func(*fleet.State) *fleet.LoadReports { return nil })
 	time.Sleep(settle)
 	return f
 }
 
 // beginFleet starts boxes as startFleet does, with what asks their engines.
-func beginFleet(t *testing.T, boxes int, bytesPerSecond float64, reports func(*fleet.Belief) *fleet.Reports) *smallFleet {
+func beginFleet(t *testing.T, boxes int, bytesPerSecond float64, reports func(*fleet.State) *fleet.LoadReports) *smallFleet {
 	n := emulator.NewNetwork(hop)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
@@ -74,7 +74,7 @@
 	seed := netip.AddrPortFrom(hostOf(0), 8000)
 	f.start = func(i int) {
 		n.Join(hostOf(i), bytesPerSecond)
-		b := fleet.NewBelief()
+		b := fleet.NewState()
 		b.ApplySnapshot(time.Now(), snapshot(1))
 		q := fleet.NewQuarantine(zap.NewNop())
 		limits := fleet.NewLimits(zap.NewNop())
@@ -85,7 +85,7 @@
 			Zone:       fmt.Sprintf("zone-%d", i%2),
 			InstanceID: uint64(i + 1),
 		}, []netip.AddrPort{seed}, b, append(reporting(reports(b)), fleet.WithNetwork(n.At(hostOf(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
-			fleet.WithPlacements(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
+			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,11 +102,11 @@
 	return f
 }
 
-func reporting(r *fleet.Reports) []fleet.PeersOption {
+func reporting(r *fleet.LoadReports) []fleet.PeersOption {
 	if r == nil {
 		return nil
 	}
-	return []fleet.PeersOption{fleet.WithReports(r)}
+	return []fleet.PeersOption{fleet.WithLoadReports(r)}
 }
 
 func hostOf(i int) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}) }
@@ -119,14 +119,14 @@
 		Document: d,
 		Updated:  changed,
 	})
-	f.peers[box].Spread(news)
+	f.peers[box].BroadcastUpdate(news)
 }
 
 // without counts the boxes that don't have a version or a newer one.
 func (f *smallFleet) without(version uint64) int {
 	n := 0
 	for _, b := range f.beliefs {
-		if b.View().Configuration() < version {
+		if b.View().ConfigVersion() < version {
 			n++
 		}
 	}
@@ -249,7 +249,7 @@
 		// Its list was whole just now, so that no greeting asks for another one.
 		f.beliefs[1].Confirm(time.Now(), 3, 0)
 		before := f.beliefs[1].View()
-		g.Expect(before.Changed).To(gomega.BeEquivalentTo(3))
+		g.Expect(before.ListRevision).To(gomega.BeEquivalentTo(3))
 		// A change of the list that the other box doesn't hear of, and then a configuration.
 		f.beliefs[0].ApplyChanges(time.Now(), &fleet.Changes{
 			Revision: 9,
@@ -258,9 +258,9 @@
 		f.learn(0, document(10))
 		time.Sleep(10 * time.Millisecond)
 		after := f.beliefs[1].View()
-		g.Expect(after.Configuration()).To(gomega.BeEquivalentTo(10))
-		g.Expect(after.Changed).To(gomega.BeEquivalentTo(3))
-		g.Expect(after.Confirmed).To(gomega.Equal(before.Confirmed))
+		g.Expect(after.ConfigVersion()).To(gomega.BeEquivalentTo(10))
+		g.Expect(after.ListRevision).To(gomega.BeEquivalentTo(3))
+		g.Expect(after.ConfirmedAt).To(gomega.Equal(before.ConfirmedAt))
 	})
 }
 
@@ -270,11 +270,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := startFleet(t, 2, smallLink)
-		f.beliefs[0].Confirm(time.Now(), f.beliefs[0].View().Changed, 0)
+		f.beliefs[0].Confirm(time.Now(), f.beliefs[0].View().ListRevision, 0)
 		f.peers[0].HandleSuspension(time.Minute)
 		time.Sleep(2 * time.Second)
 		for i, b := range f.beliefs {
-			g.Expect(time.Since(b.View().Confirmed)).To(gomega.BeNumerically(">=", settle), "box %d", i)
+			g.Expect(time.Since(b.View().ConfirmedAt)).To(gomega.BeNumerically(">=", settle), "box %d", i)
 		}
 	})
 }
@@ -282,7 +282,7 @@
 // BenchmarkPackedConfiguration measures what a box saves that gives a configuration on as
 // it came, for 2,850 routes: 3.1 ms of a core for each version before, none now.
 func BenchmarkPackedConfiguration(b *testing.B) {
-	views := fleet.Views{Document: largeDocument(7, 2850)}
+	views := fleet.PeerState{Document: largeDocument(7, 2850)}
 	for b.Loop() {
 		if _, err := wire.Pack(views); err != nil {
 			b.Fatal(err)
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -59,10 +59,10 @@
 		reporter := &countingReporter{}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var all []*fleet.Reports
-		beginFleet(t, 72, 20*smallLink, func(b *fleet.Belief) *fleet.Reports {
+		var all []*fleet.LoadReports
+		beginFleet(t, 72, 20*smallLink, func(b *fleet.State) *fleet.LoadReports {
 			b.ApplySnapshot(time.Now(), engineList(engines))
-			r := fleet.NewReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
+			r := fleet.NewLoadReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
 			all = append(all, r)
 			return r
 		})
@@ -90,10 +90,10 @@
 		reporter := &countingReporter{}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var all []*fleet.Reports
-		f := beginFleet(t, 0, 20*smallLink, func(b *fleet.Belief) *fleet.Reports {
+		var all []*fleet.LoadReports
+		f := beginFleet(t, 0, 20*smallLink, func(b *fleet.State) *fleet.LoadReports {
 			b.ApplySnapshot(time.Now(), engineList(engines))
-			r := fleet.NewReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
+			r := fleet.NewLoadReports(reporter, b, zap.NewNop(), func(time.Time, routing.Report) {})
 			all = append(all, r)
 			return r
 		})
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -13,13 +13,13 @@
 
 // View is what the box believes at one moment; it doesn't change.
 type View struct {
-	Table     *routing.Table                // nil before a configuration is known
-	Listed    bool                          // whether the endpoints were ever read
-	Changed   routing.Revision              // the store's revision at the last change of the list
-	Confirmed time.Time                     // when the store last said that this is all
-	Zones     []routing.ZoneDrain           // what is known of zones, by name
-	byService map[string][]routing.Endpoint // sorted by id
-	byID      [viewParts]map[string]routing.Endpoint
+	Table           *routing.Table                // nil before a configuration is known
+	HasEndpointList bool                          // whether the endpoints were ever read
+	ListRevision    routing.Revision              // the store's revision at the last change of the list
+	ConfirmedAt     time.Time                     // when the store last said that this is all
+	Zones           []routing.ZoneDrain           // what is known of zones, by name
+	byService       map[string][]routing.Endpoint // sorted by id
+	byID            [viewParts]map[string]routing.Endpoint
 }
 
 // viewParts is into how many parts a view's endpoints fall: the next view shares
@@ -44,14 +44,14 @@
 	return e, ok
 }
 
-// Takes tells whether an endpoint may get a new request.
-func (v *View) Takes(id string) bool {
+// IsAvailable tells whether an endpoint may get a new request.
+func (v *View) IsAvailable(id string) bool {
 	e, ok := v.Endpoint(id)
 	return ok && !e.Leaving && !v.Drained(e.Zone)
 }
 
-// Engines counts the model engines that may get new requests.
-func (v *View) Engines() int {
+// EngineCount counts the model engines that may get new requests.
+func (v *View) EngineCount() int {
 	if v.Table == nil {
 		return 0
 	}
@@ -64,8 +64,8 @@
 	return n
 }
 
-// Configuration gives the version in force, or 0.
-func (v *View) Configuration() uint64 {
+// ConfigVersion gives the version in force, or 0.
+func (v *View) ConfigVersion() uint64 {
 	if v.Table == nil {
 		return 0
 	}
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("the next view", func() {
 	It("holds what the entries say after any changes, and the one before stays as it was", func() {
 		r := rand.New(rand.NewPCG(1, 2))
-		b := fleet.NewBelief()
+		b := fleet.NewState()
 		b.ApplySnapshot(noon, snapshot(1))
 		want := make(map[string]routing.Endpoint)
 		ready := func() []routing.Endpoint {
@@ -83,17 +83,17 @@
 
 // BenchmarkNews measures one change in a list of 3,000 endpoints.
 func BenchmarkNews(b *testing.B) {
-	belief := fleet.NewBelief()
+	belief := fleet.NewState()
 	var all []routing.Endpoint
 	for i := range 3000 {
 		all = append(all, endpoint(fmt.Sprintf("i-%05x", i*7919%65536), routing.Revision(i+1), false))
 	}
 	belief.ApplySnapshot(time.Now(), snapshot(4000, all...))
 	for i := range b.N {
-		belief.ApplyNews(time.Now(), "peer", fleet.News{
-			After:   routing.Revision(4000 + i),
-			Changed: routing.Revision(4001 + i),
-			Updated: []routing.Endpoint{endpoint("i-00000", routing.Revision(4001+i), false)},
+		belief.ApplyUpdate(time.Now(), "peer", fleet.Update{
+			BaseRevision: routing.Revision(4000 + i),
+			ListRevision: routing.Revision(4001 + i),
+			Updated:      []routing.Endpoint{endpoint("i-00000", routing.Revision(4001+i), false)},
 		})
 	}
 }
--- a/fleet/zones_test.go
+++ b/fleet/zones_test.go
@@ -14,8 +14,8 @@
 // zoned gives a snapshot with an endpoint in each of two zones.
 func zoned(revision routing.Revision, drained ...routing.ZoneDrain) *fleet.Snapshot {
 	s := &fleet.Snapshot{
-		Revision: revision,
-		Drained:  drained,
+		Revision:     revision,
+		DrainedZones: drained,
 	}
 	for _, zone := range []string{"a", "b"} {
 		e := endpoint("e-"+zone, 1, false)
@@ -43,28 +43,28 @@
 func TestADrainedZoneServesNothingUntilItIsTakenBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewBelief()
+	b := fleet.NewState()
 	b.ApplySnapshot(now, zoned(5, drain("a", 3)))
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
 	_, known := b.View().Endpoint("e-a")
 	g.Expect(known).To(gomega.BeTrue(), "its streams are still served")
-	g.Expect(b.View().Takes("e-a")).To(gomega.BeFalse())
+	g.Expect(b.View().IsAvailable("e-a")).To(gomega.BeFalse())
 
 	// A reading of everything that doesn't name it any more takes it back.
 	b.ApplySnapshot(now, zoned(6))
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-a", "e-b"}))
 
 	// Late word of the former drain changes nothing; a new one does.
-	b.ApplyNews(now, "peer", fleet.News{
-		After:   6,
-		Changed: 7,
-		Zones:   []routing.ZoneDrain{drain("a", 3)},
+	b.ApplyUpdate(now, "peer", fleet.Update{
+		BaseRevision: 6,
+		ListRevision: 7,
+		Zones:        []routing.ZoneDrain{drain("a", 3)},
 	})
 	g.Expect(serving(b)).To(gomega.HaveLen(2))
-	b.ApplyNews(now, "peer", fleet.News{
-		After:   7,
-		Changed: 9,
-		Zones:   []routing.ZoneDrain{drain("a", 9)},
+	b.ApplyUpdate(now, "peer", fleet.Update{
+		BaseRevision: 7,
+		ListRevision: 9,
+		Zones:        []routing.ZoneDrain{drain("a", 9)},
 	})
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
 
@@ -81,15 +81,15 @@
 func TestNewsOfAZoneWithAGapBeforeThemDontCloseTheGap(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	b := fleet.NewBelief()
+	b := fleet.NewState()
 	b.ApplySnapshot(now, zoned(5))
-	b.ApplyNews(now, "peer", fleet.News{
-		After:   8,
-		Changed: 9,
-		Zones:   []routing.ZoneDrain{drain("a", 9)},
+	b.ApplyUpdate(now, "peer", fleet.Update{
+		BaseRevision: 8,
+		ListRevision: 9,
+		Zones:        []routing.ZoneDrain{drain("a", 9)},
 	})
 	g.Expect(serving(b)).To(gomega.Equal([]string{"e-b"}))
-	g.Expect(b.View().Changed).To(gomega.BeEquivalentTo(1), "what lies between is asked for")
+	g.Expect(b.View().ListRevision).To(gomega.BeEquivalentTo(1), "what lies between is asked for")
 }
 
 // Boxes hear of a zone's changes by news, by views of peers that may be older, and from
@@ -105,21 +105,21 @@
 			all = append(all, z)
 			newest[zone] = z.Drained
 		}
-		b := fleet.NewBelief()
+		b := fleet.NewState()
 		b.ApplySnapshot(time.Now(), zoned(5))
 		for i, z := range rapid.Permutation(all).Draw(t, "order") {
 			if i%2 == 0 {
-				b.ApplyNews(time.Now(), "peer", fleet.News{
-					After:   100,
-					Changed: 101,
-					Zones:   []routing.ZoneDrain{z},
+				b.ApplyUpdate(time.Now(), "peer", fleet.Update{
+					BaseRevision: 100,
+					ListRevision: 101,
+					Zones:        []routing.ZoneDrain{z},
 				})
 				continue
 			}
-			b.ApplyViews(time.Now(), "peer", fleet.Views{
-				Changed: z.Revision,
-				Partial: true,
-				Zones:   []routing.ZoneDrain{z},
+			b.ApplyPeerState(time.Now(), "peer", fleet.PeerState{
+				ListRevision: z.Revision,
+				Partial:      true,
+				Zones:        []routing.ZoneDrain{z},
 			})
 		}
 		for zone, drained := range newest {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -23,7 +23,7 @@
 // emulated store.
 type bench struct {
 	deployment *emulator.Deployment
-	belief     *fleet.Belief
+	belief     *fleet.State
 	gateway    *gateway.Gateway
 	front      string
 	caller     *emulator.Caller
@@ -47,7 +47,7 @@
 		deployment: d,
 		store:      platform.NewStore(netip.MustParseAddrPort(d.StoreAddr)),
 	}
-	b.belief = fleet.NewBelief(fleet.WithOnChange(func(c fleet.Change) {
+	b.belief = fleet.NewState(fleet.WithOnChange(func(c fleet.Change) {
 		if b.gateway != nil {
 			b.gateway.HandleChange(c)
 		}
--- a/gateway/copies.go
+++ b/gateway/copies.go
@@ -72,7 +72,7 @@
 	g := p.gateway
 	view := g.view()
 	e, known := view.Endpoint(p.endpoint.ID)
-	if p.service.Engine == nil || !known || e.Leaving || now.Sub(view.Confirmed) > freshList || p.over() != nil {
+	if p.service.Engine == nil || !known || e.Leaving || now.Sub(view.ConfirmedAt) > freshList || p.over() != nil {
 		return
 	}
 	if !g.protects(now) {
@@ -80,7 +80,7 @@
 	}
 	g.brokeOff(now)
 	g.onPlaced(fleet.Placement{
-		Endpoint: e.ID,
-		Broke:    true,
+		Endpoint:     e.ID,
+		StreamBroken: true,
 	})
 }
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -98,9 +98,9 @@
 		v.step(now, found)
 	}
 	if told.Target != "" {
-		v.sends(told.Moving, told.Target)
+		v.sends(told.MovingRunID, told.Target)
 	}
-	for _, id := range told.Over {
+	for _, id := range told.FinishedRuns {
 		v.arrived(id)
 		v.step(now, core.RunFinished{ID: id})
 	}
@@ -110,9 +110,9 @@
 func (g *Gateway) sends(source, run, target string) {
 	g.evacuation(source).sends(run, target)
 	g.onEvacuating(fleet.Evacuating{
-		Endpoint: source,
-		Moving:   run,
-		Target:   target,
+		Endpoint:    source,
+		MovingRunID: run,
+		Target:      target,
 	})
 }
 
@@ -168,7 +168,7 @@
 	g.log.Info("runs wait for their moves", zap.String("endpoint", v.endpoint), zap.Int("runs", len(runs)))
 	told := fleet.Evacuating{Endpoint: v.endpoint}
 	for _, r := range runs {
-		told.Runs = append(told.Runs, fleet.MovingRun(r))
+		told.Runs = append(told.Runs, fleet.PendingMove(r))
 	}
 	g.onEvacuating(told)
 	v.step(time.Now(), core.RunsAdded{
@@ -217,8 +217,8 @@
 	}
 	v.step(time.Now(), core.RunFinished{ID: p.in.ID})
 	v.gateway.onEvacuating(fleet.Evacuating{
-		Endpoint: v.endpoint,
-		Over:     []string{p.in.ID},
+		Endpoint:     v.endpoint,
+		FinishedRuns: []string{p.in.ID},
 	})
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -47,8 +47,8 @@
 		p.gateway.gate.drop(p.endpoint)
 		p.gateway.spread.Failed(time.Now(), p.endpoint.ID, true)
 		p.gateway.onPlaced(fleet.Placement{
-			Endpoint: p.endpoint.ID,
-			Overdue:  true,
+			Endpoint:      p.endpoint.ID,
+			AnswerOverdue: true,
 		})
 		p.decided("endpoint unreachable", zap.String("endpoint", p.endpoint.ID), zap.Error(err))
 		if ev := p.over(); ev != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -206,12 +206,12 @@
 // HandlePlacement takes what another box sent to an engine.
 func (g *Gateway) HandlePlacement(now time.Time, p fleet.Placement) {
 	switch {
-	case p.Broke:
+	case p.StreamBroken:
 		g.brokeOff(now)
-	case p.Overdue:
+	case p.AnswerOverdue:
 		g.spread.Failed(now, p.Endpoint, false)
 	case p.RunEnded:
-		g.spread.RunEnded(now, p.Endpoint, p.Tokens, p.Held)
+		g.spread.RunEnded(now, p.Endpoint, p.Tokens, p.HeldTokens)
 	case p.Copy:
 		g.spread.AddRemoteCopy(now, p.Endpoint, p.Tokens)
 	default:
--- a/gateway/handover.go
+++ b/gateway/handover.go
@@ -65,7 +65,7 @@
 	if id == "" {
 		return false
 	}
-	return p.gateway.view().Takes(id)
+	return p.gateway.view().IsAvailable(id)
 }
 
 // resumeAnew goes on with a stream in a new run at another endpoint.
--- a/gateway/overdue.go
+++ b/gateway/overdue.go
@@ -97,8 +97,8 @@
 	)
 	g.spread.Failed(now, o.run.endpoint.ID, false)
 	g.onPlaced(fleet.Placement{
-		Endpoint: o.run.endpoint.ID,
-		Overdue:  true,
+		Endpoint:      o.run.endpoint.ID,
+		AnswerOverdue: true,
 	})
 	// One that fell silent ends under the request without a break, and its callers leave
 	// before the request's own time is over.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -59,7 +59,7 @@
 		zap.String("endpoint_zone", e.Zone),
 		zap.String("backup", p.backup.ID),
 		zap.Stringer("content", p.content),
-		zap.Duration("list_age", now.Sub(p.view.Confirmed)),
+		zap.Duration("list_age", now.Sub(p.view.ConfirmedAt)),
 	)...)
 	return core.CallPlaced{}
 }
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -21,7 +21,7 @@
 	// to come back after 0.3 s, were refused again, and gave up: 3 in 100 of that day's
 	// requests.
 	It("tells callers to come back in some seconds, and not all at once", func() {
-		g := gateway.New("zone-a", platform.Protocol{}, fleet.NewBelief().View, gateway.Rules{MemoryBytes: 64 << 20})
+		g := gateway.New("zone-a", platform.Protocol{}, fleet.NewState().View, gateway.Rules{MemoryBytes: 64 << 20})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &http.Server{Handler: g}
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -65,8 +65,8 @@
 		third := other.add("e-3", emulator.Model)
 		fourth := other.add("e-4", emulator.Model)
 		other.gateway.HandlePlacement(time.Now(), fleet.Placement{
-			Endpoint: "e-9",
-			Broke:    true,
+			Endpoint:     "e-9",
+			StreamBroken: true,
 		})
 		b = other
 		Expect(stream("n3").Whole).To(BeTrue())
@@ -75,8 +75,8 @@
 
 	It("goes on from its backup when its engine breaks off within an event", func() {
 		b.gateway.HandlePlacement(time.Now(), fleet.Placement{
-			Endpoint: "e-9",
-			Broke:    true,
+			Endpoint:     "e-9",
+			StreamBroken: true,
 		})
 		first := b.add("e-1", emulator.Model)
 		second := b.add("e-2", emulator.Model)
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -37,7 +37,7 @@
 	switch c.Kind {
 	case fleet.EndpointLeaving:
 		go g.evacuate(c.Endpoint)
-	case fleet.EndpointGone:
+	case fleet.EndpointRemoved:
 		go g.evacuate(c.Endpoint)
 		g.spread.Forget(c.Endpoint.ID)
 	case fleet.EndpointRestarted:
--- a/gateway/tell.go
+++ b/gateway/tell.go
@@ -33,10 +33,10 @@
 	}
 	p.gateway.spread.RunEnded(time.Now(), endpoint, p.told, p.held())
 	p.gateway.onPlaced(fleet.Placement{
-		Endpoint: endpoint,
-		Tokens:   p.told,
-		RunEnded: true,
-		Held:     p.held(),
+		Endpoint:   endpoint,
+		Tokens:     p.told,
+		RunEnded:   true,
+		HeldTokens: p.held(),
 	})
 }
 
