--- a/box/box.go
+++ b/box/box.go
@@ -122,7 +122,7 @@
 		gateway.WithOnPlaced(b.peers.BroadcastPlacement),
 		gateway.WithOnEvacuating(b.peers.BroadcastEvacuating),
 		gateway.WithOnLeaving(b.peers.ReportLeaving),
-		gateway.WithBorrow(b.peers.BorrowRetries),
+		gateway.WithRetryBorrowing(b.peers.BorrowRetries),
 		gateway.WithQuarantine(b.quarantine),
 		gateway.WithLimits(b.limits),
 		gateway.WithSuspensionCheck(b.clock.Look),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,9 +94,9 @@
 	return func(g *Gateway) { g.mover = m }
 }
 
-// WithBorrow asks other boxes for sends when a stream needs one and this box's
+// WithRetryBorrowing asks other boxes for sends when a stream needs one and this box's
 // part of the budget is spent; what they give comes by Borrowed.
-func WithBorrow(borrow func(ctx context.Context, service string)) Option {
+func WithRetryBorrowing(borrow func(ctx context.Context, service string)) Option {
 	return func(g *Gateway) { g.borrow = borrow }
 }
 
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -96,7 +96,7 @@
 	// ready, and the fleet's budget was mostly unused.
 	DescribeTable("that needs a send when this box's budget is spent",
 		func(lent int) {
-			b = newBenchWith(false, gateway.WithBorrow(func(_ context.Context, service string) {
+			b = newBenchWith(false, gateway.WithRetryBorrowing(func(_ context.Context, service string) {
 				if lent > 0 {
 					b.gateway.ReceiveTransfer(time.Now(), service, lent)
 				}
