--- a/fleet/belief_list.go
+++ b/fleet/belief_list.go
@@ -58,12 +58,12 @@
 // new: what is left was told when it was written.
 func coldUntil(now time.Time, old *entry, e routing.Endpoint) time.Time {
 	known := old != nil && old.ID == e.ID
-	if known && old.Revision.Number() == e.Revision.Number() && old.Cold == e.Cold {
+	if known && old.Revision.Number() == e.Revision.Number() && old.ColdFor == e.ColdFor {
 		return old.ColdUntil // it may be read again in a later era of the store
 	}
 	var until time.Time
-	if e.Cold > 0 {
-		until = now.Add(e.Cold)
+	if e.ColdFor > 0 {
+		until = now.Add(e.ColdFor)
 	}
 	if known && old.ColdUntil.After(until) {
 		return old.ColdUntil
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -96,7 +96,7 @@
 	now := time.Now()
 	cold := func(era uint64) routing.Endpoint {
 		e := endpoint("i-1", revision(era, 5), false)
-		e.Cold = 5 * time.Second
+		e.ColdFor = 5 * time.Second
 		return e
 	}
 	b := fleet.NewState()
--- a/fleet/spread_test.go
+++ b/fleet/spread_test.go
@@ -148,14 +148,14 @@
 	d := &routing.Document{Version: version}
 	for range routes {
 		d.Routes = append(d.Routes, routing.Route{
-			Name:         "r-" + word(7),
-			Host:         "routes.example",
-			PathPrefix:   "/" + word(8) + "/",
-			Kind:         routing.Repeatable,
-			Timeout:      1500 * time.Millisecond,
-			Target:       300 * time.Millisecond,
-			Rank:         random.IntN(4),
-			MaxEndpoints: 2,
+			Name:          "r-" + word(7),
+			Host:          "routes.example",
+			PathPrefix:    "/" + word(8) + "/",
+			Kind:          routing.Repeatable,
+			Timeout:       1500 * time.Millisecond,
+			LatencyTarget: 300 * time.Millisecond,
+			Rank:          random.IntN(4),
+			MaxEndpoints:  2,
 			Split: []routing.Share{{
 				Service: "lookups-api",
 				Weight:  1,
--- a/gateway/overdue.go
+++ b/gateway/overdue.go
@@ -72,7 +72,7 @@
 		leaves:  !p.begun && p.call.MayRunAgain(),
 	}
 	usual := p.gateway.usual.of(p.route.Name)
-	after := max(time.Duration(overdueTimes*float64(usual)), time.Duration(overdueTarget*float64(p.route.Target)))
+	after := max(time.Duration(overdueTimes*float64(usual)), time.Duration(overdueTarget*float64(p.route.LatencyTarget)))
 	if usual > 0 && time.Until(p.until()) > after+usual {
 		o.timer = time.AfterFunc(after, func() { o.passed(after) })
 	}
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -237,7 +237,7 @@
 	if p.events == 0 {
 		took = time.Since(p.start)
 	}
-	slow := p.route.Target > 0 && took > p.route.Target
+	slow := p.route.LatencyTarget > 0 && took > p.route.LatencyTarget
 	return slow || (p.route.PauseTarget > 0 && p.longest > p.route.PauseTarget)
 }
 
--- a/routing/document.go
+++ b/routing/document.go
@@ -30,7 +30,7 @@
 	PathPrefix     string        `cbor:"3,keyasint,omitempty"`
 	Kind           Kind          `cbor:"4,keyasint,omitempty"`
 	Timeout        time.Duration `cbor:"5,keyasint,omitempty"` // the longest that a request may be held
-	Target         time.Duration `cbor:"6,keyasint,omitempty"` // an answer within it is worth the most
+	LatencyTarget  time.Duration `cbor:"6,keyasint,omitempty"` // an answer within it is worth the most
 	PauseTarget    time.Duration `cbor:"7,keyasint,omitempty"` // the longest pause between a stream's events that is still in time
 	Rank           int           `cbor:"8,keyasint,omitempty"` // 0 is the most urgent
 	Split          []Share       `cbor:"9,keyasint,omitempty"`
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -15,7 +15,7 @@
 	Zone      string         `cbor:"4,keyasint,omitempty"`
 	Slots     int            `cbor:"5,keyasint,omitempty"`
 	Leaving   bool           `cbor:"6,keyasint,omitempty"` // it announced its end and gets no new requests
-	Cold      time.Duration  `cbor:"7,keyasint,omitempty"` // it is slow for this much longer from when it was published
+	ColdFor   time.Duration  `cbor:"7,keyasint,omitempty"` // it is slow for this much longer from when it was published
 	Revision  Revision       `cbor:"8,keyasint,omitempty"` // of the store, at the last change
 	ColdUntil time.Time      `cbor:"-"`                    // by this box's clock; zero for one that isn't cold
 	Started   int64          `cbor:"9,keyasint,omitempty"` // by the server's own clock, Unix milliseconds; 0 where it doesn't tell
