--- a/box/box.go
+++ b/box/box.go
@@ -160,7 +160,7 @@
 		zap.String("from", c.Source),
 	}
 	switch c.Kind {
-	case fleet.ConfigurationInForce:
+	case fleet.ConfigurationActivated:
 		waited := c.PropagationDelay(time.Now())
 		configurationWait.Update(waited.Seconds())
 		fields = append(fields, zap.Uint64("version", c.Version), zap.Int("routes", c.Routes), zap.Duration("waited", waited))
@@ -170,7 +170,7 @@
 		storeEras.Inc()
 		fields = append(fields, zap.Uint64("era_before", c.PreviousRevision.Era()), zap.Uint64("revision_before", c.PreviousRevision.Number()))
 	case fleet.EndpointListLoaded:
-		fields = append(fields, zap.Int("count", c.Count))
+		fields = append(fields, zap.Int("count", c.EndpointCount))
 	case fleet.EndpointJoined:
 		fields = append(fields, zap.Int("count", len(c.JoinedIDs)), zap.Strings("endpoints", c.JoinedIDs[:min(len(c.JoinedIDs), namesMost)]))
 	default:
@@ -233,7 +233,7 @@
 		select {
 		case now := <-t.C:
 			b.clock.Look()
-			b.belief.Tick(now)
+			b.belief.DropExpired(now)
 			b.gateway.Sweep(now)
 			b.shareOut()
 			if now.Sub(looked) >= settingsEvery {
--- a/fleet/belief.go
+++ b/fleet/belief.go
@@ -28,17 +28,17 @@
 
 // The changes of belief.
 const (
-	ConfigurationInForce ChangeKind = "configuration in force"
-	EndpointJoined       ChangeKind = "endpoint joined"
-	EndpointLeaving      ChangeKind = "endpoint leaving"
-	EndpointRemoved      ChangeKind = "endpoint gone"
-	EndpointMissing      ChangeKind = "endpoint missing after an outage"
-	EndpointRestarted    ChangeKind = "endpoint restarted under its name" // its former incarnation is gone
-	StoreRestored        ChangeKind = "the store came back from an older copy"
-	EndpointUnusable     ChangeKind = "endpoint's entry names no server any more"
-	EndpointListLoaded   ChangeKind = "list known" // the first one
-	ZoneDrained          ChangeKind = "zone drained"
-	ZoneDrainEnded       ChangeKind = "zone drain ended"
+	ConfigurationActivated ChangeKind = "configuration in force"
+	EndpointJoined         ChangeKind = "endpoint joined"
+	EndpointLeaving        ChangeKind = "endpoint leaving"
+	EndpointRemoved        ChangeKind = "endpoint gone"
+	EndpointMissing        ChangeKind = "endpoint missing after an outage"
+	EndpointRestarted      ChangeKind = "endpoint restarted under its name" // its former incarnation is gone
+	StoreRestored          ChangeKind = "the store came back from an older copy"
+	EndpointUnusable       ChangeKind = "endpoint's entry names no server any more"
+	EndpointListLoaded     ChangeKind = "list known" // the first one
+	ZoneDrained            ChangeKind = "zone drained"
+	ZoneDrainEnded         ChangeKind = "zone drain ended"
 )
 
 // Change is one change of belief, for logs and for whoever acts on it.
@@ -48,7 +48,7 @@
 	Zone             string   // that was drained or taken back
 	Version          uint64   // of the configuration
 	Routes           int      // in it
-	Count            int      // of endpoints in the first list
+	EndpointCount    int      // of endpoints in the first list
 	JoinedIDs        []string // for EndpointJoined: the ids of all that joined with this view, by the same source
 	Revision         routing.Revision
 	PreviousRevision routing.Revision // for StoreReplaced: the list's last change until then
@@ -175,8 +175,8 @@
 // an older copy, had its time to come back.
 func (b *State) returned(now time.Time) bool { return !b.away && now.Sub(b.backAt) >= returnGrace }
 
-// Tick drops entries whose time to come back is over.
-func (b *State) Tick(now time.Time) {
+// DropExpired drops entries whose time to come back is over.
+func (b *State) DropExpired(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed := false
--- a/fleet/belief_apply.go
+++ b/fleet/belief_apply.go
@@ -78,10 +78,10 @@
 	if !b.listed {
 		b.since = b.changed
 		b.untold = append(b.untold, Change{
-			Kind:     EndpointListLoaded,
-			Count:    len(b.entries),
-			Revision: b.changed,
-			Source:   from,
+			Kind:          EndpointListLoaded,
+			EndpointCount: len(b.entries),
+			Revision:      b.changed,
+			Source:        from,
 		})
 	}
 	b.listed = true
@@ -204,7 +204,7 @@
 	}
 	b.table = routing.NewTable(d)
 	b.untold = append(b.untold, Change{
-		Kind:        ConfigurationInForce,
+		Kind:        ConfigurationActivated,
 		Version:     d.Version,
 		Routes:      len(d.Routes),
 		Source:      from,
--- a/fleet/belief_test.go
+++ b/fleet/belief_test.go
@@ -125,13 +125,13 @@
 		b.MarkStoreUp(noon)
 		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
-		b.Tick(noon.Add(time.Second))
+		b.DropExpired(noon.Add(time.Second))
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
 		b.ApplyChanges(noon.Add(time.Second), &fleet.Changes{
 			Revision: 21,
 			Updated:  []routing.Endpoint{endpoint("a", 21, false)},
 		})
-		b.Tick(noon.Add(3 * time.Second))
+		b.DropExpired(noon.Add(3 * time.Second))
 		Expect(serving(b)).To(Equal([]string{"a", "b"}))
 	})
 
@@ -139,7 +139,7 @@
 		b.MarkStoreDown()
 		b.MarkStoreUp(noon)
 		b.ApplySnapshot(noon, snapshot(20, endpoint("b", 2, false)))
-		b.Tick(noon.Add(2 * time.Second))
+		b.DropExpired(noon.Add(2 * time.Second))
 		Expect(serving(b)).To(Equal([]string{"b"}))
 	})
 
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -56,10 +56,10 @@
 		Endpoints:    []routing.Endpoint{endpoint("i-old", revision(0, 10), false), endpoint("i-new", revision(1, 5), false)},
 		Zones:        []routing.ZoneDrain{drain("zone-b", revision(0, 9))},
 	})
-	b.Tick(now.Add(time.Second))
+	b.DropExpired(now.Add(time.Second))
 	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeTrue())
 	g.Expect(b.View().Drained("zone-b")).To(gomega.BeTrue())
-	b.Tick(now.Add(3 * time.Second))
+	b.DropExpired(now.Add(3 * time.Second))
 	g.Expect(b.View().IsAvailable("i-old")).To(gomega.BeFalse())
 	g.Expect(b.View().IsAvailable("i-new")).To(gomega.BeTrue())
 	g.Expect(b.View().Drained("zone-b")).To(gomega.BeFalse())
@@ -185,7 +185,7 @@
 				give(now, any("gives"), any("takes"))
 			}
 			for _, b := range boxes {
-				b.Tick(now)
+				b.DropExpired(now)
 			}
 		}
 		boxes[0].ApplySnapshot(now, s.snapshot())
@@ -194,7 +194,7 @@
 			give(now, boxes[1], boxes[2])
 			now = now.Add(5 * time.Second)
 			for _, b := range boxes {
-				b.Tick(now)
+				b.DropExpired(now)
 			}
 			// The store's next change is told as it comes.
 			s.entries["i-4"] = endpoint("i-4", s.next(), false)
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -86,8 +86,8 @@
 	return all
 }
 
-// Sweep forgets limits that no box has heard of for long.
-func (l *Limits) Sweep(now time.Time) {
+// DropExpired forgets limits that no box has heard of for long.
+func (l *Limits) DropExpired(now time.Time) {
 	if !l.present.Load() {
 		return
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -142,7 +142,7 @@
 
 // sweep forgets endpoints that name no limit any more and that nothing was sent to lately.
 func (l *limitedSends) sweep(now time.Time) {
-	l.named.Sweep(now)
+	l.named.DropExpired(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, known := range l.all {
