--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -239,7 +239,7 @@
 		shares[e.zone][id] = true
 	}
 	for _, b := range f.boxes {
-		b.spread.SetShare(shares[b.zone])
+		b.spread.SetGroupEngines(shares[b.zone])
 	}
 }
 
--- a/admission/spread.go
+++ b/admission/spread.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// SetShare tells which engines the box's group uses first.
-func (s *Balancer) SetShare(share map[string]bool) {
+// SetGroupEngines tells which engines the box's group uses first.
+func (s *Balancer) SetGroupEngines(share map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.share = share
--- a/admission/spread_test.go
+++ b/admission/spread_test.go
@@ -91,7 +91,7 @@
 				Total:    10_000,
 			})
 		}
-		random.SetShare(own)
+		random.SetGroupEngines(own)
 		n := 0
 		for range 100 {
 			if e, _ := random.Pick(now, all, want); e.ID == "e0" {
--- a/box/box.go
+++ b/box/box.go
@@ -251,7 +251,7 @@
 // shareOut tells the gateway which engines the group uses first.
 func (b *Box) shareOut() {
 	if share := b.peers.PreferredEndpoints(b.belief.View()); share != nil {
-		b.gateway.SetShare(share)
+		b.gateway.SetGroupEngines(share)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -197,8 +197,8 @@
 	g.gate.sweep(now)
 }
 
-// SetShare tells which engines the box's group uses first.
-func (g *Gateway) SetShare(share map[string]bool) { g.spread.SetShare(share) }
+// SetGroupEngines tells which engines the box's group uses first.
+func (g *Gateway) SetGroupEngines(share map[string]bool) { g.spread.SetGroupEngines(share) }
 
 // HandleReport takes an engine's report and when it was true.
 func (g *Gateway) HandleReport(at time.Time, r routing.Report) { g.spread.Memory(at, r) }
