--- a/bench/run.go
+++ b/bench/run.go
@@ -159,7 +159,7 @@
 	m := n.boxes[box]
 	name := n.list.Boxes[box].Name
 	asked := n.now
-	owners := make(map[string]*wire.LeaseAsk)
+	owners := make(map[string]*wire.LeaseRequest)
 	for _, w := range m.Demands(n.now, true) {
 		for slot := range core.SlotCount {
 			n.ask(box, name, asked, w, slot, owners)
@@ -170,17 +170,17 @@
 	}
 }
 
-func (n *run) ask(box int, name string, asked time.Time, w admission.EndpointDemand, slot int, owners map[string]*wire.LeaseAsk) {
+func (n *run) ask(box int, name string, asked time.Time, w admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
 	owner := n.owners.Of(w.Endpoint, "", slot)
 	e := n.engines[w.Endpoint]
 	if e.dead || n.cutOff(name, owner) {
 		return
 	}
 	if owners[owner] == nil {
-		owners[owner] = &wire.LeaseAsk{}
+		owners[owner] = &wire.LeaseRequest{}
 	}
 	mean, deviation := w.Profile.Floats()
-	owners[owner].Demands = append(owners[owner].Demands, wire.LeaseWish{
+	owners[owner].Demands = append(owners[owner].Demands, wire.LeaseDemand{
 		Endpoint:  w.Endpoint,
 		Mean:      mean,
 		Deviation: deviation,
@@ -211,7 +211,7 @@
 
 // count adds a control message to the bytes that boxes exchange.
 func (n *run) count(m any) {
-	n.bytes += wire.Size(m)
+	n.bytes += wire.EncodedSize(m)
 	n.messages++
 }
 
--- a/commands/status.go
+++ b/commands/status.go
@@ -97,7 +97,7 @@
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", m.Model, m.Running, waiting(m.Waiting), leases(m.Leases))
 	}
 	fmt.Fprintln(w, "\nOWNED HALF\tSTATE\tBOXES\tUSED\tMEMORY")
-	for _, h := range s.Scheduler.Holds {
+	for _, h := range s.Scheduler.OwnedSlots {
 		fmt.Fprintf(w, "%s/%d\t%s\t%d\t%d\t%d\n", h.Endpoint, h.Slot, h.State, h.Boxes, h.Used, h.Capacity)
 	}
 	return w.Flush()
@@ -157,7 +157,7 @@
 func leases(all []entry.LeaseStatus) string {
 	parts := make([]string, 0, len(all))
 	for _, l := range all {
-		parts = append(parts, l.Endpoint+"("+l.Left+")")
+		parts = append(parts, l.Endpoint+"("+l.TimeLeft+")")
 	}
 	return orNone(parts)
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -137,14 +137,14 @@
 	known, _ := e.homes.Get(k.home)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	answer, err := wire.Request[wire.ClaimAnswer](ctx, e.pool, member.Scheduler, wire.ClaimAsk{
+	answer, err := wire.Request[wire.ClaimAnswer](ctx, e.pool, member.Scheduler, wire.ClaimRequest{
 		Key:         k.key,
 		Attempt:     k.attempt,
 		Asker:       e.self,
 		ListVersion: v.List.Version,
 		HomeKnown:   known,
 		Timed:       k.timed,
-		Made:        k.made,
+		KeyTime:     k.made,
 	})
 	if err == nil {
 		e.homes.Put(k.home, max(known, answer.ClaimOwner.Incarnation))
--- a/entry/model.go
+++ b/entry/model.go
@@ -229,7 +229,7 @@
 		return
 	}
 	eager := e.credit.allows(time.Now())
-	asks := make(map[string]*wire.LeaseAsk)
+	asks := make(map[string]*wire.LeaseRequest)
 	for _, name := range models {
 		e.wishes(v, name, eager, asks)
 	}
@@ -253,7 +253,7 @@
 	e.renew(ctx, names...)
 }
 
-func (e *Entry) wishes(v watch.View, modelName string, eager bool, asks map[string]*wire.LeaseAsk) {
+func (e *Entry) wishes(v watch.View, modelName string, eager bool, asks map[string]*wire.LeaseRequest) {
 	m := e.modelOf(modelName)
 	m.mu.Lock()
 	wishes := m.core.Demands(time.Now(), eager)
@@ -262,16 +262,16 @@
 		for slot := range core.SlotCount {
 			owner := e.owners.Of(v, w.Endpoint, slot)
 			if asks[owner] == nil {
-				asks[owner] = &wire.LeaseAsk{Box: e.self}
+				asks[owner] = &wire.LeaseRequest{Box: e.self}
 			}
 			asks[owner].Demands = append(asks[owner].Demands, leaseWish(modelName, w, slot))
 		}
 	}
 }
 
-func leaseWish(model string, w admission.EndpointDemand, slot int) wire.LeaseWish {
+func leaseWish(model string, w admission.EndpointDemand, slot int) wire.LeaseDemand {
 	mean, deviation := w.Profile.Floats()
-	return wire.LeaseWish{
+	return wire.LeaseDemand{
 		Endpoint:  w.Endpoint,
 		Slot:      slot,
 		Model:     model,
@@ -281,11 +281,11 @@
 		Waiting:   w.Waiting,
 		Rank:      w.Rank,
 
-		WantOthers: slot == w.ReportingSlot,
+		WantOtherUsage: slot == w.ReportingSlot,
 	}
 }
 
-func (e *Entry) askLeases(ctx context.Context, owner core.Member, ask wire.LeaseAsk) {
+func (e *Entry) askLeases(ctx context.Context, owner core.Member, ask wire.LeaseRequest) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	asked := time.Now()
--- a/entry/status.go
+++ b/entry/status.go
@@ -34,7 +34,7 @@
 // LeaseStatus is one lease that an entry holds.
 type LeaseStatus struct {
 	Endpoint string `json:"endpoint"`
-	Left     string `json:"left"`
+	TimeLeft string `json:"left"`
 }
 
 // Status gives the box's status, the scheduler's part included.
@@ -55,7 +55,7 @@
 	slices.SortFunc(s.Models, func(a, b ModelStatus) int { return strings.Compare(a.Model, b.Model) })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if answer, err := wire.Request[wire.SchedulerStatus](ctx, e.pool, e.settings.Scheduler, wire.StatusAsk{}); err == nil {
+	if answer, err := wire.Request[wire.SchedulerStatus](ctx, e.pool, e.settings.Scheduler, wire.StatusRequest{}); err == nil {
 		s.Scheduler = answer
 	}
 	return s
@@ -73,7 +73,7 @@
 		if left := time.Until(until); left > 0 {
 			s.Leases = append(s.Leases, LeaseStatus{
 				Endpoint: name,
-				Left:     left.Round(time.Millisecond).String(),
+				TimeLeft: left.Round(time.Millisecond).String(),
 			})
 		}
 	}
--- a/fleet/counts.go
+++ b/fleet/counts.go
@@ -18,12 +18,12 @@
 )
 
 // answered counts the views that this box gives, part by part.
-func (p *Peers) answered(a wire.Answered) {
+func (p *Peers) answered(a wire.SentAnswer) {
 	if a.Kind != (Chunk{}).Kind() {
 		return
 	}
 	viewsGiven.Add(a.Bytes)
-	viewsGiveTime.Update(a.Took.Seconds())
+	viewsGiveTime.Update(a.WriteTime.Seconds())
 }
 
 // viewsCame logs and counts the views that another box gave.
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -111,7 +111,7 @@
 		pull:         core.NewSourceSelector[*wire.Conn](core.DefaultSourceRules()),
 		ended:        make(chan struct{}),
 		woken:        make(chan struct{}, 1),
-		network:      wire.Sockets{},
+		network:      wire.TCPNetwork{},
 		quarantine:   NewQuarantine(zap.NewNop()),
 		limits:       NewLimits(zap.NewNop()),
 		look:         func() {},
@@ -119,17 +119,17 @@
 	for _, o := range options {
 		o(p)
 	}
-	p.handlers = wire.NewHandlers(wire.WithOnAnswered(p.answered), wire.WithNetwork(p.network))
-	wire.Answer(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.greeted(c, g), nil })
+	p.handlers = wire.NewHandlers(wire.WithOnAnswerSent(p.answered), wire.WithNetwork(p.network))
+	wire.HandleRequest(p.handlers, func(_ context.Context, c *wire.Conn, g Gossip) (Gossip, error) { return p.greeted(c, g), nil })
 	p.give = newGiver(belief, p.log)
-	wire.Answer(p.handlers, p.give.first)
-	wire.Answer(p.handlers, p.give.more)
-	wire.Answer(p.handlers, p.lend)
-	wire.Take(p.handlers, p.heard)
-	wire.Take(p.handlers, p.evacuating)
-	wire.Take(p.handlers, p.newsCame)
-	wire.Take(p.handlers, p.endsTold)
-	wire.Take(p.handlers, p.limitsTold)
+	wire.HandleRequest(p.handlers, p.give.first)
+	wire.HandleRequest(p.handlers, p.give.more)
+	wire.HandleRequest(p.handlers, p.lend)
+	wire.HandlePush(p.handlers, p.heard)
+	wire.HandlePush(p.handlers, p.evacuating)
+	wire.HandlePush(p.handlers, p.newsCame)
+	wire.HandlePush(p.handlers, p.endsTold)
+	wire.HandlePush(p.handlers, p.limitsTold)
 	p.pool = wire.NewPool(p.handlers)
 	server, err := wire.Listen(self.Address, p.handlers)
 	if err != nil {
@@ -216,7 +216,7 @@
 }
 
 // Traffic counts the messages that came from other boxes.
-func (p *Peers) Traffic() uint64 { return p.handlers.Traffic().Received.Load() }
+func (p *Peers) Traffic() uint64 { return p.handlers.Traffic().ReceivedMessages.Load() }
 
 // Self gives the name of this box.
 func (p *Peers) Self() string {
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -32,8 +32,8 @@
 		fitSlope("a claim's memory, by claims held", "bytes", growth(10000), claimMemory),
 		fitSlope("an estimate's memory, by customers", "bytes", growth(50), estimateMemory),
 		fitSlope("a heartbeat on the wire, by suspects", "bytes", growth(2), heartbeatBytes),
-		fitSlope("a list on the wire, by boxes", "bytes", growth(55), func(n int) float64 { return float64(wire.Size(listOf(n, 0))) }),
-		fitSlope("a list on the wire, by endpoints", "bytes", growth(600), func(n int) float64 { return float64(wire.Size(listOf(1, n))) }),
+		fitSlope("a list on the wire, by boxes", "bytes", growth(55), func(n int) float64 { return float64(wire.EncodedSize(listOf(n, 0))) }),
+		fitSlope("a list on the wire, by endpoints", "bytes", growth(600), func(n int) float64 { return float64(wire.EncodedSize(listOf(1, n))) }),
 		fitSlope("a handover on the wire, by boxes of ten lists", "bytes", growth(55), handoverBytes),
 		fitSlope("peers of a box, by boxes", "count", growth(55), peerCount),
 		fitSlope("a lookup in the shards, by threads at once", "ns", growth(1), shardCost),
@@ -139,14 +139,14 @@
 		ListVersion: 11,
 	}) {
 		if sent, ok := command.(core.HandoverSent); ok {
-			return float64(wire.Size(wire.HandoverGive{Handover: sent.Handover}))
+			return float64(wire.EncodedSize(wire.HandoverTransfer{Handover: sent.Handover}))
 		}
 	}
 	return 0
 }
 
 func leaseBytes(wishes int) float64 {
-	var ask wire.LeaseAsk
+	var ask wire.LeaseRequest
 	var grants wire.LeaseGrants
 	full := admission.Profile{}
 	for i := range full.Mean {
@@ -156,7 +156,7 @@
 	mean, deviation := full.Floats()
 	for i := range wishes {
 		name := fmt.Sprintf("engine-%04d", i)
-		ask.Demands = append(ask.Demands, wire.LeaseWish{
+		ask.Demands = append(ask.Demands, wire.LeaseDemand{
 			Endpoint:  name,
 			Model:     "model-01",
 			Mean:      mean,
@@ -183,7 +183,7 @@
 		}
 		grants.Grants = append(grants.Grants, grant)
 	}
-	return float64(wire.Size(ask) + wire.Size(grants))
+	return float64(wire.EncodedSize(ask) + wire.EncodedSize(grants))
 }
 
 func ownerCost(endpoints int) float64 { return ownerCostOf(fullBoxes, endpoints) }
@@ -283,7 +283,7 @@
 	for i := range suspects {
 		h.Suspected = append(h.Suspected, fmt.Sprintf("box-%03d", i))
 	}
-	return float64(wire.Size(h))
+	return float64(wire.EncodedSize(h))
 }
 
 // packed gives the size of a text as the platform sends it.
--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -35,7 +35,7 @@
 	return s.home.Step(now, ev)
 }
 
-func (s *Scheduler) claimAsk(ctx context.Context, _ *wire.Conn, q wire.ClaimAsk) (wire.ClaimAnswer, error) {
+func (s *Scheduler) claimAsk(ctx context.Context, _ *wire.Conn, q wire.ClaimRequest) (wire.ClaimAnswer, error) {
 	for _, command := range s.stepHome(ctx, core.ClaimAsked{
 		Key:         q.Key,
 		Attempt:     q.Attempt,
@@ -43,7 +43,7 @@
 		ListVersion: q.ListVersion,
 		HomeKnown:   q.HomeKnown,
 		Timed:       q.Timed,
-		KeyAge:      time.Since(q.Made),
+		KeyAge:      time.Since(q.KeyTime),
 	}) {
 		if c, ok := command.(core.ClaimAnswered); ok {
 			claimVerdicts(string(c.Verdict)).Inc()
@@ -70,24 +70,24 @@
 	return wire.Done{}, nil
 }
 
-func (s *Scheduler) handoverAsk(ctx context.Context, _ *wire.Conn, q wire.HandoverAsk) (wire.HandoverGive, error) {
+func (s *Scheduler) handoverAsk(ctx context.Context, _ *wire.Conn, q wire.HandoverRequest) (wire.HandoverTransfer, error) {
 	for _, command := range s.stepHome(ctx, core.HandoverAsked{
 		From:        q.From,
 		ListVersion: q.ListVersion,
 	}) {
 		if c, ok := command.(core.HandoverSent); ok {
-			return wire.HandoverGive{Handover: c.Handover}, nil
+			return wire.HandoverTransfer{Handover: c.Handover}, nil
 		}
 	}
-	return wire.HandoverGive{None: true}, nil
+	return wire.HandoverTransfer{None: true}, nil
 }
 
-func (s *Scheduler) handoverGive(ctx context.Context, _ *wire.Conn, q wire.HandoverGive) (wire.Done, error) {
+func (s *Scheduler) handoverGive(ctx context.Context, _ *wire.Conn, q wire.HandoverTransfer) (wire.Done, error) {
 	s.takeHandover(ctx, q)
 	return wire.Done{}, nil
 }
 
-func (s *Scheduler) takeHandover(ctx context.Context, q wire.HandoverGive) {
+func (s *Scheduler) takeHandover(ctx context.Context, q wire.HandoverTransfer) {
 	if q.None {
 		return
 	}
@@ -103,7 +103,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer, err := wire.Request[wire.HandoverGive](ctx, s.pool, m.Scheduler, wire.HandoverAsk{
+	answer, err := wire.Request[wire.HandoverTransfer](ctx, s.pool, m.Scheduler, wire.HandoverRequest{
 		From:        s.self,
 		ListVersion: c.ListVersion,
 	})
@@ -119,7 +119,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := wire.Request[wire.Done](ctx, s.pool, m.Scheduler, wire.HandoverGive{Handover: h}); err == nil {
+	if _, err := wire.Request[wire.Done](ctx, s.pool, m.Scheduler, wire.HandoverTransfer{Handover: h}); err == nil {
 		s.handedOver(h.To)
 	}
 }
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -89,7 +89,7 @@
 	e.shares.Ownership().Step(now, core.ListConfirmed{At: confirmed})
 }
 
-func (e *endpoint) grant(now time.Time, box string, w wire.LeaseWish) (wire.LeaseGrant, bool) {
+func (e *endpoint) grant(now time.Time, box string, w wire.LeaseDemand) (wire.LeaseGrant, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.owner || now.Sub(e.loadAt) > silentLoad {
@@ -113,7 +113,7 @@
 		Model:        w.Model,
 		Slot:         w.Slot,
 	}
-	if w.WantOthers {
+	if w.WantOtherUsage {
 		out.OtherMean, out.OtherDeviation = g.Others.Floats()
 		out.HasOthers = true
 	}
@@ -158,10 +158,10 @@
 	return e.owner, e.cacheSeq
 }
 
-func (e *endpoint) status() wire.HoldStatus {
+func (e *endpoint) status() wire.OwnedSlotStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return wire.HoldStatus{
+	return wire.OwnedSlotStatus{
 		Endpoint: e.settings.Name,
 		Slot:     e.slot,
 		State:    string(e.shares.Ownership().State),
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -79,12 +79,12 @@
 	}
 	s.recorder.BeginHome(now, self, core.DefaultClaimRules())
 	s.handlers = wire.NewHandlers(wire.WithVersions(s.state.Versions))
-	wire.Answer(s.handlers, s.leaseAsk)
-	wire.Answer(s.handlers, s.claimAsk)
-	wire.Answer(s.handlers, s.claimSettle)
-	wire.Answer(s.handlers, s.handoverAsk)
-	wire.Answer(s.handlers, s.handoverGive)
-	wire.Answer(s.handlers, s.statusAsk)
+	wire.HandleRequest(s.handlers, s.leaseAsk)
+	wire.HandleRequest(s.handlers, s.claimAsk)
+	wire.HandleRequest(s.handlers, s.claimSettle)
+	wire.HandleRequest(s.handlers, s.handoverAsk)
+	wire.HandleRequest(s.handlers, s.handoverGive)
+	wire.HandleRequest(s.handlers, s.statusAsk)
 	s.pool = wire.NewPool(s.handlers)
 	server, err := wire.Listen(b.Scheduler, s.handlers)
 	if err != nil {
@@ -140,10 +140,10 @@
 	var out wire.SchedulerStatus
 	s.endpoints.Each(func(_ string, e *endpoint) {
 		if owner, _ := e.isOwner(); owner {
-			out.Holds = append(out.Holds, e.status())
+			out.OwnedSlots = append(out.OwnedSlots, e.status())
 		}
 	})
-	slices.SortFunc(out.Holds, func(a, b wire.HoldStatus) int {
+	slices.SortFunc(out.OwnedSlots, func(a, b wire.OwnedSlotStatus) int {
 		return cmp.Or(strings.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Slot, b.Slot))
 	})
 	s.homeLock.Lock()
@@ -155,7 +155,7 @@
 	return out
 }
 
-func (s *Scheduler) statusAsk(context.Context, *wire.Conn, wire.StatusAsk) (wire.SchedulerStatus, error) {
+func (s *Scheduler) statusAsk(context.Context, *wire.Conn, wire.StatusRequest) (wire.SchedulerStatus, error) {
 	return s.status(), nil
 }
 
@@ -269,7 +269,7 @@
 	}
 }
 
-func (s *Scheduler) leaseAsk(_ context.Context, _ *wire.Conn, q wire.LeaseAsk) (wire.LeaseGrants, error) {
+func (s *Scheduler) leaseAsk(_ context.Context, _ *wire.Conn, q wire.LeaseRequest) (wire.LeaseGrants, error) {
 	now := time.Now()
 	var out wire.LeaseGrants
 	for _, w := range q.Demands {
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -20,10 +20,10 @@
 	}
 	handlers := wire.NewHandlers(
 		wire.WithVersions(state.Versions),
-		wire.WithVersionsSeen(f.versionsSeen),
+		wire.WithOnVersions(f.versionsSeen),
 	)
-	wire.Take(handlers, f.take)
-	wire.Answer(handlers, f.fetch)
+	wire.HandlePush(handlers, f.take)
+	wire.HandleRequest(handlers, f.fetch)
 	f.handlers = handlers
 	go f.run(ctx)
 }
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchMost)
 	defer cancel()
 	asked := time.Now()
-	s, err := wire.CallPatiently[wire.Snapshot](ctx, c, q, peerTimeout)
+	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, q, peerTimeout)
 	if err != nil {
 		c.Close()
 		return
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -73,11 +73,11 @@
 	}
 	w.handlers = wire.NewHandlers(
 		wire.WithVersions(w.state.Versions),
-		wire.WithVersionsSeen(w.versionsSeen),
+		wire.WithOnVersions(w.versionsSeen),
 	)
-	wire.Answer(w.handlers, w.subscribe)
-	wire.Answer(w.handlers, w.heartbeat)
-	wire.Answer(w.handlers, w.fetch)
+	wire.HandleRequest(w.handlers, w.subscribe)
+	wire.HandleRequest(w.handlers, w.heartbeat)
+	wire.HandleRequest(w.handlers, w.fetch)
 	w.pool = wire.NewPool(w.handlers)
 	w.server, err = wire.Listen(b.Watch, w.handlers)
 	if err != nil {
@@ -271,7 +271,7 @@
 	asked := time.Now()
 	have := w.state.Versions()
 	peerFetches.Inc()
-	s, err := wire.CallPatiently[wire.Snapshot](ctx, c, wire.Fetch(have), peerTimeout)
+	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, wire.Fetch(have), peerTimeout)
 	if err == nil {
 		w.state.Take(s, asked)
 	}
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -75,8 +75,8 @@
 	return e, nil
 }
 
-// Size gives the bytes that a message's body takes on the wire.
-func Size(m any) int {
+// EncodedSize gives the bytes that a message's body takes on the wire.
+func EncodedSize(m any) int {
 	raw, err := encoding.Marshal(m)
 	if err != nil {
 		return 0
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -167,12 +167,12 @@
 	if answer == nil {
 		return // a pushed kind that came as a question
 	}
-	c.handlers.answered(Answered{
-		Conn:  c,
-		Kind:  answer.Kind(),
-		Bytes: size,
-		Took:  time.Since(began),
-		Err:   err,
+	c.handlers.answered(SentAnswer{
+		Conn:      c,
+		Kind:      answer.Kind(),
+		Bytes:     size,
+		WriteTime: time.Since(began),
+		Err:       err,
 	})
 }
 
--- a/wire/handler.go
+++ b/wire/handler.go
@@ -17,18 +17,18 @@
 	onVers   func(c *Conn, v Versions)
 	versions func() Versions
 	traffic  *Traffic
-	answered func(Answered)
+	answered func(SentAnswer)
 	network  Network
 	client   *http.Client // opens connections over the network
 }
 
-// Answered is an answer that was handed to its connection, or couldn't be.
-type Answered struct {
-	Conn  *Conn
-	Kind  string
-	Bytes int
-	Took  time.Duration // until the connection had taken all of it
-	Err   error
+// SentAnswer is an answer that was handed to its connection, or couldn't be.
+type SentAnswer struct {
+	Conn      *Conn
+	Kind      string
+	Bytes     int
+	WriteTime time.Duration // until the connection had taken all of it
+	Err       error
 }
 
 // HandlersOption changes how handlers are built.
@@ -39,13 +39,13 @@
 	return func(h *Handlers) { h.versions = current }
 }
 
-// WithVersionsSeen is called with the versions on each received message.
-func WithVersionsSeen(seen func(c *Conn, v Versions)) HandlersOption {
+// WithOnVersions is called with the versions on each received message.
+func WithOnVersions(seen func(c *Conn, v Versions)) HandlersOption {
 	return func(h *Handlers) { h.onVers = seen }
 }
 
-// WithOnAnswered is called after each answer.
-func WithOnAnswered(onAnswered func(Answered)) HandlersOption {
+// WithOnAnswerSent is called after each answer.
+func WithOnAnswerSent(onAnswered func(SentAnswer)) HandlersOption {
 	return func(h *Handlers) { h.answered = onAnswered }
 }
 
@@ -61,8 +61,8 @@
 		onVers:   func(*Conn, Versions) {},
 		versions: func() Versions { return Versions{} },
 		traffic:  &Traffic{},
-		answered: func(Answered) {},
-		network:  Sockets{},
+		answered: func(SentAnswer) {},
+		network:  TCPNetwork{},
 	}
 	for _, o := range options {
 		o(h)
@@ -74,8 +74,8 @@
 // Traffic gives the counters of all connections with these handlers.
 func (h *Handlers) Traffic() *Traffic { return h.traffic }
 
-// Answer registers what answers requests of the kind Q.
-func Answer[Q, A Message](h *Handlers, answer func(ctx context.Context, c *Conn, q Q) (A, error)) {
+// HandleRequest registers what answers requests of the kind Q.
+func HandleRequest[Q, A Message](h *Handlers, answer func(ctx context.Context, c *Conn, q Q) (A, error)) {
 	var zero Q
 	h.byKind[zero.Kind()] = func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error) {
 		var q Q
@@ -86,8 +86,8 @@
 	}
 }
 
-// Take registers what takes pushes of the kind M, which get no answer.
-func Take[M Message](h *Handlers, take func(ctx context.Context, c *Conn, m M)) {
+// HandlePush registers what takes pushes of the kind M, which get no answer.
+func HandlePush[M Message](h *Handlers, take func(ctx context.Context, c *Conn, m M)) {
 	var zero M
 	h.byKind[zero.Kind()] = func(ctx context.Context, c *Conn, body cbor.RawMessage) (Message, error) {
 		var m M
--- a/wire/message.go
+++ b/wire/message.go
@@ -47,18 +47,18 @@
 // Kind names the message.
 func (Fetch) Kind() string { return "fetch" }
 
-// LeaseAsk asks an owner for leases on its endpoints.
-type LeaseAsk struct {
-	Box     core.Box     `cbor:"1,keyasint"`
-	Demands []LeaseWish  `cbor:"2,keyasint"`
-	Ended   []LengthSeen `cbor:"3,keyasint,omitempty"`
+// LeaseRequest asks an owner for leases on its endpoints.
+type LeaseRequest struct {
+	Box             core.Box         `cbor:"1,keyasint"`
+	Demands         []LeaseDemand    `cbor:"2,keyasint"`
+	ObservedLengths []ObservedLength `cbor:"3,keyasint,omitempty"`
 }
 
 // Kind names the message.
-func (LeaseAsk) Kind() string { return "lease-ask" }
+func (LeaseRequest) Kind() string { return "lease-ask" }
 
-// LeaseWish is what an entry uses of one endpoint and what it wants.
-type LeaseWish struct {
+// LeaseDemand is what an entry uses of one endpoint and what it wants.
+type LeaseDemand struct {
 	Endpoint  string    `cbor:"1,keyasint"`
 	Mean      []float32 `cbor:"2,keyasint"` // expected tokens held, by horizon
 	Deviation []float32 `cbor:"3,keyasint"`
@@ -66,14 +66,14 @@
 	Waiting   int       `cbor:"5,keyasint"` // expected tokens of waiting requests
 	Rank      int       `cbor:"8,keyasint,omitempty"`
 
-	// WantOthers asks what other boxes hold; both owners know, one says so.
-	WantOthers bool   `cbor:"10,keyasint,omitempty"`
-	Model      string `cbor:"6,keyasint"`
-	Slot       int    `cbor:"7,keyasint,omitempty"`
+	// WantOtherUsage asks what other boxes hold; both owners know, one says so.
+	WantOtherUsage bool   `cbor:"10,keyasint,omitempty"`
+	Model          string `cbor:"6,keyasint"`
+	Slot           int    `cbor:"7,keyasint,omitempty"`
 }
 
-// LengthSeen tells the length of an ended generation, for the estimates.
-type LengthSeen struct {
+// ObservedLength tells the length of an ended generation, for the estimates.
+type ObservedLength struct {
 	Model    string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint"`
 	Class    string `cbor:"3,keyasint"`
@@ -112,19 +112,19 @@
 	Dropped bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// ClaimAsk asks a home for the right to run a key.
-type ClaimAsk struct {
+// ClaimRequest asks a home for the right to run a key.
+type ClaimRequest struct {
 	Key         core.ClaimKey    `cbor:"1,keyasint"`
 	Attempt     string           `cbor:"2,keyasint"`
 	Asker       core.Box         `cbor:"3,keyasint"`
 	ListVersion uint64           `cbor:"4,keyasint"`
 	HomeKnown   core.Incarnation `cbor:"5,keyasint,omitempty"`
 	Timed       bool             `cbor:"6,keyasint,omitempty"`
-	Made        time.Time        `cbor:"7,keyasint"` // by the key itself, if it is timed
+	KeyTime     time.Time        `cbor:"7,keyasint"` // by the key itself, if it is timed
 }
 
 // Kind names the message.
-func (ClaimAsk) Kind() string { return "claim-ask" }
+func (ClaimRequest) Kind() string { return "claim-ask" }
 
 // ClaimAnswer is a home's verdict.
 type ClaimAnswer struct {
@@ -156,42 +156,42 @@
 // Kind names the message.
 func (Done) Kind() string { return "done" }
 
-// HandoverAsk asks a home for what the asker takes over.
-type HandoverAsk struct {
+// HandoverRequest asks a home for what the asker takes over.
+type HandoverRequest struct {
 	From        core.Box `cbor:"1,keyasint"`
 	ListVersion uint64   `cbor:"2,keyasint"`
 }
 
 // Kind names the message.
-func (HandoverAsk) Kind() string { return "handover-ask" }
+func (HandoverRequest) Kind() string { return "handover-ask" }
 
-// HandoverGive carries a handover; None says that there is none yet.
-type HandoverGive struct {
+// HandoverTransfer carries a handover; None says that there is none yet.
+type HandoverTransfer struct {
 	None     bool          `cbor:"1,keyasint,omitempty"`
 	Handover core.Handover `cbor:"2,keyasint"`
 }
 
 // Kind names the message.
-func (HandoverGive) Kind() string { return "handover-give" }
+func (HandoverTransfer) Kind() string { return "handover-give" }
 
-// StatusAsk asks a scheduler for its part of a box's status.
-type StatusAsk struct{}
+// StatusRequest asks a scheduler for its part of a box's status.
+type StatusRequest struct{}
 
 // Kind names the message.
-func (StatusAsk) Kind() string { return "status-ask" }
+func (StatusRequest) Kind() string { return "status-ask" }
 
 // SchedulerStatus is a scheduler's part of a box's status.
 type SchedulerStatus struct {
-	Holds  []HoldStatus `cbor:"1,keyasint" json:"holds"`
-	Claims int          `cbor:"2,keyasint" json:"claims"`
-	Drain  string       `cbor:"3,keyasint" json:"drain"`
+	OwnedSlots []OwnedSlotStatus `cbor:"1,keyasint" json:"holds"`
+	Claims     int               `cbor:"2,keyasint" json:"claims"`
+	Drain      string            `cbor:"3,keyasint" json:"drain"`
 }
 
 // Kind names the message.
 func (SchedulerStatus) Kind() string { return "scheduler-status" }
 
-// HoldStatus is one endpoint that a scheduler owns.
-type HoldStatus struct {
+// OwnedSlotStatus is one endpoint that a scheduler owns.
+type OwnedSlotStatus struct {
 	Endpoint string `cbor:"1,keyasint" json:"endpoint"`
 	Slot     int    `cbor:"7,keyasint" json:"slot"`
 	State    string `cbor:"2,keyasint" json:"state"`
--- a/wire/network.go
+++ b/wire/network.go
@@ -16,16 +16,16 @@
 	Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 }
 
-// Sockets is the network of the operating system.
-type Sockets struct{}
+// TCPNetwork is the network of the operating system.
+type TCPNetwork struct{}
 
 // Listen opens a TCP port.
-func (Sockets) Listen(at netip.AddrPort) (net.Listener, error) {
+func (TCPNetwork) Listen(at netip.AddrPort) (net.Listener, error) {
 	return net.Listen("tcp", at.String())
 }
 
 // Dial connects by TCP.
-func (Sockets) Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
+func (TCPNetwork) Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", to.String())
 }
--- a/wire/patience.go
+++ b/wire/patience.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// CallPatiently is Call with a bound on each pause, in which no byte comes on the
+// CallWithIdleTimeout is Call with a bound on each pause, in which no byte comes on the
 // connection, in place of one on the whole: a large answer takes as long as its link
 // asks, and a link that stalls is given up.
-func CallPatiently[A Message](ctx context.Context, c *Conn, q Message, pause time.Duration) (A, error) {
+func CallWithIdleTimeout[A Message](ctx context.Context, c *Conn, q Message, pause time.Duration) (A, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.noteProgress()
--- a/wire/patience_test.go
+++ b/wire/patience_test.go
@@ -23,7 +23,7 @@
 		n.Join(here.Addr(), bytesPerSecond)
 		n.Join(there.Addr(), bytesPerSecond)
 		handlers := wire.NewHandlers(wire.WithNetwork(n.At(there.Addr())))
-		wire.Answer(handlers, func(context.Context, *wire.Conn, wire.Fetch) (wire.Snapshot, error) {
+		wire.HandleRequest(handlers, func(context.Context, *wire.Conn, wire.Fetch) (wire.Snapshot, error) {
 			time.Sleep(pause)
 			return wire.Snapshot{Config: make([]byte, size)}, nil
 		})
@@ -48,7 +48,7 @@
 func TestAnAnswerThatKeepsComingIsWaitedFor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	err := callOver(t, 5e6/8, 1<<20, 0, func(c *wire.Conn) error {
-		s, err := wire.CallPatiently[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
+		s, err := wire.CallWithIdleTimeout[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
 		g.Expect(s.Config).To(gomega.HaveLen(1 << 20))
 		return err
 	})
@@ -60,7 +60,7 @@
 	var took time.Duration
 	err := callOver(t, 5e6/8, 10, 20*time.Second, func(c *wire.Conn) error {
 		began := time.Now()
-		_, err := wire.CallPatiently[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
+		_, err := wire.CallWithIdleTimeout[wire.Snapshot](context.Background(), c, wire.Fetch{}, time.Second)
 		took = time.Since(began)
 		return err
 	})
--- a/wire/traffic.go
+++ b/wire/traffic.go
@@ -16,10 +16,10 @@
 // Traffic counts what passed over the connections of one table of handlers; the
 // process's metrics count all of them.
 type Traffic struct {
-	SentBytes     atomic.Uint64
-	ReceivedBytes atomic.Uint64
-	LateAnswers   atomic.Uint64
-	Received      atomic.Uint64 // messages
+	SentBytes        atomic.Uint64
+	ReceivedBytes    atomic.Uint64
+	LateAnswers      atomic.Uint64
+	ReceivedMessages atomic.Uint64 // messages
 }
 
 func (t *Traffic) sent(size int) {
@@ -30,7 +30,7 @@
 
 func (t *Traffic) received(size int) {
 	t.ReceivedBytes.Add(uint64(size))
-	t.Received.Add(1)
+	t.ReceivedMessages.Add(1)
 	receivedMessages.Inc()
 	receivedBytes.Add(size)
 }
