--- a/box/box.go
+++ b/box/box.go
@@ -55,7 +55,7 @@
 	belief   *fleet.State
 	peers    *fleet.Peers
 	gateway  *gateway.Gateway
-	clock    *clock.Suspensions
+	clock    *clock.SuspensionDetector
 
 	quarantine *fleet.Quarantine
 	limits     *fleet.Limits
@@ -85,7 +85,7 @@
 		zap.Stringer("store", s.Store),
 		zap.Bool("first", s.FirstStart),
 	)
-	b.clock = clock.New(b.suspended, clock.WithOnFault(func(err error) { log.Warn("suspensions aren't noticed", zap.Error(err)) }))
+	b.clock = clock.New(b.suspended, clock.WithErrorHandler(func(err error) { log.Warn("suspensions aren't noticed", zap.Error(err)) }))
 	b.belief = fleet.NewState(fleet.WithOnChange(b.changed))
 	engines := platform.NewEngines(platform.WithOnNotice(b.noticed))
 	reports := fleet.NewLoadReports(engines, b.belief, log.Named("reports"), b.reported, fleet.WithLoadQueryFilter(b.mayAsk))
@@ -97,7 +97,7 @@
 		Address:    s.Peer,
 		InstanceID: rand.Uint64(),
 		LinkMbps:   s.LinkMbps,
-	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithLoadReports(reports), fleet.WithPlacementHandler(b.placed), fleet.WithEvacuationHandler(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Look))
+	}, s.Seeds, b.belief, fleet.WithPeersLog(log.Named("peers")), fleet.WithLoadReports(reports), fleet.WithPlacementHandler(b.placed), fleet.WithEvacuationHandler(b.evacuating), fleet.WithQuarantine(b.quarantine), fleet.WithLimits(b.limits), fleet.WithSuspensionCheck(b.clock.Check))
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 		gateway.WithRetryBorrowing(b.peers.BorrowRetries),
 		gateway.WithQuarantine(b.quarantine),
 		gateway.WithLimits(b.limits),
-		gateway.WithSuspensionCheck(b.clock.Look),
+		gateway.WithSuspensionCheck(b.clock.Check),
 	)
 	b.peers.SetRetryBudgets(b.gateway)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -232,7 +232,7 @@
 	for {
 		select {
 		case now := <-t.C:
-			b.clock.Look()
+			b.clock.Check()
 			b.belief.DropExpired(now)
 			b.gateway.Sweep(now)
 			b.shareOut()
--- a/box/operators.go
+++ b/box/operators.go
@@ -24,7 +24,7 @@
 	StoreEra      uint64 `json:"store_era"`    // how often the store came back from an older copy
 	ListAge       string `json:"list_age"`
 	Active        int    `json:"active"`
-	LeftOut       int64  `json:"log_lines_left_out"`
+	DroppedLines  int64  `json:"log_lines_left_out"`
 	StoreAway     bool   `json:"store_away"`
 	Reader        bool   `json:"reader"`  // whether it reads the store for all
 	Sharers       int    `json:"sharers"` // boxes that share the retry budget
@@ -82,18 +82,18 @@
 func (b *Box) answerStatus(w http.ResponseWriter, _ *http.Request) {
 	v := b.belief.View()
 	s := Status{
-		Program:     Program,
-		StoreAway:   b.belief.IsStoreDown(),
-		Reader:      b.peers.Reader(),
-		Sharers:     b.peers.Sharers(),
-		Box:         b.settings.Box,
-		Zone:        b.settings.Zone,
-		Ready:       b.ready(),
-		ListChanged: v.ListRevision.Number(),
-		StoreEra:    v.ListRevision.Era(),
-		ListAge:     time.Since(v.ConfirmedAt).Round(time.Millisecond).String(),
-		Active:      b.gateway.Active(),
-		LeftOut:     b.sink.LeftOut(),
+		Program:      Program,
+		StoreAway:    b.belief.IsStoreDown(),
+		Reader:       b.peers.Reader(),
+		Sharers:      b.peers.Sharers(),
+		Box:          b.settings.Box,
+		Zone:         b.settings.Zone,
+		Ready:        b.ready(),
+		ListChanged:  v.ListRevision.Number(),
+		StoreEra:     v.ListRevision.Era(),
+		ListAge:      time.Since(v.ConfirmedAt).Round(time.Millisecond).String(),
+		Active:       b.gateway.Active(),
+		DroppedLines: b.sink.DroppedLines(),
 	}
 	if v.Table != nil {
 		s.Configuration = v.Table.Version()
--- a/box/stop.go
+++ b/box/stop.go
@@ -32,6 +32,6 @@
 		b.log.Warn("requests were still under way at the end", zap.Int("active", b.gateway.Active()), zap.Error(err))
 	}
 	b.cancel()
-	b.log.Info("left", zap.Int64("log_lines_left_out", b.sink.LeftOut()))
+	b.log.Info("left", zap.Int64("log_lines_left_out", b.sink.DroppedLines()))
 	close(b.left)
 }
--- a/clock/suspension.go
+++ b/clock/suspension.go
@@ -27,11 +27,11 @@
 // Drift gives how far the time of day is ahead of the steady clock, from any origin.
 type Drift func() time.Duration
 
-// Suspensions finds out that the machine was suspended, before anything else is decided by
+// SuspensionDetector finds out that the machine was suspended, before anything else is decided by
 // ages. A look costs no system call: the time of day moves against the steady clock then,
 // and only when it did is the system asked whether it was a suspension or a step of the
 // time of day.
-type Suspensions struct {
+type SuspensionDetector struct {
 	drift       Drift
 	read        func() (Readings, error)
 	onSuspended func(time.Duration)
@@ -43,25 +43,25 @@
 }
 
 // Option changes how suspensions are found.
-type Option func(*Suspensions)
+type Option func(*SuspensionDetector)
 
 // WithClocks gives the clocks; without it, they are the system's.
 func WithClocks(drift Drift, read func() (Readings, error)) Option {
-	return func(s *Suspensions) {
+	return func(s *SuspensionDetector) {
 		s.drift = drift
 		s.read = read
 	}
 }
 
-// WithOnFault is called when the clocks can't be read.
-func WithOnFault(onFault func(error)) Option {
-	return func(s *Suspensions) { s.onFault = onFault }
+// WithErrorHandler is called when the clocks can't be read.
+func WithErrorHandler(onFault func(error)) Option {
+	return func(s *SuspensionDetector) { s.onFault = onFault }
 }
 
 // New begins at the present; onSuspended is called with the length of each suspension, and
 // who looks meanwhile waits until it has returned.
-func New(onSuspended func(time.Duration), options ...Option) *Suspensions {
-	s := &Suspensions{
+func New(onSuspended func(time.Duration), options ...Option) *SuspensionDetector {
+	s := &SuspensionDetector{
 		drift:       driftSince(time.Now()),
 		read:        read,
 		onSuspended: onSuspended,
@@ -75,8 +75,8 @@
 	return s
 }
 
-// Look tells of a suspension since the last look, if there was one.
-func (s *Suspensions) Look() {
+// Check tells of a suspension since the last look, if there was one.
+func (s *SuspensionDetector) Check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	drifted := s.drift()
@@ -99,7 +99,7 @@
 
 // readGap gives how long the machine was suspended since the clocks were last read. Clocks
 // that can't be read, or never were before, tell of no suspension.
-func (s *Suspensions) readGap() time.Duration {
+func (s *SuspensionDetector) readGap() time.Duration {
 	r, err := s.read()
 	if err != nil {
 		s.onFault(err)
--- a/clock/suspension_test.go
+++ b/clock/suspension_test.go
@@ -37,36 +37,36 @@
 	var m *machine
 	var told []time.Duration
 	faults := 0
-	var s *clock.Suspensions
+	var s *clock.SuspensionDetector
 	begin := func() {
 		told, faults = nil, 0
 		s = clock.New(func(d time.Duration) { told = append(told, d) },
 			clock.WithClocks(m.drift, m.read),
-			clock.WithOnFault(func(error) { faults++ }))
+			clock.WithErrorHandler(func(error) { faults++ }))
 	}
 	BeforeEach(func() { m = &machine{} })
 
 	It("are told from steps of the time of day, and looked for without a system call", func() {
 		begin()
 		m.run(time.Hour)
-		s.Look()
+		s.Check()
 		Expect(m.asked).To(Equal(1))
 
 		m.suspend(3 * time.Second)
-		s.Look()
-		s.Look()
+		s.Check()
+		s.Check()
 		Expect(told).To(Equal([]time.Duration{3 * time.Second}))
 
 		m.step = -2 * time.Second
-		s.Look()
+		s.Check()
 		m.step = 0
-		s.Look()
+		s.Check()
 		Expect(told).To(HaveLen(1))
 
 		m.run(time.Second)
 		m.suspend(700 * time.Millisecond)
 		m.step = 5 * time.Second
-		s.Look()
+		s.Check()
 		Expect(told).To(Equal([]time.Duration{3 * time.Second, 700 * time.Millisecond}))
 	})
 
@@ -74,17 +74,17 @@
 		m.fault = errors.New("no such clock")
 		begin()
 		m.suspend(time.Second)
-		s.Look()
+		s.Check()
 		Expect(faults).To(Equal(2))
 		m.fault = nil
 		m.suspend(time.Second)
-		s.Look()
+		s.Check()
 		Expect(told).To(BeEmpty())
 	})
 
 	It("are looked for by the system's own clocks", func() {
 		s := clock.New(func(d time.Duration) { Fail("suspended for " + d.String()) },
-			clock.WithOnFault(func(err error) { Fail(err.Error()) }))
-		s.Look()
+			clock.WithErrorHandler(func(err error) { Fail(err.Error()) }))
+		s.Check()
 	})
 })
--- a/commands/replay.go
+++ b/commands/replay.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return errors.Wrap(err, file)
 		}
-		fmt.Fprintf(out, "%s: %d events, %d of %d stated outcomes hold\n", file, report.Events, report.Outcomes-len(report.Mismatches), report.Outcomes)
+		fmt.Fprintf(out, "%s: %d events, %d of %d stated outcomes hold\n", file, report.Events, report.Expectations-len(report.Mismatches), report.Expectations)
 		for _, m := range report.Mismatches {
 			fmt.Fprintf(out, "%s: %v\n", file, m)
 		}
--- a/commands/status.go
+++ b/commands/status.go
@@ -111,7 +111,7 @@
 	fmt.Fprintf(w, "list of endpoints\tchanged at %d, confirmed %s ago\n", s.ListChanged, s.ListAge)
 	fmt.Fprintf(w, "state\tready %t, %d requests, reader %t, store away %t\n", s.Ready, s.Active, s.Reader, s.StoreAway)
 	fmt.Fprintf(w, "retry budget\tshared by %d boxes\n", s.Sharers)
-	fmt.Fprintf(w, "log\t%d lines left out\n", s.LeftOut)
+	fmt.Fprintf(w, "log\t%d lines left out\n", s.DroppedLines)
 	if len(s.Held) > 0 {
 		fmt.Fprintln(w, "\nREQUEST KEPT FROM ENDPOINTS\tFOR\tENDED UNDER IT")
 	}
--- a/config/service.go
+++ b/config/service.go
@@ -8,14 +8,14 @@
 
 // Service is a plain service that calls are passed to.
 type Service struct {
-	Name          string
-	Addresses     []netip.AddrPort
-	Deadline      time.Duration
-	Concurrency   int
-	Hedge         bool // a repeatable call that is late goes to a second server too
-	NotRepeatable []CallPattern
-	Refusals      []int // statuses by which the service says that it did not act
-	line          int
+	Name            string
+	Addresses       []netip.AddrPort
+	Deadline        time.Duration
+	Concurrency     int
+	Hedge           bool // a repeatable call that is late goes to a second server too
+	NotRepeatable   []CallPattern
+	RefusalStatuses []int // statuses by which the service says that it did not act
+	line            int
 }
 
 // CallPattern names calls by method and by the start of their path.
@@ -47,7 +47,7 @@
 	o.duration("deadline", &s.Deadline, time.Millisecond, 10*time.Minute)
 	o.whole("concurrency", &s.Concurrency, 1, 100000)
 	o.flag("hedge", &s.Hedge)
-	scalar(o, "refusal_statuses", &s.Refusals, "write a list of HTTP statuses")
+	scalar(o, "refusal_statuses", &s.RefusalStatuses, "write a list of HTTP statuses")
 	s.NotRepeatable = list(o, "not_repeatable", "call of service "+s.Name, parseCallPattern)
 	return s
 }
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -38,15 +38,15 @@
 
 func testBox(platform netip.AddrPort) *settings.Box {
 	return &settings.Box{
-		Name:       "box-1",
-		Zone:       "zone-1",
-		Entry:      freeAddress(),
-		Scheduler:  freeAddress(),
-		Watch:      freeAddress(),
-		Platform:   platform,
-		Secret:     "the secret of a test's fleet",
-		DrainLimit: time.Minute,
-		LeaseEvery: 100 * time.Millisecond,
+		Name:          "box-1",
+		Zone:          "zone-1",
+		Entry:         freeAddress(),
+		Scheduler:     freeAddress(),
+		Watch:         freeAddress(),
+		Platform:      platform,
+		Secret:        "the secret of a test's fleet",
+		DrainTimeout:  time.Minute,
+		LeaseInterval: 100 * time.Millisecond,
 	}
 }
 
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -103,7 +103,7 @@
 	if k.gen.State == core.GenerationPlaced {
 		return k.document.Limits.MaxWait
 	}
-	return k.document.Limits.Progress
+	return k.document.Limits.ProgressTimeout
 }
 
 func (k *call) take(m engine.Message) {
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -30,12 +30,12 @@
 	return e.drain.Step(time.Now(), ev)
 }
 
-// Left is closed when the process may end.
-func (e *Entry) Left() <-chan struct{} { return e.left }
+// Done is closed when the process may end.
+func (e *Entry) Done() <-chan struct{} { return e.left }
 
 func (e *Entry) drainOut() {
 	began := time.Now()
-	for time.Since(began) < e.settings.DrainLimit {
+	for time.Since(began) < e.settings.DrainTimeout {
 		e.drainStep(core.WorkChanged{Streams: e.working()})
 		if e.drainState() == core.DrainLeft {
 			break
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -187,7 +187,7 @@
 		e.exit()
 		return nil, nil, refused(http.StatusServiceUnavailable, "not_ready", "this box has no configuration yet; ask again shortly", time.Second)
 	}
-	linkOf(ctx).patience.Store(int64(d.Limits.SlowCaller))
+	linkOf(ctx).patience.Store(int64(d.Limits.SlowCallerTimeout))
 	key := bearer(c)
 	who := d.Authenticate(key)
 	if who == nil {
--- a/entry/model.go
+++ b/entry/model.go
@@ -208,7 +208,7 @@
 
 // renewLeases asks the owners for leases until the context ends.
 func (e *Entry) renewLeases(ctx context.Context) {
-	tick := time.NewTicker(e.settings.LeaseEvery)
+	tick := time.NewTicker(e.settings.LeaseInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/entry/services.go
+++ b/entry/services.go
@@ -244,7 +244,7 @@
 	case echoed != "" && echoed != c.Origin.Generation:
 		droppedLate.Inc()
 		k.drop(resp, core.LinkLost{Attempt: c.Attempt})
-	case slices.Contains(k.service.Refusals, resp.StatusCode()):
+	case slices.Contains(k.service.RefusalStatuses, resp.StatusCode()):
 		k.drop(resp, core.Refused{Attempt: c.Attempt})
 	case resp.StatusCode() >= http.StatusInternalServerError && k.gen.Repeatable && k.gen.Attempt < attempts:
 		k.drop(resp, core.LinkLost{Attempt: c.Attempt})
--- a/eventlog/log.go
+++ b/eventlog/log.go
@@ -93,8 +93,8 @@
 // Sync does nothing: lines are written as soon as the reader takes them.
 func (s *Sink) Sync() error { return nil }
 
-// LeftOut counts the lines that were dropped.
-func (s *Sink) LeftOut() int64 { return s.leftOut.Load() }
+// DroppedLines counts the lines that were dropped.
+func (s *Sink) DroppedLines() int64 { return s.leftOut.Load() }
 
 // Close writes what waits, for at most a time. Nothing may be written after it.
 func (s *Sink) Close(most time.Duration) {
--- a/eventlog/log_test.go
+++ b/eventlog/log_test.go
@@ -63,7 +63,7 @@
 		for range 3000 {
 			log.Info("line")
 		}
-		Expect(s.LeftOut()).To(BeNumerically(">", 1500))
+		Expect(s.DroppedLines()).To(BeNumerically(">", 1500))
 	})
 
 	It("keeps to its budget and counts the rest", func() {
@@ -73,6 +73,6 @@
 		for range 2000 {
 			log.Info("line")
 		}
-		Expect(s.LeftOut()).To(BeNumerically(">=", 800))
+		Expect(s.DroppedLines()).To(BeNumerically(">=", 800))
 	})
 })
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -157,7 +157,7 @@
 	name := filepath.Base(file)
 	for word, promises := range tracePromises {
 		if strings.Contains(name, word) {
-			e.add(promises, fmt.Sprintf("replay, %s (%d outcomes)", name, report.Outcomes), broke)
+			e.add(promises, fmt.Sprintf("replay, %s (%d outcomes)", name, report.Expectations), broke)
 		}
 	}
 	return nil
--- a/node/replay.go
+++ b/node/replay.go
@@ -33,9 +33,9 @@
 
 // Report is what a replay gave.
 type Report struct {
-	Events     int
-	Outcomes   int
-	Mismatches []*Mismatch
+	Events       int
+	Expectations int
+	Mismatches   []*Mismatch
 }
 
 // Replay reads a trace and gives its events to a node in virtual time. A line
@@ -96,7 +96,7 @@
 }
 
 func (r *replay) expect(number int, l trace.Line) {
-	r.report.Outcomes++
+	r.report.Expectations++
 	commands := r.commands[l.On]
 	r.commands[l.On] = nil
 	if holds(l.Expect, commands) {
--- a/node/replay_test.go
+++ b/node/replay_test.go
@@ -33,7 +33,7 @@
 		for _, file := range recorded() {
 			report := replay(file)
 			Expect(report.Mismatches).To(BeEmpty(), file)
-			Expect(report.Outcomes).To(BeNumerically(">", 0), file)
+			Expect(report.Expectations).To(BeNumerically(">", 0), file)
 		}
 	})
 
--- a/process/main.go
+++ b/process/main.go
@@ -25,7 +25,7 @@
 // it is called; Left is closed when the process may end.
 type Service interface {
 	Stop()
-	Left() <-chan struct{}
+	Done() <-chan struct{}
 }
 
 // The exit codes of a process.
@@ -73,7 +73,7 @@
 		select {
 		case <-signals:
 			s.Stop()
-		case <-s.Left():
+		case <-s.Done():
 			return
 		}
 	}
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -35,8 +35,8 @@
 	go s.drainOut()
 }
 
-// Left is closed when the process may end.
-func (s *Scheduler) Left() <-chan struct{} { return s.left }
+// Done is closed when the process may end.
+func (s *Scheduler) Done() <-chan struct{} { return s.left }
 
 func (s *Scheduler) drainOut() {
 	began := time.Now()
@@ -68,7 +68,7 @@
 
 func (s *Scheduler) drained(began time.Time) bool {
 	passed := time.Since(began)
-	if passed > s.settings.DrainLimit {
+	if passed > s.settings.DrainTimeout {
 		return true
 	}
 	if passed < core.DefaultLeaseRules().TTL {
--- a/settings/box.go
+++ b/settings/box.go
@@ -29,8 +29,8 @@
 	Secret         string
 	Record         string
 	LogLevel       string
-	DrainLimit     time.Duration
-	LeaseEvery     time.Duration
+	DrainTimeout   time.Duration
+	LeaseInterval  time.Duration
 }
 
 // Error reports a setting that can't be used, with its remedy.
@@ -103,8 +103,8 @@
 	fs.StringVar(&b.Secret, "secret", "", "fleet `secret` that authenticates stream ids")
 	fs.StringVar(&b.Record, "record", "", "`FILE` to record core events to, for replay")
 	fs.StringVar(&b.LogLevel, "log-level", "info", "least `level` of log lines: debug, info, warn, error")
-	fs.DurationVar(&b.DrainLimit, "drain-limit", time.Hour, "longest `time` that a planned stop waits for streams")
-	fs.DurationVar(&b.LeaseEvery, "lease-every", 500*time.Millisecond, "`time` between lease renewals")
+	fs.DurationVar(&b.DrainTimeout, "drain-limit", time.Hour, "longest `time` that a planned stop waits for streams")
+	fs.DurationVar(&b.LeaseInterval, "lease-every", 500*time.Millisecond, "`time` between lease renewals")
 	err := ff.Parse(fs, arguments,
 		ff.WithConfigFileFlag("settings"),
 		ff.WithConfigFileParser(ff.JSONParser),
@@ -148,17 +148,17 @@
 }
 
 func (b *Box) checkRanges() error {
-	if b.LeaseEvery < 50*time.Millisecond || b.LeaseEvery > time.Second {
+	if b.LeaseInterval < 50*time.Millisecond || b.LeaseInterval > time.Second {
 		return &Error{
 			Setting: "lease-every",
-			What:    "is " + b.LeaseEvery.String(),
+			What:    "is " + b.LeaseInterval.String(),
 			Remedy:  "write a time from 50ms to 1s: a lease ends after 4s",
 		}
 	}
-	if b.DrainLimit < time.Second {
+	if b.DrainTimeout < time.Second {
 		return &Error{
 			Setting: "drain-limit",
-			What:    "is " + b.DrainLimit.String(),
+			What:    "is " + b.DrainTimeout.String(),
 			Remedy:  "write 1s or more: a planned stop waits for streams",
 		}
 	}
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -170,8 +170,8 @@
 	close(w.left)
 }
 
-// Left is closed when the process may end.
-func (w *Watch) Left() <-chan struct{} { return w.left }
+// Done is closed when the process may end.
+func (w *Watch) Done() <-chan struct{} { return w.left }
 
 func (w *Watch) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
