--- a/box/box.go
+++ b/box/box.go
@@ -87,7 +87,7 @@
 	)
 	b.clock = clock.New(b.suspended, clock.WithErrorHandler(func(err error) { log.Warn("suspensions aren't noticed", zap.Error(err)) }))
 	b.belief = fleet.NewState(fleet.WithOnChange(b.changed))
-	engines := platform.NewEngines(platform.WithOnNotice(b.noticed))
+	engines := platform.NewEngineClient(platform.WithOnNotice(b.noticed))
 	reports := fleet.NewLoadReports(engines, b.belief, log.Named("reports"), b.reported, fleet.WithLoadQueryFilter(b.mayAsk))
 	b.quarantine = fleet.NewQuarantine(log.Named("quarantine"))
 	b.limits = fleet.NewLimits(log.Named("limits"))
@@ -149,7 +149,7 @@
 
 // store builds the client of the platform's store.
 func (b *Box) store() *platform.Store {
-	return platform.NewStore(b.settings.Store, platform.WithOnAnswer(b.storeAnswered), platform.WithOnUnreadable(b.entryUnreadable))
+	return platform.NewStore(b.settings.Store, platform.WithOnResponse(b.storeAnswered), platform.WithOnInvalidEntry(b.entryUnreadable))
 }
 
 // changed logs a change of belief and tells the gateway.
--- a/box/box_test.go
+++ b/box/box_test.go
@@ -142,7 +142,7 @@
 		var shown bytes.Buffer
 		Expect(commands.Run([]string{"status", b.operators}, &shown)).To(BeZero())
 		Expect(shown.String()).To(ContainSubstring("box-0 in zone-a"))
-		Expect(status.Configuration).To(BeEquivalentTo(1))
+		Expect(status.ConfigVersion).To(BeEquivalentTo(1))
 		Expect(b.get("/metrics")).To(ContainSubstring(`dillsaddle_requests_total{route="call"`))
 		b.Stop()
 		b.Stop()
--- a/box/operators.go
+++ b/box/operators.go
@@ -15,23 +15,23 @@
 
 // Status is what a box tells its operators of itself.
 type Status struct {
-	Program       string `json:"program"`
-	Box           string `json:"box"`
-	Zone          string `json:"zone"`
-	Ready         bool   `json:"ready"`
-	Configuration uint64 `json:"configuration"`
-	ListChanged   uint64 `json:"list_changed"` // the store's revision
-	StoreEra      uint64 `json:"store_era"`    // how often the store came back from an older copy
-	ListAge       string `json:"list_age"`
-	Active        int    `json:"active"`
-	DroppedLines  int64  `json:"log_lines_left_out"`
-	StoreAway     bool   `json:"store_away"`
-	Reader        bool   `json:"reader"`  // whether it reads the store for all
-	Sharers       int    `json:"sharers"` // boxes that share the retry budget
-	Boxes         []Peer `json:"boxes"`
-	Held          []Held `json:"held,omitempty"` // requests that no endpoint may get
-
-	Restrained []Restrained `json:"restrained,omitempty"` // endpoints that asked for fewer requests
+	Program       string        `json:"program"`
+	Box           string        `json:"box"`
+	Zone          string        `json:"zone"`
+	Ready         bool          `json:"ready"`
+	ConfigVersion uint64        `json:"configuration"`
+	ListNumber    uint64        `json:"list_changed"` // the store's revision
+	StoreEra      uint64        `json:"store_era"`    // how often the store came back from an older copy
+	ListAge       string        `json:"list_age"`
+	Active        int           `json:"active"`
+	DroppedLines  int64         `json:"log_lines_left_out"`
+	StoreDown     bool          `json:"store_away"`
+	Reader        bool          `json:"reader"`  // whether it reads the store for all
+	Sharers       int           `json:"sharers"` // boxes that share the retry budget
+	Boxes         []Peer        `json:"boxes"`
+	Quarantined   []Quarantined `json:"held,omitempty"` // requests that no endpoint may get
+
+	Throttled []Throttled `json:"restrained,omitempty"` // endpoints that asked for fewer requests
 }
 
 // heldMost bounds the requests of a status, restrainedMost its endpoints.
@@ -40,18 +40,18 @@
 	restrainedMost = 64
 )
 
-// Restrained is an endpoint that asked for fewer requests, or for none for a while.
-type Restrained struct {
+// Throttled is an endpoint that asked for fewer requests, or for none for a while.
+type Throttled struct {
 	Endpoint  string   `json:"endpoint"`
 	PerSecond *float64 `json:"per_second,omitempty"` // from all boxes together; none where it named no limit
-	Rest      string   `json:"rest,omitempty"`       // how much longer it wants nothing from this box
+	Backoff   string   `json:"rest,omitempty"`       // how much longer it wants nothing from this box
 }
 
-// Held is a request under which endpoints ended.
-type Held struct {
-	Content string   `json:"content"` // its digest, as in the log lines of placements
-	Ended   []string `json:"ended"`   // the endpoints
-	For     string   `json:"for"`     // how much longer
+// Quarantined is a request under which endpoints ended.
+type Quarantined struct {
+	Content   string   `json:"content"` // its digest, as in the log lines of placements
+	Crashed   []string `json:"ended"`   // the endpoints
+	Remaining string   `json:"for"`     // how much longer
 }
 
 // Peer is another box, as this one knows it.
@@ -83,20 +83,20 @@
 	v := b.belief.View()
 	s := Status{
 		Program:      Program,
-		StoreAway:    b.belief.IsStoreDown(),
+		StoreDown:    b.belief.IsStoreDown(),
 		Reader:       b.peers.Reader(),
 		Sharers:      b.peers.Sharers(),
 		Box:          b.settings.Box,
 		Zone:         b.settings.Zone,
 		Ready:        b.ready(),
-		ListChanged:  v.ListRevision.Number(),
+		ListNumber:   v.ListRevision.Number(),
 		StoreEra:     v.ListRevision.Era(),
 		ListAge:      time.Since(v.ConfirmedAt).Round(time.Millisecond).String(),
 		Active:       b.gateway.Active(),
 		DroppedLines: b.sink.DroppedLines(),
 	}
 	if v.Table != nil {
-		s.Configuration = v.Table.Version()
+		s.ConfigVersion = v.Table.Version()
 	}
 	for _, m := range b.peers.Members() {
 		s.Boxes = append(s.Boxes, Peer{
@@ -107,34 +107,34 @@
 		})
 	}
 	for _, h := range b.quarantine.All(time.Now()) {
-		if len(s.Held) == heldMost {
+		if len(s.Quarantined) == heldMost {
 			break
 		}
-		s.Held = append(s.Held, Held{
-			Content: h.Content.String(),
-			Ended:   h.Ended,
-			For:     h.TimeLeft.Round(time.Second).String(),
+		s.Quarantined = append(s.Quarantined, Quarantined{
+			Content:   h.Content.String(),
+			Crashed:   h.Crashed,
+			Remaining: h.TimeLeft.Round(time.Second).String(),
 		})
 	}
-	s.Restrained = b.restrained()
+	s.Throttled = b.restrained()
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(s); err != nil {
 		b.log.Warn("status was not taken", zap.Error(err))
 	}
 }
 
-func (b *Box) restrained() []Restrained {
-	var all []Restrained
+func (b *Box) restrained() []Throttled {
+	var all []Throttled
 	for _, r := range b.gateway.Throttles(time.Now()) {
 		if len(all) == restrainedMost {
 			break
 		}
-		shown := Restrained{Endpoint: r.Endpoint}
+		shown := Throttled{Endpoint: r.Endpoint}
 		if r.Limited {
 			shown.PerSecond = &r.PerSecond
 		}
-		if r.Rest > 0 {
-			shown.Rest = r.Rest.Round(time.Millisecond).String()
+		if r.Backoff > 0 {
+			shown.Backoff = r.Backoff.Round(time.Millisecond).String()
 		}
 		all = append(all, shown)
 	}
--- a/commands/losses.go
+++ b/commands/losses.go
@@ -43,7 +43,7 @@
 	report := r.Report()
 	if report.Lines == report.Skipped.Count {
 		return errors.Errorf("none of the %d lines is a log line of a box (line %d: %s); give what boxes write to their standard output",
-			report.Lines, report.Skipped.First, report.Skipped.Why)
+			report.Lines, report.Skipped.First, report.Skipped.FirstError)
 	}
 	if lossesJSON {
 		encoder := json.NewEncoder(out)
--- a/commands/status.go
+++ b/commands/status.go
@@ -107,22 +107,22 @@
 func printNode(out io.Writer, s *box.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "box\t%s in %s\n", s.Box, s.Zone)
-	fmt.Fprintf(w, "configuration\tversion %d\n", s.Configuration)
-	fmt.Fprintf(w, "list of endpoints\tchanged at %d, confirmed %s ago\n", s.ListChanged, s.ListAge)
-	fmt.Fprintf(w, "state\tready %t, %d requests, reader %t, store away %t\n", s.Ready, s.Active, s.Reader, s.StoreAway)
+	fmt.Fprintf(w, "configuration\tversion %d\n", s.ConfigVersion)
+	fmt.Fprintf(w, "list of endpoints\tchanged at %d, confirmed %s ago\n", s.ListNumber, s.ListAge)
+	fmt.Fprintf(w, "state\tready %t, %d requests, reader %t, store away %t\n", s.Ready, s.Active, s.Reader, s.StoreDown)
 	fmt.Fprintf(w, "retry budget\tshared by %d boxes\n", s.Sharers)
 	fmt.Fprintf(w, "log\t%d lines left out\n", s.DroppedLines)
-	if len(s.Held) > 0 {
+	if len(s.Quarantined) > 0 {
 		fmt.Fprintln(w, "\nREQUEST KEPT FROM ENDPOINTS\tFOR\tENDED UNDER IT")
 	}
-	for _, h := range s.Held {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", h.Content, h.For, orNone(h.Ended))
+	for _, h := range s.Quarantined {
+		fmt.Fprintf(w, "%s\t%s\t%s\n", h.Content, h.Remaining, orNone(h.Crashed))
 	}
-	if len(s.Restrained) > 0 {
+	if len(s.Throttled) > 0 {
 		fmt.Fprintln(w, "\nENDPOINT THAT ASKED FOR LESS\tREQUESTS/S OF ALL BOXES\tRESTS FOR")
 	}
-	for _, r := range s.Restrained {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Endpoint, perSecond(r.PerSecond), cmp.Or(r.Rest, "-"))
+	for _, r := range s.Throttled {
+		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Endpoint, perSecond(r.PerSecond), cmp.Or(r.Backoff, "-"))
 	}
 	fmt.Fprintln(w, "\nBOX\tZONE\tSILENCE\tLEAVING")
 	for _, b := range s.Boxes {
--- a/engine/completions/worker.go
+++ b/engine/completions/worker.go
@@ -80,7 +80,7 @@
 	req.SetRequestURI(base(c.Address) + path)
 	req.Header.SetContentTypeBytes([]byte("application/json"))
 	req.SetBody(body)
-	if !c.Until.IsZero() && time.Now().After(c.Until) {
+	if !c.LeaseEnd.IsZero() && time.Now().After(c.LeaseEnd) {
 		sink <- engine.Unsent{Cause: errors.New("the lease ended before the send")}
 		return
 	}
@@ -246,9 +246,9 @@
 }
 
 type orderBody struct {
-	Fence core.Fence `json:"fence"`
-	Do    string     `json:"do"`
-	What  string     `json:"what"`
+	Fence   core.Fence `json:"fence"`
+	Action  string     `json:"do"`
+	Subject string     `json:"what"`
 }
 
 // Order sends a fenced order.
--- a/engine/completions/worker_test.go
+++ b/engine/completions/worker_test.go
@@ -47,7 +47,7 @@
 // generate sends a request and gives what the worker told of it.
 func generate(w engine.Worker, address netip.AddrPort, n int) []engine.Message {
 	sink := make(chan engine.Message, 64)
-	engine.Guard(w, func(any, []byte) {}).Start(context.Background(), engine.Call{
+	engine.WithPanicRecovery(w, func(any, []byte) {}).Start(context.Background(), engine.Call{
 		Address:    address,
 		Endpoint:   "engine-1",
 		Generation: fmt.Sprint("generation-", n),
--- a/engine/guard.go
+++ b/engine/guard.go
@@ -8,12 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// PanicSeen is called with what a worker's panic said and where it was.
-type PanicSeen func(fault any, stack []byte)
+// PanicHandler is called with what a worker's panic said and where it was.
+type PanicHandler func(fault any, stack []byte)
 
-// Guard keeps a panic in a worker to the attempt in which it happened: the
+// WithPanicRecovery keeps a panic in a worker to the attempt in which it happened: the
 // attempt counts as lost, since its bytes may have left.
-func Guard(w Worker, seen PanicSeen) Worker {
+func WithPanicRecovery(w Worker, seen PanicHandler) Worker {
 	return &guard{
 		worker: w,
 		seen:   seen,
@@ -22,7 +22,7 @@
 
 type guard struct {
 	worker Worker
-	seen   PanicSeen
+	seen   PanicHandler
 }
 
 // caught turns a panic into an error; it must be deferred.
--- a/engine/message.go
+++ b/engine/message.go
@@ -77,7 +77,7 @@
 	Priority   int
 	MaxTokens  int
 	Body       []byte // the caller's JSON
-	Until      time.Time
+	LeaseEnd   time.Time
 }
 
 // ResumeCall continues a generation from an offset.
@@ -109,9 +109,9 @@
 
 // Order is a fenced order to an endpoint.
 type Order struct {
-	Fence core.Fence
-	Do    string
-	What  string
+	Fence   core.Fence
+	Action  string
+	Subject string
 }
 
 // Worker speaks one engine protocol. Start and Resume tell what happens and
--- a/engine/presence.go
+++ b/engine/presence.go
@@ -24,27 +24,27 @@
 	// that is crowded gives other answers meanwhile. Without it, up to 19 requests a day
 	// counted ends that were none with twelve times the callers (8 days; none of 12 with it).
 	crowdedTime = 400 * time.Millisecond
-	// EndPatience bounds how long a request that broke off waits for the word that its
+	// CrashProbeWait bounds how long a request that broke off waits for the word that its
 	// endpoint ended, before it is answered or sent again; a closed port gives it at once.
-	EndPatience = 60 * time.Millisecond
+	CrashProbeWait = 60 * time.Millisecond
 )
 
-// Presence is what an endpoint's port says of whether it is there.
-type Presence string
+// PortState is what an endpoint's port says of whether it is there.
+type PortState string
 
 // The presences. A closed port is that of a process that ended. Connections that are closed
 // or not answered may also be those of an endpoint that is crowded or cut off, or of what
 // forwards to one.
 const (
-	Present Presence = "present"
-	Refuses Presence = "refuses connections"
-	Closes  Presence = "closes connections"
-	Silent  Presence = "silent"
+	PortOpen             PortState = "present"
+	PortRefused          PortState = "refuses connections"
+	PortDropsConnections PortState = "closes connections"
+	PortSilent           PortState = "silent"
 )
 
-// Presences finds out whether endpoints are there, by asking each once for all requests
+// CrashProber finds out whether endpoints are there, by asking each once for all requests
 // that broke off there together.
-type Presences struct {
+type CrashProber struct {
 	mu    sync.Mutex
 	asked map[string]*question
 }
@@ -52,36 +52,36 @@
 type question struct {
 	at     time.Time
 	done   chan struct{}
-	answer Presence // set before done is closed
+	answer PortState // set before done is closed
 }
 
-// NewPresences builds one that has asked nobody.
-func NewPresences() *Presences { return &Presences{asked: make(map[string]*question)} }
+// NewCrashProber builds one that has asked nobody.
+func NewCrashProber() *CrashProber { return &CrashProber{asked: make(map[string]*question)} }
 
 // Crashed tells whether an endpoint, by its incarnation and address, has ended, and by what
 // sign. A connection that broke off says little: resets, faulty answers and links do it
 // too. HeardSince tells whether anything came from the endpoint after a time.
-func (p *Presences) Crashed(endpoint string, address netip.AddrPort, heardSince func(time.Time) bool) (Presence, bool) {
+func (p *CrashProber) Crashed(endpoint string, address netip.AddrPort, heardSince func(time.Time) bool) (PortState, bool) {
 	asked := time.Now()
 	answer := p.ask(asked, endpoint, address)
-	if answer != Refuses && answer != Present {
+	if answer != PortRefused && answer != PortOpen {
 		time.Sleep(crowdedTime)
 		if heardSince(asked) {
-			return Present, false
+			return PortOpen, false
 		}
 		answer = p.ask(time.Now(), endpoint, address)
 	}
-	return answer, answer != Present
+	return answer, answer != PortOpen
 }
 
 // ask asks for a connection.
-func (p *Presences) ask(now time.Time, endpoint string, address netip.AddrPort) Presence {
+func (p *CrashProber) ask(now time.Time, endpoint string, address netip.AddrPort) PortState {
 	q := p.question(now, endpoint, address)
 	<-q.done
 	return q.answer
 }
 
-func (p *Presences) question(now time.Time, endpoint string, address netip.AddrPort) *question {
+func (p *CrashProber) question(now time.Time, endpoint string, address netip.AddrPort) *question {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, q := range p.asked {
@@ -105,18 +105,18 @@
 	defer close(q.done)
 	c, err := net.DialTimeout("tcp", address.String(), answerTime)
 	if err != nil {
-		q.answer = Refuses
+		q.answer = PortRefused
 		if TimedOut(err) {
-			q.answer = Silent
+			q.answer = PortSilent
 		}
 		return
 	}
 	defer c.Close()
 	_ = c.SetReadDeadline(time.Now().Add(staysOpen))
 	_, err = c.Read(make([]byte, 1))
-	q.answer = Present
+	q.answer = PortOpen
 	if err != nil && !TimedOut(err) {
-		q.answer = Closes
+		q.answer = PortDropsConnections
 	}
 }
 
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -50,7 +50,7 @@
 		Priority:   k.request.Rank,
 		MaxTokens:  k.p.most,
 		Body:       k.p.body,
-		Until:      until,
+		LeaseEnd:   until,
 	}, sink)
 }
 
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -44,7 +44,7 @@
 	}()
 	select {
 	case <-looked:
-	case <-time.After(engine.EndPatience):
+	case <-time.After(engine.CrashProbeWait):
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,7 +49,7 @@
 	owners    watch.Owners
 	credit    credit
 
-	presences  *engine.Presences
+	presences  *engine.CrashProber
 	quarantine *fleet.Quarantine
 	served     atomic.Bool // every model that is served had a lease once
 	drainLock  sync.Mutex
@@ -75,7 +75,7 @@
 		log:       log,
 		recorder:  recorder,
 		state:     watch.NewState(log),
-		worker:    engine.Guard(worker, panicSeen(log, "worker")),
+		worker:    engine.WithPanicRecovery(worker, panicSeen(log, "worker")),
 		services:  services,
 		models:    shard.NewMap[*model](),
 		customers: shard.NewMap[*customer](),
@@ -86,7 +86,7 @@
 		left:      make(chan struct{}),
 		stop:      cancel,
 
-		presences:  engine.NewPresences(),
+		presences:  engine.NewCrashProber(),
 		quarantine: fleet.NewQuarantine(log),
 	}
 	e.handlers = wire.NewHandlers(wire.WithVersions(e.state.Versions))
@@ -142,7 +142,7 @@
 }
 
 // panicSeen counts a panic and logs where it was.
-func panicSeen(log *zap.Logger, where string) engine.PanicSeen {
+func panicSeen(log *zap.Logger, where string) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		panics.Inc()
 		log.Error("a request's "+where+" panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -75,7 +75,7 @@
 // QuarantinedRequest is a request that no endpoint may get.
 type QuarantinedRequest struct {
 	Content  core.Digest
-	Ended    []string // the endpoints that ended under it
+	Crashed  []string // the endpoints that ended under it
 	TimeLeft time.Duration
 }
 
@@ -88,7 +88,7 @@
 		until, _ := q.q.QuarantinedUntil(now, request)
 		all = append(all, QuarantinedRequest{
 			Content:  request,
-			Ended:    q.q.Crashes(request),
+			Crashed:  q.q.Crashes(request),
 			TimeLeft: until.Sub(now),
 		})
 	}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -63,7 +63,7 @@
 		FirstProcess: fresh,
 	}, append([]gateway.Option{
 		gateway.WithLog(zap.New(kept)),
-		gateway.WithMover(platform.NewEngines()),
+		gateway.WithMover(platform.NewEngineClient()),
 		gateway.WithSuspensionCheck(func() {
 			if b.look != nil {
 				b.look()
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -50,7 +50,7 @@
 func (p *passage) lookAtEndpoint() {
 	select {
 	case <-p.lookAside():
-	case <-time.After(engine.EndPatience):
+	case <-time.After(engine.CrashProbeWait):
 	}
 }
 
@@ -90,7 +90,7 @@
 	return listed && !e.Leaving
 }
 
-func (p *passage) endpointEnded(r run, sign engine.Presence) {
+func (p *passage) endpointEnded(r run, sign engine.PortState) {
 	p.gateway.counts.ends.Inc()
 	p.note("endpoint crashed during a request",
 		zap.String("endpoint", r.endpoint.ID),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,7 +51,7 @@
 	budgets      map[string]*core.SharedBudget
 	streams      map[string]map[*passage]bool // by the endpoint that runs them
 	evacuations  map[string]*evacuation       // by the endpoint that leaves
-	presences    *engine.Presences
+	presences    *engine.CrashProber
 	quarantine   *fleet.Quarantine
 	look         func()
 	buffered     atomic.Int64
@@ -149,7 +149,7 @@
 		streams:      make(map[string]map[*passage]bool),
 
 		evacuations: make(map[string]*evacuation),
-		presences:   engine.NewPresences(),
+		presences:   engine.NewCrashProber(),
 		quarantine:  fleet.NewQuarantine(zap.NewNop()),
 		look:        func() {},
 	}
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -33,7 +33,7 @@
 	Endpoint  string
 	PerSecond float64       // requests that it takes from all boxes together, if it named a limit
 	Limited   bool          // whether it did
-	Rest      time.Duration // how much longer it wants nothing from this box; 0 if it doesn't rest
+	Backoff   time.Duration // how much longer it wants nothing from this box; 0 if it doesn't rest
 }
 
 // Throttles gives the endpoints that have asked for fewer requests or for rest, by id.
@@ -45,14 +45,14 @@
 			Endpoint:  w.Endpoint,
 			PerSecond: w.PerSecond,
 			Limited:   true,
-			Rest:      resting[w.Endpoint],
+			Backoff:   resting[w.Endpoint],
 		})
 		delete(resting, w.Endpoint)
 	}
 	for endpoint, left := range resting {
 		all = append(all, Throttle{
 			Endpoint: endpoint,
-			Rest:     left,
+			Backoff:  left,
 		})
 	}
 	slices.SortFunc(all, func(a, b Throttle) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
--- a/losses/felt.go
+++ b/losses/felt.go
@@ -55,10 +55,10 @@
 	_ = h.RecordValue(min(max(d.Milliseconds(), 1), longestTime))
 }
 
-func feltBy(all map[string]*felt) []Felt {
-	var out []Felt
+func feltBy(all map[string]*felt) []StreamStats {
+	var out []StreamStats
 	for name, f := range all {
-		out = append(out, Felt{
+		out = append(out, StreamStats{
 			Name:        name,
 			Streams:     f.first.TotalCount(),
 			FirstMedian: quantile(f.first, 50),
@@ -68,7 +68,7 @@
 			Stutters:    f.stutters,
 		})
 	}
-	slices.SortFunc(out, func(a, b Felt) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b StreamStats) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
--- a/losses/line.go
+++ b/losses/line.go
@@ -25,7 +25,7 @@
 	Endpoint     string
 	Target       string // of a move
 	Status       int
-	Why          string
+	EndReason    string
 	Sends        int
 	Late         bool
 	FirstEvent   time.Duration
@@ -34,7 +34,7 @@
 	LastEvent    string
 	Took         time.Duration
 	Failed       bool          // the line carries an error
-	Full         *float64      // how full an engine's memory was believed to get; nil elsewhere
+	MemoryUse    *float64      // how full an engine's memory was believed to get; nil elsewhere
 	ReportAge    time.Duration // of the engine's word that this came from
 }
 
@@ -49,7 +49,7 @@
 	Endpoint     string    `json:"endpoint"`
 	Target       string    `json:"target"`
 	Status       int       `json:"status"`
-	Why          string    `json:"why"`
+	EndReason    string    `json:"why"`
 	Sends        int       `json:"sends"`
 	Late         bool      `json:"late"`
 	FirstEvent   duration  `json:"first_event"`
@@ -58,7 +58,7 @@
 	LastEvent    string    `json:"last_event"`
 	Took         duration  `json:"took"`
 	Error        string    `json:"error"`
-	Full         *float64  `json:"full"`
+	MemoryUse    *float64  `json:"full"`
 	ReportAge    duration  `json:"report_age"`
 }
 
@@ -107,7 +107,7 @@
 		Endpoint:     b.Endpoint,
 		Target:       b.Target,
 		Status:       b.Status,
-		Why:          b.Why,
+		EndReason:    b.EndReason,
 		Sends:        b.Sends,
 		Late:         b.Late,
 		FirstEvent:   time.Duration(b.FirstEvent),
@@ -116,16 +116,16 @@
 		LastEvent:    b.LastEvent,
 		Took:         time.Duration(b.Took),
 		Failed:       b.Error != "",
-		Full:         b.Full,
+		MemoryUse:    b.MemoryUse,
 		ReportAge:    time.Duration(b.ReportAge),
 	}, nil
 }
 
 // Skipped tells of lines that could not be read.
 type Skipped struct {
-	Count int    `json:"count"`
-	First int    `json:"first_line"` // its number, from 1
-	Why   string `json:"why"`        // of the first one
+	Count      int    `json:"count"`
+	First      int    `json:"first_line"` // its number, from 1
+	FirstError string `json:"why"`        // of the first one
 }
 
 // read gives each line of a log to a function and counts those that can't be read.
@@ -142,7 +142,7 @@
 		if err != nil {
 			if skipped.Count == 0 {
 				skipped.First = lines
-				skipped.Why = err.Error()
+				skipped.FirstError = err.Error()
 			}
 			skipped.Count++
 			continue
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -49,15 +49,15 @@
 		Entry("an engine that left", losses.BetweenEvents, losses.EngineLeft, false, leaving, placed, cut),
 		Entry("while its run was moved", losses.WhileMoving, losses.EngineLeft, false, placed, leaving, moveFails, cut),
 		Entry("an engine that broke off", losses.BetweenEvents, losses.ConnectionBroke, false, placed, cut),
-		Entry("an engine that ended", losses.BetweenEvents, losses.EndpointEnded, false, placed, ended, cut),
-		Entry("a request that no engine gets any more", losses.BeforeSend, losses.EndpointsEnd, false, kept),
-		Entry("a silent endpoint", losses.AwaitingFirst, losses.EndpointSilent, false, placed, overdue, expired),
+		Entry("an engine that ended", losses.BetweenEvents, losses.EndpointCrashed, false, placed, ended, cut),
+		Entry("a request that no engine gets any more", losses.BeforeSend, losses.RequestQuarantined, false, kept),
+		Entry("a silent endpoint", losses.AwaitingFirst, losses.AnswerOverdue, false, placed, overdue, expired),
 		Entry("a time that was too short", losses.AwaitingFirst, losses.TimeOver, false, placed, expired),
 		Entry("the endpoint's failure", losses.AwaitingFirst, losses.EndpointFailed, false, placed, failed),
-		Entry("a box that ended", losses.UnderWay, losses.BoxGone, false, placed),
+		Entry("a box that ended", losses.InProgress, losses.BoxCrashed, false, placed),
 		Entry("a box that knew nothing yet", losses.BeforeSend, losses.NoConfiguration, false, unknown),
 		Entry("a pause where it went on", losses.BetweenEvents, losses.PauseAtSeam, true, placed, continued, stutters),
-		Entry("a pause at its engine", losses.BetweenEvents, losses.PauseElsewhere, true, placed, stutters),
+		Entry("a pause at its engine", losses.BetweenEvents, losses.PauseAtEngine, true, placed, stutters),
 	)
 
 	It("counts whole answers and refusals that are the caller's affair as none", func() {
@@ -89,8 +89,8 @@
 			stutters,
 			`{"at":"2026-07-19T05:50:04Z","event":"placed","request":"call","route":"plain","endpoint":"i-1"}`,
 		)
-		var full, age []losses.Placing
-		for _, p := range r.Placings {
+		var full, age []losses.PlacementStats
+		for _, p := range r.Placements {
 			if p.By == "full" {
 				full = append(full, p)
 			} else {
@@ -99,12 +99,12 @@
 		}
 		Expect(full).To(HaveLen(2))
 		Expect(full[0].Count).To(Equal(2))
-		Expect(full[1].From).To(BeNumerically("~", 0.2, 0.001))
+		Expect(full[1].RangeStart).To(BeNumerically("~", 0.2, 0.001))
 		Expect(full[1].Count).To(Equal(2))
 		Expect(full[1].Runs).To(BeNumerically("~", 1.5, 0.001))
-		Expect(full[1].Fewest).To(BeNumerically("~", 0.5, 0.001))
+		Expect(full[1].MinRuns).To(BeNumerically("~", 0.5, 0.001))
 		Expect(age).To(HaveLen(2))
-		Expect(age[1].From).To(BeNumerically("~", 0.5, 0.001))
+		Expect(age[1].RangeStart).To(BeNumerically("~", 0.5, 0.001))
 		var out bytes.Buffer
 		Expect(r.WriteText(&out)).To(Succeed())
 		Expect(out.String()).To(ContainSubstring("prompts placed by"))
@@ -115,7 +115,7 @@
 		Expect(r.Lines).To(Equal(4))
 		Expect(r.Skipped.Count).To(Equal(2))
 		Expect(r.Skipped.First).To(Equal(2))
-		Expect(r.Skipped.Why).To(ContainSubstring("JSON"))
+		Expect(r.Skipped.FirstError).To(ContainSubstring("JSON"))
 		Expect(r.Totals).To(HaveLen(1))
 		var out bytes.Buffer
 		Expect(r.WriteText(&out)).To(Succeed())
--- a/losses/placing.go
+++ b/losses/placing.go
@@ -17,15 +17,15 @@
 	idleTime = 3 * time.Second
 )
 
-// Placing tells how the prompts fared that boxes placed while they believed the same of the
+// PlacementStats tells how the prompts fared that boxes placed while they believed the same of the
 // chosen engines, and what was true by the logs of all boxes.
-type Placing struct {
-	By     string  `json:"by"`   // full or report_age
-	From   float64 `json:"from"` // of the row's beliefs; seconds for an age
-	Count  int     `json:"count"`
-	Late   float64 `json:"late"`   // the part whose answers were late or lost
-	Runs   float64 `json:"runs"`   // the mean of runs that were at the chosen engine
-	Fewest float64 `json:"fewest"` // the mean of those at the engine with the fewest
+type PlacementStats struct {
+	By         string  `json:"by"`   // full or report_age
+	RangeStart float64 `json:"from"` // of the row's beliefs; seconds for an age
+	Count      int     `json:"count"`
+	Late       float64 `json:"late"`   // the part whose answers were late or lost
+	Runs       float64 `json:"runs"`   // the mean of runs that were at the chosen engine
+	MinRuns    float64 `json:"fewest"` // the mean of those at the engine with the fewest
 }
 
 // step is a run that begins at an engine, goes on at another, or ends.
@@ -46,12 +46,12 @@
 	}
 	switch l.Event {
 	case "placed":
-		if l.Full == nil {
+		if l.MemoryUse == nil {
 			return s, false // a call to a plain service
 		}
 		s.endpoint = l.Endpoint
 		s.placed = true
-		s.full = *l.Full
+		s.full = *l.MemoryUse
 		s.age = l.ReportAge
 	case "continued from a copy", "resumed in another run":
 		s.endpoint = l.Endpoint
@@ -100,7 +100,7 @@
 }
 
 // placings replays the runs of all boxes and counts each placement by what was believed.
-func (r *Reader) placings() []Placing {
+func (r *Reader) placings() []PlacementStats {
 	slices.SortStableFunc(r.steps, func(a, b step) int { return a.at.Compare(b.at) })
 	now := &running{
 		left:    r.left,
@@ -108,7 +108,7 @@
 		engines: make(map[string]map[string]bool),
 		used:    make(map[string]time.Time),
 	}
-	rows := make(map[placingKey]*Placing)
+	rows := make(map[placingKey]*PlacementStats)
 	for _, s := range r.steps {
 		if s.placed {
 			runs := len(now.engines[s.endpoint])
@@ -120,15 +120,17 @@
 		}
 		now.take(s)
 	}
-	var all []Placing
+	var all []PlacementStats
 	for _, p := range rows {
 		n := float64(p.Count)
 		p.Late /= n
 		p.Runs /= n
-		p.Fewest /= n
+		p.MinRuns /= n
 		all = append(all, *p)
 	}
-	slices.SortFunc(all, func(a, b Placing) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From)) })
+	slices.SortFunc(all, func(a, b PlacementStats) int {
+		return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.RangeStart, b.RangeStart))
+	})
 	return all
 }
 
@@ -148,18 +150,18 @@
 // tiny keeps a fullness that is told as a whole step in the row that begins with it.
 const tiny = 1e-9
 
-func count(rows map[placingKey]*Placing, key placingKey, runs, fewest int, late bool) {
+func count(rows map[placingKey]*PlacementStats, key placingKey, runs, fewest int, late bool) {
 	p := rows[key]
 	if p == nil {
-		p = &Placing{
-			By:   key.by,
-			From: key.from,
+		p = &PlacementStats{
+			By:         key.by,
+			RangeStart: key.from,
 		}
 		rows[key] = p
 	}
 	p.Count++
 	p.Runs += float64(runs)
-	p.Fewest += float64(fewest)
+	p.MinRuns += float64(fewest)
 	if late {
 		p.Late++
 	}
--- a/losses/report.go
+++ b/losses/report.go
@@ -27,8 +27,8 @@
 	Requests []string `json:"requests"` // the first of them
 }
 
-// Felt is what the callers of a route, a customer or a rank felt of their streams.
-type Felt struct {
+// StreamStats is what the callers of a route, a customer or a rank felt of their streams.
+type StreamStats struct {
 	Name        string        `json:"name"`
 	Streams     int64         `json:"streams"`
 	FirstMedian time.Duration `json:"first_median_ns"` // stall: the silence before the first event
@@ -40,22 +40,22 @@
 
 // Total counts a route's requests.
 type Total struct {
-	Route string `json:"route"`
-	Asked int    `json:"asked"`
-	Lost  int    `json:"lost"`
-	Late  int    `json:"late"`
+	Route        string `json:"route"`
+	RequestCount int    `json:"asked"`
+	Lost         int    `json:"lost"`
+	Late         int    `json:"late"`
 }
 
 // Report is what a log tells of lost requests.
 type Report struct {
-	Lines     int       `json:"lines"`
-	Skipped   Skipped   `json:"skipped"`
-	Totals    []Total   `json:"totals"`
-	Rows      []Row     `json:"losses"`
-	Routes    []Felt    `json:"felt_by_route"`
-	Customers []Felt    `json:"felt_by_customer"`
-	Ranks     []Felt    `json:"felt_by_rank"`
-	Placings  []Placing `json:"placings"`
+	Lines      int              `json:"lines"`
+	Skipped    Skipped          `json:"skipped"`
+	Totals     []Total          `json:"totals"`
+	Rows       []Row            `json:"losses"`
+	Routes     []StreamStats    `json:"felt_by_route"`
+	Customers  []StreamStats    `json:"felt_by_customer"`
+	Ranks      []StreamStats    `json:"felt_by_rank"`
+	Placements []PlacementStats `json:"placings"`
 }
 
 // Reader gathers log lines, of any boxes in any order.
@@ -80,7 +80,7 @@
 	lines, skipped, err := read(from, r.take)
 	if r.skipped.Count == 0 {
 		r.skipped.First = r.lines + skipped.First
-		r.skipped.Why = skipped.Why
+		r.skipped.FirstError = skipped.FirstError
 	}
 	r.skipped.Count += skipped.Count
 	r.lines += lines
@@ -123,14 +123,14 @@
 		c.count(r.requests[id], r.hasLeft)
 	}
 	return Report{
-		Lines:     r.lines,
-		Skipped:   r.skipped,
-		Totals:    c.allTotals(),
-		Rows:      c.allRows(),
-		Routes:    feltBy(c.routes),
-		Customers: feltBy(c.customers),
-		Ranks:     feltBy(c.ranks),
-		Placings:  r.placings(),
+		Lines:      r.lines,
+		Skipped:    r.skipped,
+		Totals:     c.allTotals(),
+		Rows:       c.allRows(),
+		Routes:     feltBy(c.routes),
+		Customers:  feltBy(c.customers),
+		Ranks:      feltBy(c.ranks),
+		Placements: r.placings(),
 	}
 }
 
@@ -160,7 +160,7 @@
 		t = &Total{Route: q.route}
 		c.totals[q.route] = t
 	}
-	t.Asked++
+	t.RequestCount++
 	if q.end != nil && q.end.Event == "streamed" {
 		c.feel(q)
 	}
--- a/losses/request.go
+++ b/losses/request.go
@@ -17,8 +17,8 @@
 	BetweenEvents Moment = "between events"
 	WhileMoving   Moment = "while it was moved"
 	AfterMoving   Moment = "after it was moved or continued"
-	AtTheEnd      Moment = "at its answer"
-	UnderWay      Moment = "under way" // nobody lived to say more
+	AtAnswer      Moment = "at its answer"
+	InProgress    Moment = "under way" // nobody lived to say more
 )
 
 // Cause is why a request was lost, as far as its box could know.
@@ -26,24 +26,24 @@
 
 // The causes.
 const (
-	NoConfiguration  Cause = "no configuration was known"
-	NoEndpoint       Cause = "no endpoint was there"
-	EndpointsRefused Cause = "endpoints refused it"
-	EndpointFailed   Cause = "the endpoint's own failure"
-	EndpointSilent   Cause = "the endpoint owed its answer"
-	EngineLeft       Cause = "its engine left"
-	EndpointEnded    Cause = "its endpoint ended under it"
-	EndpointsEnd     Cause = "endpoints end under it" // it was kept from them
-	ConnectionBroke  Cause = "its connection broke"
-	CopyGone         Cause = "the engine with its copy was gone"
-	BudgetSpent      Cause = "the retry budget was spent"
-	CallerLeft       Cause = "its caller left"
-	TimeOver         Cause = "its time was over"
-	BoxGone          Cause = "its box ended under way"
-	SlowFirst        Cause = "its first event or answer was late"
-	PauseAtSeam      Cause = "a pause where it went on at another engine"
-	PauseElsewhere   Cause = "a pause at its engine" // preempted, or beside long prompts
-	RefusedByGateway Cause = "the box refused it"
+	NoConfiguration    Cause = "no configuration was known"
+	NoEndpoint         Cause = "no endpoint was there"
+	EndpointsRefused   Cause = "endpoints refused it"
+	EndpointFailed     Cause = "the endpoint's own failure"
+	AnswerOverdue      Cause = "the endpoint owed its answer"
+	EngineLeft         Cause = "its engine left"
+	EndpointCrashed    Cause = "its endpoint ended under it"
+	RequestQuarantined Cause = "endpoints end under it" // it was kept from them
+	ConnectionBroke    Cause = "its connection broke"
+	CopyLost           Cause = "the engine with its copy was gone"
+	BudgetSpent        Cause = "the retry budget was spent"
+	CallerLeft         Cause = "its caller left"
+	TimeOver           Cause = "its time was over"
+	BoxCrashed         Cause = "its box ended under way"
+	SlowFirst          Cause = "its first event or answer was late"
+	PauseAtSeam        Cause = "a pause where it went on at another engine"
+	PauseAtEngine      Cause = "a pause at its engine" // preempted, or beside long prompts
+	RefusedByGateway   Cause = "the box refused it"
 )
 
 // unknownConfiguration is what a box says that knows no configuration.
@@ -118,7 +118,7 @@
 	case r.end == nil && !r.placed:
 		return l, false
 	case r.end == nil:
-		l.Moment, l.Cause = UnderWay, BoxGone
+		l.Moment, l.Cause = InProgress, BoxCrashed
 	case r.end.Event == "streamed" || r.end.Event == "answered":
 		return r.late(l)
 	case r.end.Event == "refused":
@@ -128,7 +128,7 @@
 	case r.end.Event == "caller left":
 		l.Moment, l.Cause = r.moment(), CallerLeft
 		if r.overdue {
-			l.Cause = EndpointSilent
+			l.Cause = AnswerOverdue
 		}
 	default:
 		l.Moment, l.Cause = r.moment(), r.why(engineLeft)
@@ -151,18 +151,18 @@
 }
 
 func (r *request) refusal() Cause {
-	switch r.end.Why {
+	switch r.end.EndReason {
 	case unknownConfiguration:
 		return NoConfiguration
 	case string(core.ReasonQuarantined):
-		return EndpointsEnd
+		return RequestQuarantined
 	}
 	return RefusedByGateway
 }
 
 // why translates the reason of a request that was cut or given up.
 func (r *request) why(engineLeft func(endpoint string) bool) Cause {
-	switch core.Reason(r.end.Why) {
+	switch core.Reason(r.end.EndReason) {
 	case core.ReasonNoEndpoint:
 		return NoEndpoint
 	case core.ReasonRefused:
@@ -170,22 +170,22 @@
 	case core.ReasonBudget:
 		return BudgetSpent
 	case core.ReasonQuarantined:
-		return EndpointsEnd
+		return RequestQuarantined
 	case core.ReasonExpired:
 		if r.overdue {
-			return EndpointSilent
+			return AnswerOverdue
 		}
 		return TimeOver
 	case core.ReasonUnreachable:
 		if r.moved {
-			return CopyGone
+			return CopyLost
 		}
 	}
 	switch {
 	case engineLeft(r.endpoint):
 		return EngineLeft
 	case r.ended:
-		return EndpointEnded
+		return EndpointCrashed
 	}
 	return ConnectionBroke
 }
@@ -200,9 +200,9 @@
 		return l, false
 	}
 	l.Late = true
-	l.Moment, l.Cause = AtTheEnd, SlowFirst
+	l.Moment, l.Cause = AtAnswer, SlowFirst
 	if r.end.Event == "streamed" && r.end.PauseAfter != "" && r.end.LongestPause > stutter {
-		l.Moment, l.Cause = BetweenEvents, PauseElsewhere
+		l.Moment, l.Cause = BetweenEvents, PauseAtEngine
 		if r.seams[r.end.PauseAfter] {
 			l.Cause = PauseAtSeam
 		}
--- a/losses/text.go
+++ b/losses/text.go
@@ -13,7 +13,7 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "route\tasked\tlost\tlate\n")
 	for _, total := range r.Totals {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", named(total.Route), total.Asked, total.Lost, total.Late)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", named(total.Route), total.RequestCount, total.Lost, total.Late)
 	}
 	fmt.Fprintf(t, "\nlosses\troute\tmoment\tcause\trequests\n")
 	for _, row := range r.Rows {
@@ -25,7 +25,7 @@
 	}
 	for _, part := range []struct {
 		head string
-		all  []Felt
+		all  []StreamStats
 	}{
 		{"streams by route", r.Routes},
 		{"by customer", r.Customers},
@@ -38,12 +38,12 @@
 		}
 	}
 	fmt.Fprintf(t, "\nprompts placed by\tfrom\tprompts\tlate or lost\truns there\tfewest anywhere\n")
-	for _, p := range r.Placings {
-		fmt.Fprintf(t, "%s\t%.2f\t%d\t%.2f\t%.1f\t%.1f\n", p.By, p.From, p.Count, p.Late, p.Runs, p.Fewest)
+	for _, p := range r.Placements {
+		fmt.Fprintf(t, "%s\t%.2f\t%d\t%.2f\t%.1f\t%.1f\n", p.By, p.RangeStart, p.Count, p.Late, p.Runs, p.MinRuns)
 	}
 	fmt.Fprintf(t, "\n%d lines read", r.Lines)
 	if r.Skipped.Count > 0 {
-		fmt.Fprintf(t, ", %d of them skipped; the first is line %d: %s", r.Skipped.Count, r.Skipped.First, r.Skipped.Why)
+		fmt.Fprintf(t, ", %d of them skipped; the first is line %d: %s", r.Skipped.Count, r.Skipped.First, r.Skipped.FirstError)
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -69,7 +69,7 @@
 		log:       log,
 		recorder:  recorder,
 		state:     watch.NewState(log),
-		worker:    engine.Guard(worker, panicSeen(log)),
+		worker:    engine.WithPanicRecovery(worker, panicSeen(log)),
 		endpoints: shard.NewMap[*endpoint](),
 		home:      core.NewClaimOwner(self, core.DefaultClaimRules(), now),
 		drain:     core.NewDrain(),
@@ -101,7 +101,7 @@
 }
 
 // panicSeen counts a worker's panic and logs where it was.
-func panicSeen(log *zap.Logger) engine.PanicSeen {
+func panicSeen(log *zap.Logger) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		workerPanics.Inc()
 		log.Error("a worker panicked", zap.Any("fault", fault), zap.ByteString("stack", stack))
