--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.FaultServers(l.faults); err != nil {
+	if err := f.SetServerFaults(l.faults); err != nil {
 		return err
 	}
 	all, err := f.Lookups(lookupCallers, lasting)
@@ -77,11 +77,11 @@
 		return err
 	}
 	_, err = fmt.Fprintf(out, "lookups, %s, hedge %t: %d, %d not answered, p50 %.1f, p95 %.1f, p99 %.1f, p99.9 %.1f ms, %.3f calls a lookup\n",
-		l.name, hedge, len(all.Took), all.Failed, lookupTime(all, 0.5), lookupTime(all, 0.95), lookupTime(all, 0.99), lookupTime(all, 0.999), float64(all.Calls)/float64(len(all.Took)))
+		l.name, hedge, len(all.Latencies), all.Failed, lookupTime(all, 0.5), lookupTime(all, 0.95), lookupTime(all, 0.99), lookupTime(all, 0.999), float64(all.Calls)/float64(len(all.Latencies)))
 	return err
 }
 
 // lookupTime gives a quantile in milliseconds.
 func lookupTime(all *proof.Lookups, part float64) float64 {
-	return 1000 * stat.Quantile(part, stat.Empirical, all.Took, nil)
+	return 1000 * stat.Quantile(part, stat.Empirical, all.Latencies, nil)
 }
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -103,15 +103,15 @@
 // must be found.
 func proveModel(e *evidence, c model.Check, deep bool) {
 	r := c.Run(deep)
-	broke := r.Break
+	broke := r.Violation
 	if broke != "" {
-		broke += "\n" + model.Readable(r.Trace)
+		broke += "\n" + model.FormatTrace(r.Trace)
 	}
 	e.add(c.Promises, "model, "+c.Name+" ("+r.String()+")", broke)
 	for _, g := range c.Guards {
 		off := c.Run(false, core.WithoutGuard(g))
 		broke := ""
-		if off.Break == "" {
+		if off.Violation == "" {
 			broke = "no break was found without the guard"
 		}
 		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(off.Trace)), broke)
@@ -120,11 +120,11 @@
 
 // tracePromises tell which promises a recorded trace bears on, by its name.
 var tracePromises = map[string][]model.Promise{
-	"stalled":  {model.TokensOnce, model.WholeAnswer},
-	"vanished": {model.TokensOnce, model.WholeAnswer},
-	"lost":     {model.WholeAnswer, model.NotRunMeansNotRun},
+	"stalled":  {model.TokensOnce, model.CompleteAnswer},
+	"vanished": {model.TokensOnce, model.CompleteAnswer},
+	"lost":     {model.CompleteAnswer, model.NotRunMeansNotRun},
 	"double":   {model.AtMostOnce},
-	"late":     {model.WholeAnswer},
+	"late":     {model.CompleteAnswer},
 }
 
 func proveTraces(e *evidence, folder string) error {
@@ -165,7 +165,7 @@
 
 func (e *evidence) verdict() error {
 	fell := 0
-	for p := model.TokensOnce; p <= model.NeverOlder; p++ {
+	for p := model.TokensOnce; p <= model.NeverOlderConfig; p++ {
 		verdict := "held"
 		detail := fmt.Sprintf("%s; %d runs: %s", model.Promises[p], len(e.ran[p]), strings.Join(e.ran[p], "; "))
 		switch {
--- a/lab/slopes_path.go
+++ b/lab/slopes_path.go
@@ -31,11 +31,11 @@
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
 	shape.Engines = 2
-	shape.Median = median
-	shape.Step = 6 * time.Millisecond
-	shape.PerSeq = 0
-	shape.Memory = 20000000
-	shape.Slots = 4000
+	shape.MedianTokens = median
+	shape.StepTime = 6 * time.Millisecond
+	shape.StepPerSequence = 0
+	shape.MemoryTokens = 20000000
+	shape.BatchSlots = 4000
 	return shape
 }
 
@@ -75,7 +75,7 @@
 	for range streams {
 		wait.Go(func() {
 			for time.Now().Before(until) {
-				if _, err := f.Drain(context.Background(), 0); err != nil {
+				if _, err := f.DiscardStream(context.Background(), 0); err != nil {
 					return
 				}
 				mu.Lock()
@@ -142,16 +142,16 @@
 	defer f.Close()
 	var through, direct []float64
 	for range 40 {
-		s, err := f.Open(context.Background(), 0, nil)
+		s, err := f.ReadStream(context.Background(), 0, nil)
 		if err != nil {
 			return err
 		}
-		through = append(through, s.FirstAfter.Seconds())
-		d, err := f.Direct(context.Background(), 0)
+		through = append(through, s.TimeToFirstToken.Seconds())
+		d, err := f.ReadDirect(context.Background(), 0)
 		if err != nil {
 			return err
 		}
-		direct = append(direct, d.FirstAfter.Seconds())
+		direct = append(direct, d.TimeToFirstToken.Seconds())
 	}
 	_, err = fmt.Fprintf(out, "path: first token after %.2f ms through the entry and %.2f ms from the engine directly (median of 40 each), ratio %.2f\n",
 		1000*median(through), 1000*median(direct), median(through)/median(direct))
--- a/lab/slopes_tail.go
+++ b/lab/slopes_tail.go
@@ -80,7 +80,7 @@
 	for range tailProbes {
 		wait.Go(func() {
 			for time.Now().Before(end) {
-				s, err := f.Open(context.Background(), 0, nil)
+				s, err := f.ReadStream(context.Background(), 0, nil)
 				if err != nil {
 					return
 				}
--- a/model/explore.go
+++ b/model/explore.go
@@ -31,12 +31,12 @@
 
 // Result is what an exploration found.
 type Result struct {
-	States   int
-	Depth    int
-	Took     time.Duration
-	Complete bool // no bound was reached
-	Break    string
-	Trace    []string
+	States    int
+	Depth     int
+	Elapsed   time.Duration
+	Complete  bool // no bound was reached
+	Violation string
+	Trace     []string
 }
 
 // String gives the result in one line.
@@ -45,9 +45,9 @@
 	if !r.Complete {
 		how = "up to the bound"
 	}
-	text := fmt.Sprintf("%d states, depth %d, %s, %s", r.States, r.Depth, r.Took.Round(time.Millisecond), how)
-	if r.Break != "" {
-		text += "; broken: " + r.Break
+	text := fmt.Sprintf("%d states, depth %d, %s, %s", r.States, r.Depth, r.Elapsed.Round(time.Millisecond), how)
+	if r.Violation != "" {
+		text += "; broken: " + r.Violation
 	}
 	return text
 }
@@ -164,14 +164,14 @@
 		}
 		what, broken := n.(*node).state.Broken()
 		if broken {
-			out.Break = what
+			out.Violation = what
 		}
 		return broken
 	})
 	out.States = len(s.nodes)
-	out.Took = time.Since(began)
+	out.Elapsed = time.Since(began)
 	out.Complete = !deep && !s.full
-	if found != nil && out.Break != "" {
+	if found != nil && out.Violation != "" {
 		out.Trace = s.trace(found.ID())
 	}
 	return out
@@ -200,17 +200,17 @@
 		out.Trace = append(out.Trace, t.Label)
 		at = t.To
 		if what, broken := at.Broken(); broken {
-			out.Break = what
+			out.Violation = what
 			break
 		}
 	}
 	out.States = out.Depth + 1
-	out.Took = time.Since(began)
+	out.Elapsed = time.Since(began)
 	return out
 }
 
-// Readable gives a trace as numbered lines.
-func Readable(trace []string) string {
+// FormatTrace gives a trace as numbered lines.
+func FormatTrace(trace []string) string {
 	var b strings.Builder
 	for i, step := range trace {
 		fmt.Fprintf(&b, "%3d. %s\n", i+1, step)
--- a/model/proof.go
+++ b/model/proof.go
@@ -14,23 +14,23 @@
 // The promises.
 const (
 	TokensOnce Promise = iota + 1
-	WholeAnswer
+	CompleteAnswer
 	NotRunMeansNotRun
 	AtMostOnce
-	LeavingGetsNothing
+	NoWorkWhenLeaving
 	PlannedStopCutsNothing
-	NeverOlder
+	NeverOlderConfig
 )
 
 // Promises are the points in words of our own.
 var Promises = map[Promise]string{
 	TokensOnce:             "each token once, in order, of one generation",
-	WholeAnswer:            "the whole answer to one's own request",
+	CompleteAnswer:         "the whole answer to one's own request",
 	NotRunMeansNotRun:      "told not run means not run",
 	AtMostOnce:             "not repeatable runs at most once",
-	LeavingGetsNothing:     "no new work for an endpoint that leaves",
+	NoWorkWhenLeaving:      "no new work for an endpoint that leaves",
 	PlannedStopCutsNothing: "a planned stop cuts nothing",
-	NeverOlder:             "the accepted configuration, never an older one",
+	NeverOlderConfig:       "the accepted configuration, never an older one",
 }
 
 // Check is one exploration that bears on some promises. Each of its guards,
@@ -82,7 +82,7 @@
 		streamCheck("streams of requests that may not be repeated", false),
 		{
 			Name:     "configuration versions on three boxes",
-			Promises: []Promise{NeverOlder},
+			Promises: []Promise{NeverOlderConfig},
 			Guards:   []core.Guard{core.GuardVersionOrder, core.GuardVersionQuery},
 			States:   200000,
 			First: func(deep bool, options ...core.Option) State {
@@ -115,7 +115,7 @@
 func streamCheck(name string, repeatable bool) Check {
 	return Check{
 		Name:     name,
-		Promises: []Promise{TokensOnce, WholeAnswer, NotRunMeansNotRun, AtMostOnce},
+		Promises: []Promise{TokensOnce, CompleteAnswer, NotRunMeansNotRun, AtMostOnce},
 		Guards: []core.Guard{
 			core.GuardOffset,
 			core.GuardOrigin,
@@ -142,7 +142,7 @@
 		resumable := repeatable && events > 0
 		return Check{
 			Name:     name,
-			Promises: []Promise{TokensOnce, WholeAnswer, NotRunMeansNotRun, AtMostOnce},
+			Promises: []Promise{TokensOnce, CompleteAnswer, NotRunMeansNotRun, AtMostOnce},
 			Guards:   guards,
 			States:   100000,
 			First: func(deep bool, options ...core.Option) State {
@@ -258,8 +258,8 @@
 		}
 	}
 	return []Check{
-		check("leases while the owner changes", false, []Promise{LeavingGetsNothing}, core.GuardLeaseTakeover),
-		check("leases of an endpoint that leaves", true, []Promise{LeavingGetsNothing}, core.GuardLeaseLeaving, core.GuardLeaseExpiry, core.GuardLeasePause),
+		check("leases while the owner changes", false, []Promise{NoWorkWhenLeaving}, core.GuardLeaseTakeover),
+		check("leases of an endpoint that leaves", true, []Promise{NoWorkWhenLeaving}, core.GuardLeaseLeaving, core.GuardLeaseExpiry, core.GuardLeasePause),
 	}
 }
 
@@ -267,7 +267,7 @@
 	check := func(name string, checks bool, guard core.Guard) Check {
 		return Check{
 			Name:     name,
-			Promises: []Promise{NeverOlder},
+			Promises: []Promise{NeverOlderConfig},
 			Guards:   []core.Guard{guard},
 			States:   200000,
 			First: func(deep bool, options ...core.Option) State {
--- a/model/proof_test.go
+++ b/model/proof_test.go
@@ -50,14 +50,14 @@
 			It("holds in: "+o.check.Name, func() {
 				r := explored()[i].result
 				AddReportEntry(r.String())
-				Expect(r.Break).To(BeEmpty(), model.Readable(r.Trace))
+				Expect(r.Violation).To(BeEmpty(), model.FormatTrace(r.Trace))
 			})
 			continue
 		}
 		It("is found broken without "+string(o.guard)+" in: "+o.check.Name, func() {
 			r := explored()[i].result
 			AddReportEntry(r.String())
-			Expect(r.Break).NotTo(BeEmpty(), r.String())
+			Expect(r.Violation).NotTo(BeEmpty(), r.String())
 		})
 	}
 })
--- a/model/walk_test.go
+++ b/model/walk_test.go
@@ -52,8 +52,8 @@
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				r := model.Walk(first(), walkSteps, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "step") })
-				if r.Break != "" {
-					t.Fatalf("%s\n%s", r.Break, model.Readable(r.Trace))
+				if r.Violation != "" {
+					t.Fatalf("%s\n%s", r.Violation, model.FormatTrace(r.Trace))
 				}
 			})
 		})
--- a/proof/calls.go
+++ b/proof/calls.go
@@ -44,8 +44,8 @@
 	return resp.StatusCode(), answered, bytes.Clone(resp.Body()), nil
 }
 
-// Fault tells a stand-in what to do wrong from now on.
-func (f *Fleet) Fault(name string, faults standin.Faults) error {
+// SetFaults tells a stand-in what to do wrong from now on.
+func (f *Fleet) SetFaults(name string, faults standin.Faults) error {
 	body, err := json.Marshal(faults)
 	if err != nil {
 		return err
--- a/proof/claims.go
+++ b/proof/claims.go
@@ -35,7 +35,7 @@
 		},
 		{
 			Name:     "the service acts and answers late, crossed or not at all",
-			Promises: append(promises, model.WholeAnswer),
+			Promises: append(promises, model.CompleteAnswer),
 			Run:      serviceFails,
 		},
 	}
@@ -243,7 +243,7 @@
 func serviceFails(f *Fleet) (string, error) {
 	var all []write
 	for n, faults := range []standin.Faults{{LateAfter: true}, {Cross: true}, {Stall: true}, {Refuse: true}} {
-		if err := f.Fault("service", faults); err != nil {
+		if err := f.SetFaults("service", faults); err != nil {
 			return "", err
 		}
 		for i := range f.boxes {
@@ -251,7 +251,7 @@
 			key := newKey()
 			all = append(all, f.writeRecord(i, key, body), f.writeRecord((i+1)%len(f.boxes), key, body))
 		}
-		if err := f.Fault("service", standin.Faults{}); err != nil {
+		if err := f.SetFaults("service", standin.Faults{}); err != nil {
 			return "", err
 		}
 	}
--- a/proof/configs.go
+++ b/proof/configs.go
@@ -14,7 +14,7 @@
 )
 
 func configScenarios() []Scenario {
-	promises := []model.Promise{model.NeverOlder}
+	promises := []model.Promise{model.NeverOlderConfig}
 	wide := DefaultShape()
 	wide.Boxes = 8
 	return []Scenario{
@@ -168,7 +168,7 @@
 	if _, err := f.everywhere(2, configLimit); err != nil {
 		return "", err
 	}
-	if err := f.Fault("platform", standin.Faults{Stale: true, StaleBy: 1}); err != nil {
+	if err := f.SetFaults("platform", standin.Faults{Stale: true, StaleBy: 1}); err != nil {
 		return "", err
 	}
 	f.replace(0)
@@ -178,7 +178,7 @@
 	if v := f.versionAt(0); v != 2 {
 		return "", errors.Errorf("the replaced box serves version %d while its peers have 2", v)
 	}
-	if err := f.Fault("platform", standin.Faults{Down: true}); err != nil {
+	if err := f.SetFaults("platform", standin.Faults{Down: true}); err != nil {
 		return "", err
 	}
 	time.Sleep(6 * time.Second)
--- a/proof/contract_test.go
+++ b/proof/contract_test.go
@@ -109,7 +109,7 @@
 
 	It("continues a stream on another box after its last event, and after its end", func() {
 		ctx, cancel := context.WithCancel(context.Background())
-		s, _ := fleet.Open(proof.WithFirstToken(ctx, cancel), 0, nil)
+		s, _ := fleet.ReadStream(proof.WithFirstToken(ctx, cancel), 0, nil)
 		Expect(s.Whole()).To(BeFalse())
 		Expect(len(s.Tokens)).To(BeNumerically(">", 0))
 		Expect(fleet.Continue(context.Background(), s, 1)).To(Succeed())
@@ -125,7 +125,7 @@
 		status, headers, _ := call("GET", "/v1/streams/AAAAAAAAAAAAAAAAAAAAAAAA", proof.Key, "", nil)
 		Expect(status).To(Equal(404))
 		Expect(headers["Dillsaddle-Outcome"]).To(Equal("not-run"))
-		s, err := fleet.Open(context.Background(), 0, nil)
+		s, err := fleet.ReadStream(context.Background(), 0, nil)
 		Expect(err).NotTo(HaveOccurred())
 		status, _, text := call("GET", "/v1/streams/"+s.ID, proof.Key, "", map[string]string{"Last-Event-ID": "another.3"})
 		Expect(status).To(Equal(400), text)
@@ -136,7 +136,7 @@
 		opened := make(chan string, 1)
 		go func() {
 			ctx := proof.WithID(context.Background(), opened)
-			s, _ := fleet.Open(ctx, 0, nil)
+			s, _ := fleet.ReadStream(ctx, 0, nil)
 			ended <- s
 		}()
 		id := <-opened
@@ -156,7 +156,7 @@
 
 	It("runs a keyed generation once and names its stream to a repeat", func() {
 		headers := map[string]string{"Dillsaddle-Repeatable": "false", "Idempotency-Key": "summary-1"}
-		s, err := fleet.Open(context.Background(), 0, headers)
+		s, err := fleet.ReadStream(context.Background(), 0, headers)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Whole()).To(BeTrue(), s.Body)
 		before := starts()
--- a/proof/documents.go
+++ b/proof/documents.go
@@ -71,8 +71,8 @@
 			"address":       address.String(),
 			"zone":          "zone-1",
 			"models":        []string{Model},
-			"memory_tokens": f.Shape.Memory,
-			"batch_slots":   f.Shape.Slots,
+			"memory_tokens": f.Shape.MemoryTokens,
+			"batch_slots":   f.Shape.BatchSlots,
 		})
 		f.list.Endpoints = append(f.list.Endpoints, core.EndpointStatus{Name: name})
 	}
--- a/proof/fleet.go
+++ b/proof/fleet.go
@@ -19,28 +19,28 @@
 
 // Shape says what fleet to start.
 type Shape struct {
-	Boxes   int
-	Engines int
-	Median  float64       // tokens of an output
-	Step    time.Duration // of an engine alone
-	Memory  int
-	PerSeq  time.Duration // added to a step by each sequence
-	Slots   int
-	Servers int  // of the service; one if left out
-	Hedge   bool // of the service
-	Ways    bool // boxes reach each other by ways that can be cut, each with its own platform
+	Boxes           int
+	Engines         int
+	MedianTokens    float64       // tokens of an output
+	StepTime        time.Duration // of an engine alone
+	MemoryTokens    int
+	StepPerSequence time.Duration // added to a step by each sequence
+	BatchSlots      int
+	Servers         int  // of the service; one if left out
+	Hedge           bool // of the service
+	Ways            bool // boxes reach each other by ways that can be cut, each with its own platform
 }
 
 // DefaultShape is a small fleet whose streams take a few seconds.
 func DefaultShape() Shape {
 	return Shape{
-		Boxes:   3,
-		Engines: 3,
-		Median:  120,
-		Step:    15 * time.Millisecond,
-		Memory:  200000,
-		PerSeq:  300 * time.Microsecond,
-		Slots:   200,
+		Boxes:           3,
+		Engines:         3,
+		MedianTokens:    120,
+		StepTime:        15 * time.Millisecond,
+		MemoryTokens:    200000,
+		StepPerSequence: 300 * time.Microsecond,
+		BatchSlots:      200,
 	}
 }
 
@@ -126,12 +126,12 @@
 			"name":          name,
 			"address":       address.String(),
 			"models":        Model,
-			"memory":        f.Shape.Memory,
-			"batch":         f.Shape.Slots,
-			"median":        f.Shape.Median,
+			"memory":        f.Shape.MemoryTokens,
+			"batch":         f.Shape.BatchSlots,
+			"median":        f.Shape.MedianTokens,
 			"spread":        0.3,
-			"step":          f.Shape.Step.String(),
-			"step-sequence": f.Shape.PerSeq.String(),
+			"step":          f.Shape.StepTime.String(),
+			"step-sequence": f.Shape.StepPerSequence.String(),
 			"seed":          i + 1,
 		}))
 	}
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -19,7 +19,7 @@
 	shape.Hedge = true
 	return []Scenario{{
 		Name:     "a service's servers are late now and then, and late lookups go to a second one",
-		Promises: []model.Promise{model.WholeAnswer, model.AtMostOnce},
+		Promises: []model.Promise{model.CompleteAnswer, model.AtMostOnce},
 		Shape:    shape,
 		Run:      lookupsLate,
 	}}
@@ -27,15 +27,15 @@
 
 // Lookups are calls of a service that may be repeated.
 type Lookups struct {
-	Took   []float64 // seconds, sorted
-	Failed int
-	Calls  int // that the service's servers counted
+	Latencies []float64 // seconds, sorted
+	Failed    int
+	Calls     int // that the service's servers counted
 }
 
-// FaultServers tells all servers of the service what to do wrong from now on.
-func (f *Fleet) FaultServers(faults standin.Faults) error {
+// SetServerFaults tells all servers of the service what to do wrong from now on.
+func (f *Fleet) SetServerFaults(faults standin.Faults) error {
 	for i := range f.servers {
-		if err := f.Fault(fmt.Sprintf("service-%d", i+1), faults); err != nil {
+		if err := f.SetFaults(fmt.Sprintf("service-%d", i+1), faults); err != nil {
 			return err
 		}
 	}
@@ -54,7 +54,7 @@
 				began := time.Now()
 				whole := f.lookup(i%len(f.boxes), fmt.Sprintf("/records/%d-%d", i, n))
 				mu.Lock()
-				out.Took = append(out.Took, time.Since(began).Seconds())
+				out.Latencies = append(out.Latencies, time.Since(began).Seconds())
 				if !whole {
 					out.Failed++
 				}
@@ -63,7 +63,7 @@
 		})
 	}
 	wait.Wait()
-	slices.Sort(out.Took)
+	slices.Sort(out.Latencies)
 	records, err := f.ServerRecords()
 	for _, r := range records {
 		out.Calls += r.Calls
@@ -95,7 +95,7 @@
 }
 
 func lookupsLate(f *Fleet) (string, error) {
-	if err := f.FaultServers(standin.Faults{DelayMS: 300, DelayNth: 20}); err != nil {
+	if err := f.SetServerFaults(standin.Faults{DelayMS: 300, DelayNth: 20}); err != nil {
 		return "", err
 	}
 	writes := make(chan []write, 1)
@@ -112,7 +112,7 @@
 	if err != nil {
 		return "", err
 	}
-	looked := len(all.Took)
+	looked := len(all.Latencies)
 	switch {
 	case hedges == 0:
 		return "", errors.New("no lookup went to a second server; the proof showed nothing")
--- a/proof/metrics.go
+++ b/proof/metrics.go
@@ -86,9 +86,9 @@
 	return line[:at], line[at+1:], true
 }
 
-// Drain reads one stream to its end without looking at its events, and gives
+// DiscardStream reads one stream to its end without looking at its events, and gives
 // its bytes; it costs the caller little, so that the entry is what is measured.
-func (f *Fleet) Drain(ctx context.Context, boxIndex int) (int64, error) {
+func (f *Fleet) DiscardStream(ctx context.Context, boxIndex int) (int64, error) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod("POST")
 	req.SetRequestURI("http://" + f.boxes[boxIndex].Entry.String() + "/v1/completions")
@@ -101,8 +101,8 @@
 	return io.Copy(io.Discard, resp.BodyStream())
 }
 
-// Direct reads one stream from an engine, with no part of the system between.
-func (f *Fleet) Direct(ctx context.Context, engine int) (*Stream, error) {
+// ReadDirect reads one stream from an engine, with no part of the system between.
+func (f *Fleet) ReadDirect(ctx context.Context, engine int) (*Stream, error) {
 	s := &Stream{began: time.Now()}
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod("POST")
--- a/proof/parted.go
+++ b/proof/parted.go
@@ -19,10 +19,10 @@
 		Name: "the fleet is parted in two, one part without the platform, and meets again",
 		Promises: []model.Promise{
 			model.TokensOnce,
-			model.WholeAnswer,
+			model.CompleteAnswer,
 			model.NotRunMeansNotRun,
 			model.AtMostOnce,
-			model.NeverOlder,
+			model.NeverOlderConfig,
 		},
 		Shape: shape,
 		Run:   fleetParted,
@@ -74,7 +74,7 @@
 func (p *parted) cutOff() {
 	p.fleet.Part(true, 2, 3)
 	for _, name := range cutOffPlatforms {
-		_ = p.fleet.Fault(name, standin.Faults{Down: true})
+		_ = p.fleet.SetFaults(name, standin.Faults{Down: true})
 	}
 	_ = p.fleet.publishTo(2, 0, 1)
 	time.Sleep(partedFor)
@@ -102,7 +102,7 @@
 		return took, err
 	}
 	for _, name := range cutOffPlatforms {
-		_ = p.fleet.Fault(name, standin.Faults{})
+		_ = p.fleet.SetFaults(name, standin.Faults{})
 	}
 	after := p.fleet.writesThroughAll(p.keys)
 	p.writes = append(p.writes, after...)
--- a/proof/path_bench_test.go
+++ b/proof/path_bench_test.go
@@ -18,9 +18,9 @@
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
 	shape.Engines = 1
-	shape.Median = 200
-	shape.Step = time.Millisecond
-	shape.PerSeq = 0
+	shape.MedianTokens = 200
+	shape.StepTime = time.Millisecond
+	shape.StepPerSequence = 0
 	f, err := proof.Start(folder, shape)
 	if err != nil {
 		b.Fatal(err)
@@ -45,9 +45,9 @@
 		b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(tokens), "us/token")
 	}
 	b.Run("through", func(b *testing.B) {
-		read(b, func() (*proof.Stream, error) { return f.Open(context.Background(), 0, nil) })
+		read(b, func() (*proof.Stream, error) { return f.ReadStream(context.Background(), 0, nil) })
 	})
 	b.Run("direct", func(b *testing.B) {
-		read(b, func() (*proof.Stream, error) { return f.Direct(context.Background(), 0) })
+		read(b, func() (*proof.Stream, error) { return f.ReadDirect(context.Background(), 0) })
 	})
 }
--- a/proof/slow.go
+++ b/proof/slow.go
@@ -21,10 +21,10 @@
 	shape := DefaultShape()
 	shape.Boxes = 1
 	shape.Engines = 1
-	shape.Median = 6000
-	shape.Step = 500 * time.Microsecond
-	shape.PerSeq = 0
-	shape.Memory = 1000000
+	shape.MedianTokens = 6000
+	shape.StepTime = 500 * time.Microsecond
+	shape.StepPerSequence = 0
+	shape.MemoryTokens = 1000000
 	return shape
 }
 
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -20,21 +20,21 @@
 
 // Stream is what a caller received of one stream.
 type Stream struct {
-	ID         string
-	Generation string
-	Tokens     []string
-	LastEvent  string
-	Done       bool
-	Outcome    string
-	Code       string
-	Status     int
-	Body       string
-	FirstAfter time.Duration
-	Gaps       []float64 // seconds between tokens
-	began      time.Time
-	last       time.Time
-	sharedIDs  int   // events with the id of the one before
-	progress   int32 // a streamProgress, read and written atomically
+	ID               string
+	Generation       string
+	Tokens           []string
+	LastEvent        string
+	Done             bool
+	Outcome          string
+	Code             string
+	Status           int
+	Body             string
+	TimeToFirstToken time.Duration
+	Gaps             []float64 // seconds between tokens
+	began            time.Time
+	last             time.Time
+	sharedIDs        int   // events with the id of the one before
+	progress         int32 // a streamProgress, read and written atomically
 }
 
 // streamProgress says how far a stream is, as its caller sees it.
@@ -63,9 +63,9 @@
 // longestStream bounds a caller's patience.
 const longestStream = 2 * time.Minute
 
-// Open begins a stream at a box and reads it to its end, or until the context
+// ReadStream begins a stream at a box and reads it to its end, or until the context
 // ends it.
-func (f *Fleet) Open(ctx context.Context, boxIndex int, headers map[string]string) (*Stream, error) {
+func (f *Fleet) ReadStream(ctx context.Context, boxIndex int, headers map[string]string) (*Stream, error) {
 	s := &Stream{began: time.Now()}
 	return s, f.open(ctx, s, boxIndex, headers)
 }
@@ -165,7 +165,7 @@
 	now := time.Now()
 	if len(s.Tokens) == 0 {
 		atomic.StoreInt32(&s.progress, streamUnderWay)
-		s.FirstAfter = now.Sub(s.began)
+		s.TimeToFirstToken = now.Sub(s.began)
 	} else {
 		s.Gaps = append(s.Gaps, now.Sub(s.last).Seconds())
 	}
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -13,7 +13,7 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-var streamPromises = []model.Promise{model.TokensOnce, model.WholeAnswer}
+var streamPromises = []model.Promise{model.TokensOnce, model.CompleteAnswer}
 
 func streamScenarios() []Scenario {
 	return []Scenario{
@@ -49,7 +49,7 @@
 		},
 		{
 			Name:     "an endpoint leaves, and its owners' watches are paused and wake",
-			Promises: []model.Promise{model.LeavingGetsNothing},
+			Promises: []model.Promise{model.NoWorkWhenLeaving},
 			Run:      endpointLeaves,
 		},
 	}
@@ -99,7 +99,7 @@
 
 func framesSpoilt(f *Fleet) (string, error) {
 	for i := range f.engines {
-		if err := f.Fault(fmt.Sprintf("engine-%d", i+1), standin.Faults{Duplicate: 3, Reorder: 7, Cut: 40}); err != nil {
+		if err := f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{Duplicate: 3, Reorder: 7, Cut: 40}); err != nil {
 			return "", err
 		}
 	}
@@ -114,11 +114,11 @@
 func enginesStall(f *Fleet) (string, error) {
 	streams := f.Many(manyStreams, func() {
 		for i := range f.engines {
-			_ = f.Fault(fmt.Sprintf("engine-%d", i+1), standin.Faults{Stall: true})
+			_ = f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{Stall: true})
 		}
 		time.Sleep(5 * time.Second)
 		for i := range f.engines {
-			_ = f.Fault(fmt.Sprintf("engine-%d", i+1), standin.Faults{})
+			_ = f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{})
 		}
 	})
 	whole, err := f.judge(streams, f.Records())
@@ -198,13 +198,13 @@
 
 func engineRefuses(f *Fleet) (string, error) {
 	for i := range f.engines {
-		if err := f.Fault(fmt.Sprintf("engine-%d", i+1), standin.Faults{Refuse: true}); err != nil {
+		if err := f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{Refuse: true}); err != nil {
 			return "", err
 		}
 	}
 	notRun := 0
 	for i := range 6 {
-		s, err := f.Open(context.Background(), i%len(f.boxes), nil)
+		s, err := f.ReadStream(context.Background(), i%len(f.boxes), nil)
 		if err != nil {
 			return "", err
 		}
@@ -242,7 +242,7 @@
 		return "", err
 	}
 	for i := range 12 {
-		if _, err := f.Open(context.Background(), i%len(f.boxes), nil); err != nil {
+		if _, err := f.ReadStream(context.Background(), i%len(f.boxes), nil); err != nil {
 			return "", err
 		}
 	}
