--- a/bench/engine.go
+++ b/bench/engine.go
@@ -58,11 +58,11 @@
 		return
 	}
 	r.seq = &standin.Sequence{
-		ID:       r.id,
-		Priority: r.arrival.Customer.Rank,
-		Prompt:   r.arrival.Prompt,
-		Prefix:   r.arrival.Prefix,
-		Length:   r.arrival.Output,
+		ID:           r.id,
+		Priority:     r.arrival.Customer.Rank,
+		Prompt:       r.arrival.Prompt,
+		Prefix:       r.arrival.Prefix,
+		OutputLength: r.arrival.Output,
 	}
 	e.batch.Submit(r.seq)
 	if !e.busy {
@@ -72,22 +72,22 @@
 }
 
 func (n *run) step(e *engineRun) {
-	if e.dead || e.batch.Idle() {
+	if e.dead || e.batch.IsIdle() {
 		e.busy = false
 		return
 	}
 	s := e.batch.Step()
-	n.after(s.Took, func() {
+	n.after(s.Duration, func() {
 		for _, q := range s.Made {
 			n.token(n.live[q.ID])
 		}
-		for _, q := range s.Ended {
+		for _, q := range s.Finished {
 			if r := n.live[q.ID]; r != nil {
 				r.done = true
 				n.leave(r, true)
 			}
 		}
-		n.report(e, s.Took)
+		n.report(e, s.Duration)
 		n.step(e)
 	})
 }
--- a/bench/load.go
+++ b/bench/load.go
@@ -17,8 +17,8 @@
 	Tier   string
 	Rank   int
 	Share  float64 // of all requests
-	Prompt standin.LengthRules
-	Output standin.LengthRules
+	Prompt standin.LengthDistribution
+	Output standin.LengthDistribution
 	Most   int
 }
 
@@ -54,9 +54,9 @@
 // Buscodigo is the code search router fleet's load in shape: short completions
 // over shared prefixes, and longer summaries.
 func Buscodigo() Deployment {
-	short := standin.LengthRules{Median: 45, Spread: 0.9, Most: 2000}
-	long := standin.LengthRules{Median: 350, Spread: 1.1, Most: 12000}
-	prompt := standin.LengthRules{Median: 500, Spread: 0.5, Most: 4000}
+	short := standin.LengthDistribution{Median: 45, Sigma: 0.9, Most: 2000}
+	long := standin.LengthDistribution{Median: 350, Sigma: 1.1, Most: 12000}
+	prompt := standin.LengthDistribution{Median: 500, Sigma: 0.5, Most: 4000}
 	return Deployment{
 		Name: "buscodigo",
 		Customers: []Customer{
@@ -73,9 +73,9 @@
 // Jordan is the climate records assistant's load in shape: answers of middling
 // length, read word by word, and bulk summaries.
 func Jordan() Deployment {
-	answer := standin.LengthRules{Median: 220, Spread: 0.8, Most: 6000}
-	bulk := standin.LengthRules{Median: 600, Spread: 1.0, Most: 16000}
-	prompt := standin.LengthRules{Median: 300, Spread: 0.7, Most: 4000}
+	answer := standin.LengthDistribution{Median: 220, Sigma: 0.8, Most: 6000}
+	bulk := standin.LengthDistribution{Median: 600, Sigma: 1.0, Most: 16000}
+	prompt := standin.LengthDistribution{Median: 300, Sigma: 0.7, Most: 4000}
 	return Deployment{
 		Name: "jordan",
 		Customers: []Customer{
@@ -90,12 +90,12 @@
 }
 
 // mean is the expected value of drawn lengths, by drawing.
-func mean(l standin.LengthRules) float64 {
+func mean(l standin.LengthDistribution) float64 {
 	r := rand.New(rand.NewPCG(1, 2))
 	sum := 0
 	const draws = 20000
 	for range draws {
-		sum += l.Draw(r)
+		sum += l.Sample(r)
 	}
 	return float64(sum) / draws
 }
@@ -118,12 +118,12 @@
 	return float64(engines) * atOnce / step.Seconds() / output
 }
 
-func secondMoment(l standin.LengthRules) float64 {
+func secondMoment(l standin.LengthDistribution) float64 {
 	r := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
 	const draws = 20000
 	for range draws {
-		n := float64(l.Draw(r))
+		n := float64(l.Sample(r))
 		sum += n * n
 	}
 	return sum / draws
@@ -188,8 +188,8 @@
 	a := Arrival{
 		At:       now,
 		Customer: customer,
-		Prompt:   customer.Prompt.Draw(r),
-		Output:   customer.Output.Draw(r),
+		Prompt:   customer.Prompt.Sample(r),
+		Output:   customer.Output.Sample(r),
 		Prefix:   uint64(pick*1000 + 1 + r.IntN(12)),
 		Box:      r.IntN(boxes),
 	}
--- a/engine/completions/worker_test.go
+++ b/engine/completions/worker_test.go
@@ -16,7 +16,7 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-func startEngine(cache standin.CacheRules) netip.AddrPort {
+func startEngine(cache standin.CacheEventRules) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	address := netip.MustParseAddrPort(l.Addr().String())
@@ -25,14 +25,14 @@
 		Name:   "engine-1",
 		Models: []string{"model-1"},
 		Batch:  standin.DefaultBatchRules(),
-		Length: standin.LengthRules{
+		OutputLength: standin.LengthDistribution{
 			Median: 5,
-			Spread: 0.1,
+			Sigma:  0.1,
 			Most:   10,
 		},
 		Cache: cache,
 	}
-	h := standin.NewEngine(rules).Serve(address)
+	h := standin.NewEngine(rules).HTTPServer(address)
 	go h.Spin()
 	Eventually(func() error {
 		c, err := net.Dial("tcp", address.String())
@@ -66,7 +66,7 @@
 	It("tells a generation from its opening to its end, each token once", func() {
 		w, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
-		all := generate(w, startEngine(standin.CacheRules{}), 1)
+		all := generate(w, startEngine(standin.CacheEventRules{}), 1)
 		Expect(all[0]).To(BeAssignableToTypeOf(engine.Opened{}))
 		next := uint64(0)
 		for _, m := range all[1 : len(all)-1] {
@@ -81,7 +81,7 @@
 	It("gets a stream whole that the endpoint writes late", func() {
 		w, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
-		address := startEngine(standin.CacheRules{})
+		address := startEngine(standin.CacheEventRules{})
 		late, err := http.Post("http://"+address.String()+"/control/fault", "application/json", strings.NewReader(`{"delay_ms":150}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(late.Body.Close()).To(Succeed())
@@ -92,7 +92,7 @@
 	It("reads cache events that come late and with gaps", func() {
 		w, err := completions.New()
 		Expect(err).NotTo(HaveOccurred())
-		address := startEngine(standin.CacheRules{Lag: 1, Gap: 3})
+		address := startEngine(standin.CacheEventRules{HeldBack: 1, DropEvery: 3})
 		for n := range 6 {
 			generate(w, address, n)
 		}
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -77,12 +77,12 @@
 		Name:   name,
 		Models: []string{modelName},
 		Batch:  standin.DefaultBatchRules(),
-		Length: standin.LengthRules{
+		OutputLength: standin.LengthDistribution{
 			Median: 20,
-			Spread: 0.1,
+			Sigma:  0.1,
 			Most:   100,
 		},
-	}).Serve(address)
+	}).HTTPServer(address)
 	go served.Spin()
 	return func() { _ = served.Close() }
 }
@@ -117,7 +117,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	platform, err := standin.NewPlatform(testConfig(engines, strings.Join(sections, "")), list)
 	Expect(err).NotTo(HaveOccurred())
-	go platform.Serve(platformAt).Spin()
+	go platform.HTTPServer(platformAt).Spin()
 	log := zap.NewNop()
 	_, err = watch.Start(b, log)
 	Expect(err).NotTo(HaveOccurred())
--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -42,8 +42,8 @@
 
 var latenesses = []lateness{
 	{name: "sound"},
-	{name: "each 20th answer 400 ms late", faults: standin.Faults{DelayMS: 400, DelayNth: 20}},
-	{name: "each 50th answer 1.5 s late", faults: standin.Faults{DelayMS: 1500, DelayNth: 50}},
+	{name: "each 20th answer 400 ms late", faults: standin.Faults{DelayMS: 400, DelayEvery: 20}},
+	{name: "each 50th answer 1.5 s late", faults: standin.Faults{DelayMS: 1500, DelayEvery: 50}},
 	{name: "each answer 30 ms late", faults: standin.Faults{DelayMS: 30}},
 }
 
--- a/lab/soak.go
+++ b/lab/soak.go
@@ -53,7 +53,7 @@
 				fmt.Fprintf(out, "seed %d didn't run: %v\n", seed, err)
 				return
 			}
-			if len(report.Broken) > 0 {
+			if len(report.Violations) > 0 {
 				broken++
 			}
 			fmt.Fprintln(out, report)
--- a/node/node.go
+++ b/node/node.go
@@ -79,7 +79,7 @@
 	case trace.GenerationBegun:
 		n.parts[on] = core.NewGeneration(e.Repeatable, e.Rules, n.options...)
 	case trace.HoldBegun:
-		n.parts[on] = core.NewOwnership(strings.TrimPrefix(on, trace.Hold), e.Rules, n.options...)
+		n.parts[on] = core.NewOwnership(strings.TrimPrefix(on, trace.Ownership), e.Rules, n.options...)
 	case trace.CallBegun:
 		n.parts[on] = core.NewCall(e.Rules, func() bool { return e.Budget }, n.options...)
 	case trace.ModelBegun:
--- a/proof/claims.go
+++ b/proof/claims.go
@@ -242,7 +242,7 @@
 
 func serviceFails(f *Fleet) (string, error) {
 	var all []write
-	for n, faults := range []standin.Faults{{LateAfter: true}, {Cross: true}, {Stall: true}, {Refuse: true}} {
+	for n, faults := range []standin.Faults{{AnswerLate: true}, {WrongAnswer: true}, {Stall: true}, {Refuse: true}} {
 		if err := f.SetFaults("service", faults); err != nil {
 			return "", err
 		}
--- a/proof/contract_test.go
+++ b/proof/contract_test.go
@@ -89,7 +89,7 @@
 		Expect(whole.Choices).To(HaveLen(1))
 		words := strings.Fields(whole.Choices[0].Message.Content)
 		Expect(words).To(HaveLen(int(whole.Usage.CompletionTokens)))
-		tag := standin.Tag(whole.ID)
+		tag := standin.GenerationTag(whole.ID)
 		for n, word := range words {
 			Expect(word).To(Equal(fmt.Sprintf("%s.%d", tag, n)))
 		}
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -95,7 +95,7 @@
 }
 
 func lookupsLate(f *Fleet) (string, error) {
-	if err := f.SetServerFaults(standin.Faults{DelayMS: 300, DelayNth: 20}); err != nil {
+	if err := f.SetServerFaults(standin.Faults{DelayMS: 300, DelayEvery: 20}); err != nil {
 		return "", err
 	}
 	writes := make(chan []write, 1)
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -177,7 +177,7 @@
 // token once, in order, of one generation; all of them if the stream was given
 // as whole.
 func (s *Stream) Check(records []standin.Record) error {
-	tag := standin.Tag(s.Generation)
+	tag := standin.GenerationTag(s.Generation)
 	for n, token := range s.Tokens {
 		if token != tag+"."+strconv.Itoa(n) {
 			return errors.Errorf("token %d of %s is %q", n, s.Generation, token)
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -99,7 +99,7 @@
 
 func framesSpoilt(f *Fleet) (string, error) {
 	for i := range f.engines {
-		if err := f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{Duplicate: 3, Reorder: 7, Cut: 40}); err != nil {
+		if err := f.SetFaults(fmt.Sprintf("engine-%d", i+1), standin.Faults{DuplicateEvery: 3, ReorderEvery: 7, CutEvery: 40}); err != nil {
 			return "", err
 		}
 	}
--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -31,7 +31,7 @@
 	s.homeLock.Lock()
 	defer s.homeLock.Unlock()
 	now := time.Now()
-	s.recorder.Event(now, trace.Home, ev)
+	s.recorder.Event(now, trace.ClaimOwner, ev)
 	return s.home.Step(now, ev)
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -77,7 +77,7 @@
 		left:      make(chan struct{}),
 		stop:      cancel,
 	}
-	s.recorder.BeginHome(now, self, core.DefaultClaimRules())
+	s.recorder.RecordClaimOwnerStart(now, self, core.DefaultClaimRules())
 	s.handlers = wire.NewHandlers(wire.WithVersions(s.state.Versions))
 	wire.HandleRequest(s.handlers, s.leaseAsk)
 	wire.HandleRequest(s.handlers, s.claimAsk)
--- a/soak/run.go
+++ b/soak/run.go
@@ -26,14 +26,14 @@
 
 // Report is the verdict on one seed.
 type Report struct {
-	Seed     uint64
-	Planned  bool
-	Faults   []string
-	Requests int
-	Served   int
-	Deadly   int      // engines that a deadly request reached
-	Broken   []string // promises that were broken, with the request
-	Folder   string   // of the boxes' logs
+	Seed       uint64
+	Planned    bool
+	Faults     []string
+	Requests   int
+	Served     int
+	Deadly     int      // engines that a deadly request reached
+	Violations []string // promises that were broken, with the request
+	Folder     string   // of the boxes' logs
 }
 
 // String gives the report in a few lines.
@@ -42,11 +42,11 @@
 	if r.Planned {
 		kind = "planned"
 	}
-	line := fmt.Sprintf("seed %d (%s): %d of %d served, %d broken; %s", r.Seed, kind, r.Served, r.Requests, len(r.Broken), strings.Join(r.Faults, ", "))
+	line := fmt.Sprintf("seed %d (%s): %d of %d served, %d broken; %s", r.Seed, kind, r.Served, r.Requests, len(r.Violations), strings.Join(r.Faults, ", "))
 	if r.Deadly > 0 {
 		line += fmt.Sprintf("; a request that no engine survives reached %d", r.Deadly)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		line += "\n  " + b
 	}
 	return line
@@ -109,7 +109,7 @@
 	i.revive()
 	i.replaceEnded()
 	r.recovers(f)
-	r.Broken = append(r.Broken, i.ends...)
+	r.Violations = append(r.Violations, i.ends...)
 	all := c.stop()
 	r.Faults = append(i.done, notices.String())
 	r.judge(f, i, all)
@@ -128,7 +128,7 @@
 }
 
 func (r *Report) breaks(format string, args ...any) {
-	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
 // recovers checks that each box serves again once nothing troubles it.
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -32,24 +32,24 @@
 
 // Sequence is one generation in an engine.
 type Sequence struct {
-	ID        string
-	Priority  int // 0 is served first
-	Prompt    int
-	Prefix    uint64
-	Length    int // drawn, unknown to callers
-	Made      int
-	Preempted int
-	arrival   int
-	Computed  int // prompt tokens computed, those after a preemption included
+	ID           string
+	Priority     int // 0 is served first
+	Prompt       int
+	Prefix       uint64
+	OutputLength int // drawn, unknown to callers
+	Made         int
+	Preempted    int
+	arrival      int
+	Computed     int // prompt tokens computed, those after a preemption included
 }
 
 func (s *Sequence) blocks(size int) int { return (s.Prompt + s.Made + size) / size }
 
 // Step is what one step of the batch did.
 type Step struct {
-	Took      time.Duration
+	Duration  time.Duration
 	Made      []*Sequence
-	Ended     []*Sequence
+	Finished  []*Sequence
 	Preempted []*Sequence
 }
 
@@ -114,8 +114,8 @@
 
 func (b *Batch) total() int { return b.Rules.MemoryTokens / b.Rules.BlockTokens }
 
-// Idle reports whether there is nothing to do.
-func (b *Batch) Idle() bool { return len(b.running)+len(b.waiting) == 0 }
+// IsIdle reports whether there is nothing to do.
+func (b *Batch) IsIdle() bool { return len(b.running)+len(b.waiting) == 0 }
 
 // Step makes one token for each sequence in the batch.
 func (b *Batch) Step() Step {
@@ -127,8 +127,8 @@
 		}
 		b.grow(s, &out)
 	}
-	size := len(b.running) + len(out.Ended)
-	out.Took = b.Rules.StepBase + time.Duration(size)*b.Rules.StepPerSeq + time.Duration(prefill)*b.Rules.PrefillToken
+	size := len(b.running) + len(out.Finished)
+	out.Duration = b.Rules.StepBase + time.Duration(size)*b.Rules.StepPerSeq + time.Duration(prefill)*b.Rules.PrefillToken
 	return out
 }
 
@@ -165,7 +165,7 @@
 		b.preempt(victim, out)
 	}
 	out.Made = append(out.Made, s)
-	if s.Made >= s.Length {
+	if s.Made >= s.OutputLength {
 		b.finish(s, out)
 	}
 }
@@ -194,7 +194,7 @@
 	} else {
 		b.waiting = slices.DeleteFunc(b.waiting, func(w *Sequence) bool { return w == s })
 	}
-	out.Ended = append(out.Ended, s)
+	out.Finished = append(out.Finished, s)
 }
 
 // prefixCache remembers the prefixes that were computed last.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,25 +13,25 @@
 	Name         string
 	Models       []string
 	Batch        BatchRules
-	Length       LengthRules
+	OutputLength LengthDistribution
 	Seed         uint64
 	LoadLag      time.Duration
 	ChecksFences bool
-	Linger       time.Duration // how long an ended generation can be resumed
-	Cache        CacheRules
+	ResumeWindow time.Duration // how long an ended generation can be resumed
+	Cache        CacheEventRules
 }
 
-// CacheRules say how an engine's cache events fall short.
-type CacheRules struct {
-	Lag int // the newest events that are not told yet
-	Gap int // each event of so many is never told; 0 tells all
+// CacheEventRules say how an engine's cache events fall short.
+type CacheEventRules struct {
+	HeldBack  int // the newest events that are not told yet
+	DropEvery int // each event of so many is never told; 0 tells all
 }
 
 // seen gives the events after a number that are told by now.
-func (r CacheRules) seen(log []CacheEvent, after int) []CacheEvent {
+func (r CacheEventRules) seen(log []CacheEvent, after int) []CacheEvent {
 	told := make([]CacheEvent, 0, len(log))
-	for _, e := range log[:max(0, len(log)-r.Lag)] {
-		if e.Sequence > after && (r.Gap == 0 || e.Sequence%r.Gap != 0) {
+	for _, e := range log[:max(0, len(log)-r.HeldBack)] {
+		if e.Sequence > after && (r.DropEvery == 0 || e.Sequence%r.DropEvery != 0) {
 			told = append(told, e)
 		}
 	}
@@ -123,7 +123,7 @@
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.batch.Idle() {
+	if e.batch.IsIdle() {
 		return 0, true
 	}
 	s := e.batch.Step()
@@ -131,7 +131,7 @@
 	for _, q := range s.Made {
 		e.publish(q)
 	}
-	for _, q := range s.Ended {
+	for _, q := range s.Finished {
 		e.generations[q.ID].ended = true
 		e.generations[q.ID].endedAt = time.Now()
 		e.generations[q.ID].notify()
@@ -142,10 +142,10 @@
 		Waiting:      e.batch.Waiting(),
 		UsedTokens:   e.batch.Used(),
 		MemoryTokens: e.rules.Batch.MemoryTokens,
-		Step:         s.Took,
+		Step:         s.Duration,
 		Preempted:    e.preempted,
 	}
-	return s.Took, false
+	return s.Duration, false
 }
 
 func (e *Engine) publish(q *Sequence) {
@@ -164,7 +164,7 @@
 	lag := max(e.rules.LoadLag, 10*time.Millisecond)
 	for range time.Tick(lag) {
 		e.mu.Lock()
-		if e.batch.Idle() {
+		if e.batch.IsIdle() {
 			e.load.Running, e.load.Waiting, e.load.UsedTokens = 0, 0, 0
 		}
 		e.shown = e.load
@@ -179,7 +179,7 @@
 // reads; their record stays.
 func (e *Engine) sweep() {
 	for _, g := range e.generations {
-		if g.ended && g.readers == 0 && time.Since(g.endedAt) > e.rules.Linger {
+		if g.ended && g.readers == 0 && time.Since(g.endedAt) > e.rules.ResumeWindow {
 			g.gone = true
 		}
 	}
@@ -194,14 +194,14 @@
 	if e.generations[id] != nil {
 		return nil, false
 	}
-	drawn := e.rules.Length.Draw(e.random)
+	drawn := e.rules.OutputLength.Sample(e.random)
 	g := &generation{
 		seq: &Sequence{
-			ID:       id,
-			Priority: priority,
-			Prompt:   prompt,
-			Prefix:   prefix,
-			Length:   min(drawn, most),
+			ID:           id,
+			Priority:     priority,
+			Prompt:       prompt,
+			Prefix:       prefix,
+			OutputLength: min(drawn, most),
 		},
 		model:   model,
 		changed: make(chan struct{}),
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -32,8 +32,8 @@
 // charactersPerToken is the stand-in's tokenizer.
 const charactersPerToken = 4
 
-// Serve builds the engine's HTTP server.
-func (e *Engine) Serve(address netip.AddrPort) *server.Hertz {
+// HTTPServer builds the engine's HTTP server.
+func (e *Engine) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
 	h.POST("/v1/completions", e.complete(false))
 	h.POST("/v1/chat/completions", e.complete(true))
@@ -189,18 +189,18 @@
 func (errCut) Error() string { return "cut" }
 
 func (w *frameWriter) token(offset int) error {
-	frame := w.frame(offset, Text(w.g.seq.ID, offset), "null")
+	frame := w.frame(offset, TokenText(w.g.seq.ID, offset), "null")
 	f := w.engine.faults.get()
 	w.frames++
-	if f.Cut > 0 && w.frames%f.Cut == 0 {
+	if f.CutEvery > 0 && w.frames%f.CutEvery == 0 {
 		return errCut{}
 	}
-	if f.Reorder > 0 && w.frames%f.Reorder == 0 && w.held == nil {
+	if f.ReorderEvery > 0 && w.frames%f.ReorderEvery == 0 && w.held == nil {
 		w.held = frame
 		return nil
 	}
 	w.buffer = append(w.buffer, frame...)
-	if f.Duplicate > 0 && w.frames%f.Duplicate == 0 {
+	if f.DuplicateEvery > 0 && w.frames%f.DuplicateEvery == 0 {
 		w.buffer = append(w.buffer, frame...)
 	}
 	w.buffer = append(w.buffer, w.held...)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -7,19 +7,19 @@
 
 // Faults says what a stand-in does wrong from now on.
 type Faults struct {
-	Stall     bool `json:"stall"`      // stop answering without closing
-	DelayMS   int  `json:"delay_ms"`   // answer so much later
-	DelayNth  int  `json:"delay_nth"`  // a service delays every n-th answer only
-	Duplicate int  `json:"duplicate"`  // send every n-th frame twice
-	Reorder   int  `json:"reorder"`    // swap every n-th frame with the next
-	Cut       int  `json:"cut"`        // break the link after so many frames
-	Refuse    bool `json:"refuse"`     // refuse new work
-	Cross     bool `json:"cross"`      // answer with another request's answer
-	Down      bool `json:"down"`       // the platform answers 503
-	Stale     bool `json:"stale"`      // the platform shows what it had
-	StaleBy   int  `json:"stale_by"`   // the platform shows so many versions less
-	LateAfter bool `json:"late_after"` // a service acts, then answers late
-	Die       bool `json:"die"`        // end the process at once
+	Stall          bool `json:"stall"`      // stop answering without closing
+	DelayMS        int  `json:"delay_ms"`   // answer so much later
+	DelayEvery     int  `json:"delay_nth"`  // a service delays every n-th answer only
+	DuplicateEvery int  `json:"duplicate"`  // send every n-th frame twice
+	ReorderEvery   int  `json:"reorder"`    // swap every n-th frame with the next
+	CutEvery       int  `json:"cut"`        // break the link after so many frames
+	Refuse         bool `json:"refuse"`     // refuse new work
+	WrongAnswer    bool `json:"cross"`      // answer with another request's answer
+	Down           bool `json:"down"`       // the platform answers 503
+	Stale          bool `json:"stale"`      // the platform shows what it had
+	StaleBy        int  `json:"stale_by"`   // the platform shows so many versions less
+	AnswerLate     bool `json:"late_after"` // a service acts, then answers late
+	Exit           bool `json:"die"`        // end the process at once
 }
 
 type faultBox struct {
--- a/standin/http.go
+++ b/standin/http.go
@@ -31,7 +31,7 @@
 			c.String(http.StatusBadRequest, "not a fault document: %v", err)
 			return
 		}
-		if f.Die {
+		if f.Exit {
 			os.Exit(1)
 		}
 		b.set(f)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Serve builds the platform's HTTP server.
-func (p *Platform) Serve(address netip.AddrPort) *server.Hertz {
+// HTTPServer builds the platform's HTTP server.
+func (p *Platform) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
 	h.GET("/v1/config", p.watch(kindConfig))
 	h.GET("/v1/list", p.watch(kindList))
--- a/standin/service.go
+++ b/standin/service.go
@@ -43,8 +43,8 @@
 	Effects map[string]int `json:"effects"` // by method, path and body
 }
 
-// Serve builds the service's HTTP server.
-func (s *Service) Serve(address netip.AddrPort) *server.Hertz {
+// HTTPServer builds the service's HTTP server.
+func (s *Service) HTTPServer(address netip.AddrPort) *server.Hertz {
 	h := newServer(address)
 	h.GET("/control/record", func(_ context.Context, c *app.RequestContext) { c.JSON(http.StatusOK, s.record()) })
 	s.faults.register(h)
@@ -74,13 +74,13 @@
 	id := string(c.GetHeader(requestIDHeader))
 	text := strings.Join([]string{string(c.Method()), string(c.Path()), string(c.Request.Body())}, " ")
 	previous, calls := s.note(text, id)
-	if f.LateAfter {
+	if f.AnswerLate {
 		time.Sleep(lateAnswer)
 	}
-	if f.DelayNth <= 1 || calls%f.DelayNth == 0 {
+	if f.DelayEvery <= 1 || calls%f.DelayEvery == 0 {
 		s.faults.hold(ctx.Done())
 	}
-	if f.Cross {
+	if f.WrongAnswer {
 		id = previous
 	}
 	c.Response.Header.Set(requestIDHeader, id)
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -54,15 +54,15 @@
 	fs.IntVar(&e.Batch.MaxBatch, "batch", e.Batch.MaxBatch, "engine: most `sequences` in a batch")
 	fs.DurationVar(&e.Batch.StepBase, "step", e.Batch.StepBase, "engine: `time` of a step alone")
 	fs.DurationVar(&e.Batch.StepPerSeq, "step-sequence", e.Batch.StepPerSeq, "engine: `time` of a step for each sequence")
-	fs.Float64Var(&e.Length.Median, "median", 60, "engine: median output length in `tokens`")
-	fs.Float64Var(&e.Length.Spread, "spread", 0.8, "engine: `spread` of the output length's logarithm")
-	fs.IntVar(&e.Length.Most, "longest", 20000, "engine: longest output in `tokens`")
+	fs.Float64Var(&e.OutputLength.Median, "median", 60, "engine: median output length in `tokens`")
+	fs.Float64Var(&e.OutputLength.Sigma, "spread", 0.8, "engine: `spread` of the output length's logarithm")
+	fs.IntVar(&e.OutputLength.Most, "longest", 20000, "engine: longest output in `tokens`")
 	fs.Uint64Var(&e.Seed, "seed", 1, "engine: `seed` of the output lengths")
 	fs.DurationVar(&e.LoadLag, "load-lag", 200*time.Millisecond, "engine: `lag` of the load report")
-	fs.IntVar(&e.Cache.Lag, "cache-lag", 2, "engine: newest cache `events` that are not told yet")
-	fs.IntVar(&e.Cache.Gap, "cache-gap", 7, "engine: each cache event of so `many` is never told; 0 tells all")
+	fs.IntVar(&e.Cache.HeldBack, "cache-lag", 2, "engine: newest cache `events` that are not told yet")
+	fs.IntVar(&e.Cache.DropEvery, "cache-gap", 7, "engine: each cache event of so `many` is never told; 0 tells all")
 	fs.BoolVar(&e.ChecksFences, "checks-fences", true, "engine: refuse an order with an older fence")
-	fs.DurationVar(&e.Linger, "linger", time.Minute, "engine: `time` for which an ended generation can be read")
+	fs.DurationVar(&e.ResumeWindow, "linger", time.Minute, "engine: `time` for which an ended generation can be read")
 }
 
 func (s *settings) build() (*server.Hertz, error) {
@@ -76,9 +76,9 @@
 	case "engine":
 		s.engine.Name = s.name
 		s.engine.Models = strings.Split(s.models, ",")
-		return NewEngine(s.engine).Serve(address), nil
+		return NewEngine(s.engine).HTTPServer(address), nil
 	case "service":
-		return NewService(s.name).Serve(address), nil
+		return NewService(s.name).HTTPServer(address), nil
 	}
 	return nil, errors.New("flag -role must be platform, engine or service")
 }
@@ -96,5 +96,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return p.Serve(address), nil
+	return p.HTTPServer(address), nil
 }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -42,10 +42,10 @@
 
 // The names of a node's aggregates in a trace.
 const (
-	Home       = "home"
+	ClaimOwner = "home"
 	Versions   = "versions"
 	Generation = "generation/"
-	Hold       = "hold/"
+	Ownership  = "hold/"
 	Model      = "model/"
 )
 
@@ -71,9 +71,9 @@
 	}, nil
 }
 
-// BeginHome records the start of a claims' home.
-func (r *Recorder) BeginHome(now time.Time, self core.Box, rules core.ClaimRules) {
-	r.Event(now, Home, HomeBegun{
+// RecordClaimOwnerStart records the start of a claims' home.
+func (r *Recorder) RecordClaimOwnerStart(now time.Time, self core.Box, rules core.ClaimRules) {
+	r.Event(now, ClaimOwner, HomeBegun{
 		Self:  self,
 		Rules: rules,
 	})
