--- a/commands/commands_test.go
+++ b/commands/commands_test.go
@@ -67,7 +67,7 @@
 		name := write(`{"event":"placed","request":"r-1","route":"long","endpoint":"e-1"}` + "\n")
 		code, out := run("losses", name)
 		Expect(code).To(Equal(0))
-		Expect(out).To(ContainSubstring("its box ended under way"))
+		Expect(out).To(ContainSubstring("box ended during the request"))
 		code, out = run("losses", "-json", name)
 		Expect(code).To(Equal(0))
 		Expect(out).To(ContainSubstring(`"count": 1`))
--- a/losses/request.go
+++ b/losses/request.go
@@ -39,7 +39,7 @@
 	BudgetSpent        Cause = "the retry budget was spent"
 	CallerLeft         Cause = "its caller left"
 	TimeOver           Cause = "its time was over"
-	BoxCrashed         Cause = "its box ended under way"
+	BoxCrashed         Cause = "box ended during the request"
 	SlowFirst          Cause = "its first event or answer was late"
 	PauseAtSeam        Cause = "a pause where it went on at another engine"
 	PauseAtEngine      Cause = "a pause at its engine" // preempted, or beside long prompts
