--- a/box/box_test.go
+++ b/box/box_test.go
@@ -73,13 +73,13 @@
 	for i := range n {
 		own := addresses[4*i : 4*i+4]
 		settings := emulator.BoxSettings{
-			Name:  "box-" + strings.ReplaceAll(seed, ":", "-") + strconv.Itoa(i),
-			Front: own[0],
-			Ready: own[1],
-			Peer:  own[2],
-			Store: d.StoreAddr,
-			Seeds: []string{cmp.Or(seed, addresses[2])},
-			Grace: 5,
+			Name:         "box-" + strings.ReplaceAll(seed, ":", "-") + strconv.Itoa(i),
+			Front:        own[0],
+			Ready:        own[1],
+			Peer:         own[2],
+			Store:        d.StoreAddr,
+			Seeds:        []string{cmp.Or(seed, addresses[2])},
+			GraceSeconds: 5,
 		}
 		path, err := settings.Write(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
@@ -126,7 +126,7 @@
 		d, err = emulator.NewDeployment()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
-		_, err = d.Add("i-1", emulator.Plain)
+		_, err = d.Add("i-1", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
@@ -153,12 +153,12 @@
 	})
 
 	It("isn't ready and answers 503 before it knows a configuration", func() {
-		d.Store.SetFault(emulator.StoreBusy, 0)
+		d.Store.SetFault(emulator.StoreUnavailable, 0)
 		b := startBoxes(d, 1)[0]
 		o := b.call("b1")
 		Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(o.RetryIn).NotTo(BeEmpty())
-		d.Store.SetFault(emulator.StoreWell, 0)
+		Expect(o.RetryAfter).NotTo(BeEmpty())
+		d.Store.SetFault(emulator.StoreNoFault, 0)
 		Expect(emulator.WaitReady(b.settings.Ready, patience)).To(Succeed())
 		b.Stop()
 	})
--- a/box/cold_test.go
+++ b/box/cold_test.go
@@ -36,22 +36,22 @@
 		time.Sleep(joined)
 	}
 	coldServer := func(id string) *emulator.Server {
-		s, err := d.Add(id, emulator.Plain)
+		s, err := d.Add(id, emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
-		s.Cold = time.Minute
-		d.List(s, emulator.Plain, "ready")
+		s.ColdRemaining = time.Minute
+		d.List(s, emulator.PlainService, "ready")
 		return s
 	}
 	It("gets no more in any second than it bears from all boxes together", func() {
 		s := coldServer("i-cold")
-		warm, err := d.Add("i-warm", emulator.Plain)
+		warm, err := d.Add("i-warm", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 		warm.WorkTime = 300 * time.Millisecond
 		start()
 		got := load(boxes, 3*time.Second)
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
-		Expect(emulator.MostWithin(s.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
+		Expect(emulator.MaxArrivalsWithin(s.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
 		Expect(s.Runs()).NotTo(BeEmpty())
 		Expect(len(warm.Runs())).To(BeNumerically(">", len(s.Runs())))
 	})
@@ -60,7 +60,7 @@
 		s := coldServer("i-cold")
 		start()
 		got := load(boxes, 3*time.Second)
-		Expect(emulator.MostWithin(s.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
+		Expect(emulator.MaxArrivalsWithin(s.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
 		Expect(got[http.StatusOK]).To(BeNumerically(">=", 12))
 		Expect(got[http.StatusServiceUnavailable]).To(BeNumerically(">", got[http.StatusOK]))
 		Expect(got).To(HaveLen(2))
@@ -68,17 +68,17 @@
 	})
 
 	It("is taken for cold when its zone was taken back, whatever its entry says yet", func() {
-		far, err := d.AddIn("zone-b", "i-far", emulator.Plain)
+		far, err := d.AddIn("zone-b", "i-far", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = d.Add("i-near", emulator.Plain)
+		_, err = d.Add("i-near", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 		d.Drain("zone-b")
 		start()
 		load(boxes, 500*time.Millisecond)
 		Expect(far.Runs()).To(BeEmpty())
-		d.TakeBack("zone-b")
+		d.EndDrain("zone-b")
 		load(boxes, 2*time.Second)
 		Expect(far.Runs()).NotTo(BeEmpty())
-		Expect(emulator.MostWithin(far.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
+		Expect(emulator.MaxArrivalsWithin(far.Arrivals(time.Time{}), time.Second)).To(BeNumerically("<=", most))
 	})
 })
--- a/box/crash_test.go
+++ b/box/crash_test.go
@@ -36,16 +36,16 @@
 	var unlisted map[string]bool
 	engines := 0
 	addEngine := func() {
-		s, err := d.Add(fmt.Sprintf("e-%d", engines), emulator.Model)
+		s, err := d.Add(fmt.Sprintf("e-%d", engines), emulator.ModelService)
 		Expect(err).NotTo(HaveOccurred())
-		s.Deadly = deadly
+		s.CrashBody = deadly
 		engines++
 	}
 	list := func(b *started) string { return b.get("/status") }
 	// replaceEnded takes the entries of engines that ended away, starts another one for
 	// each, and waits until all boxes know that.
 	replaceEnded := func() {
-		for _, id := range d.Ended() {
+		for _, id := range d.Stopped() {
 			if !unlisted[id] {
 				unlisted[id] = true
 				d.Unlist(id)
@@ -64,8 +64,8 @@
 			Body:     body,
 			Deadline: 5 * time.Second,
 			Tokens: emulator.Tokens{
-				Prompt: 100,
-				Most:   50,
+				Prompt:    100,
+				MaxOutput: 50,
 			},
 		})
 	}
@@ -93,15 +93,15 @@
 				send(boxes[n%len(boxes)], path, fmt.Sprintf("repeat-%d", n), deadly)
 				replaceEnded()
 			}
-			Expect(len(d.Ended())).To(BeNumerically("<=", endsMost), "engines ended: %v", d.Ended())
+			Expect(len(d.Stopped())).To(BeNumerically("<=", endsMost), "engines ended: %v", d.Stopped())
 			for i, b := range boxes {
 				id := fmt.Sprintf("late-%d", i)
 				Expect(send(b, path, id, deadly)).To(And(
 					HaveField("Status", http.StatusServiceUnavailable),
-					HaveField("RetryIn", Not(BeEmpty())),
+					HaveField("RetryAfter", Not(BeEmpty())),
 				))
 				Expect(d.Runs()).NotTo(HaveKey(id))
-				Expect(send(b, emulator.StreamPath, fmt.Sprintf("well-%d", i), "another prompt")).To(HaveField("Whole", true))
+				Expect(send(b, emulator.StreamPath, fmt.Sprintf("well-%d", i), "another prompt")).To(HaveField("IsComplete", true))
 				var shown bytes.Buffer
 				Expect(commands.Run([]string{"status", b.operators}, &shown)).To(BeZero())
 				Expect(shown.String()).To(MatchRegexp(`REQUEST KEPT FROM ENDPOINTS.*\n[0-9a-f]{32} .*e-`))
--- a/box/era_test.go
+++ b/box/era_test.go
@@ -25,7 +25,7 @@
 	var d *emulator.Deployment
 	var boxes []*started
 	BeforeEach(func() { d = newDeployment() })
-	add := func(id string) *emulator.Server { return addTo(d, id, emulator.Plain) }
+	add := func(id string) *emulator.Server { return addTo(d, id, emulator.PlainService) }
 	start := func() { boxes = startReady(d, 3) }
 	// settle waits until all boxes have the store's last change.
 	settle := func() {
@@ -35,11 +35,11 @@
 		}
 	}
 	// away lets the store be away for a moment and come back from a copy.
-	away := func(c *emulator.StoreCopy) {
+	away := func(c *emulator.StoreSnapshot) {
 		d.Store.SetFault(emulator.StoreReset, 0)
 		time.Sleep(300 * time.Millisecond)
-		d.Store.Return(c)
-		d.Store.SetFault(emulator.StoreWell, 0)
+		d.Store.Restore(c)
+		d.Store.SetFault(emulator.StoreNoFault, 0)
 	}
 	// fill writes entries that mean nothing, so that revisions of the copy lie far below.
 	fill := func(entries int) {
@@ -57,7 +57,7 @@
 		add("i-1")
 		start()
 		settle()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		fill(30)
 		add("i-2")
 		settle()
@@ -73,7 +73,7 @@
 	It("serve on with endpoints that the copy lacks, which then write their entries again", func() {
 		add("i-1")
 		start()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		s := add("i-2")
 		settle()
 		away(copied)
@@ -81,7 +81,7 @@
 		for time.Since(begin) < returned-800*time.Millisecond {
 			Expect(gets(s)).To(BeNumerically(">", 0))
 		}
-		d.List(s, emulator.Plain, "ready")
+		d.List(s, emulator.PlainService, "ready")
 		time.Sleep(returned)
 		Expect(gets(s)).To(BeNumerically(">", 0))
 	})
@@ -89,7 +89,7 @@
 	It("give up endpoints that the copy lacks and that don't come back", func() {
 		add("i-1")
 		start()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		s := add("i-2")
 		settle()
 		away(copied)
@@ -102,8 +102,8 @@
 		leaving, gone := add("i-leaving"), add("i-gone")
 		start()
 		settle()
-		copied := d.Store.Copy()
-		d.List(leaving, emulator.Plain, "draining")
+		copied := d.Store.Snapshot()
+		d.List(leaving, emulator.PlainService, "draining")
 		d.Unlist("i-gone")
 		settle()
 		away(copied)
@@ -114,11 +114,11 @@
 
 	It("keep a zone drained that the copy doesn't know as drained, until that is lasting", func() {
 		add("i-1").WorkTime = 300 * time.Millisecond // it can't serve all
-		far, err := d.AddIn("zone-b", "i-far", emulator.Plain)
+		far, err := d.AddIn("zone-b", "i-far", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 		start()
 		settle()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		d.Drain("zone-b")
 		settle()
 		away(copied)
@@ -126,7 +126,7 @@
 		d.Drain("zone-b")
 		time.Sleep(returned + known)
 		Expect(gets(far)).To(BeZero())
-		d.TakeBack("zone-b")
+		d.EndDrain("zone-b")
 		time.Sleep(known)
 		Eventually(func() int { return gets(far) }).WithTimeout(patience).Should(BeNumerically(">", 0))
 	})
@@ -134,7 +134,7 @@
 	It("go back to no older configuration, and take the operator's next word", func() {
 		add("i-1")
 		start()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		document := emulator.NewDocument(7)
 		document.Tenants = document.Tenants[1:]
 		d.Publish(document)
@@ -156,11 +156,11 @@
 		add("i-1")
 		start()
 		settle()
-		copied := d.Store.Copy()
+		copied := d.Store.Snapshot()
 		fill(40)
 		away(copied)
 		fill(10)
-		copied = d.Store.Copy()
+		copied = d.Store.Snapshot()
 		add("i-2")
 		boxes = append(boxes, startBoxesBeside(d, boxes[0].settings.Peer, 1)...)
 		last := boxes[len(boxes)-1]
--- a/box/homes_test.go
+++ b/box/homes_test.go
@@ -23,7 +23,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
 		for i, zone := range []string{"zone-a", "zone-b", "zone-c"} {
-			s, err := d.AddIn(zone, fmt.Sprintf("i-%d", i), emulator.Plain)
+			s, err := d.AddIn(zone, fmt.Sprintf("i-%d", i), emulator.PlainService)
 			Expect(err).NotTo(HaveOccurred())
 			servers[fmt.Sprintf("region-%d", i+1)] = s
 		}
--- a/box/leaving_test.go
+++ b/box/leaving_test.go
@@ -33,12 +33,12 @@
 	}
 
 	It("gets no requests any more, though the store lists it as ready", func() {
-		leaving, other := add("i-leaving", emulator.Plain), add("i-other", emulator.Plain)
+		leaving, other := add("i-leaving", emulator.PlainService), add("i-other", emulator.PlainService)
 		start()
 		load(boxes, 300*time.Millisecond)
 		Expect(leaving.Runs()).NotTo(BeEmpty())
 		d.Store.SetFault(emulator.StoreSilent, 0)
-		leaving.Announce(emulator.Notice{Leaving: true})
+		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		load(boxes, bound)
 		from := time.Now()
 		got := load(boxes, 2*time.Second)
@@ -47,18 +47,18 @@
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 		Expect(other.Arrivals(from)).NotTo(BeEmpty())
 		By("the store comes back, with an entry that was written before")
-		d.Store.SetFault(emulator.StoreWell, 0)
-		d.List(leaving, emulator.Plain, "ready")
+		d.Store.SetFault(emulator.StoreNoFault, 0)
+		d.List(leaving, emulator.PlainService, "ready")
 		load(boxes, 2*time.Second)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
 
 	It("gets none by a box that heard of it from another", func() {
-		leaving := add("i-leaving", emulator.Plain)
-		add("i-other", emulator.Plain)
+		leaving := add("i-leaving", emulator.PlainService)
+		add("i-other", emulator.PlainService)
 		start()
 		time.Sleep(time.Second) // boxes that have just met aren't of one group yet
-		leaving.Announce(emulator.Notice{Leaving: true})
+		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		load(boxes[:1], time.Second)
 		from := time.Now()
 		load(boxes[1:], 500*time.Millisecond)
@@ -66,10 +66,10 @@
 	})
 
 	It("gets neither streams nor questions, and its streams go elsewhere", func() {
-		leaving, other := add("e-leaving", emulator.Model), add("e-other", emulator.Model)
+		leaving, other := add("e-leaving", emulator.ModelService), add("e-other", emulator.ModelService)
 		for _, s := range []*emulator.Server{leaving, other} {
 			s.Events = 60
-			s.EventGap = 50 * time.Millisecond
+			s.EventInterval = 50 * time.Millisecond
 		}
 		start()
 		stream := func(id string) emulator.Outcome {
@@ -79,8 +79,8 @@
 				Path:     emulator.StreamPath,
 				Deadline: 10 * time.Second,
 				Tokens: emulator.Tokens{
-					Prompt: 100,
-					Most:   200,
+					Prompt:    100,
+					MaxOutput: 200,
 				},
 			})
 		}
@@ -89,14 +89,14 @@
 			go func() { outcomes <- stream(fmt.Sprintf("before-%d", i)) }()
 		}
 		Eventually(func() int { return len(leaving.Runs()) }).WithTimeout(patience).Should(BeNumerically(">", 0))
-		leaving.Announce(emulator.Notice{Leaving: true})
+		leaving.SetStatusHeaders(emulator.StatusHeaders{IsLeaving: true})
 		time.Sleep(bound)
 		from := time.Now()
-		Expect(stream("after")).To(HaveField("Whole", true))
+		Expect(stream("after")).To(HaveField("IsComplete", true))
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 		for range cap(outcomes) {
-			Expect(<-outcomes).To(And(HaveField("Whole", true), HaveField("Fault", "")))
+			Expect(<-outcomes).To(And(HaveField("IsComplete", true), HaveField("Fault", "")))
 		}
-		Expect(leaving.Runs()).NotTo(ContainElement(HaveField("Ended", true)), "its streams went elsewhere before their end")
+		Expect(leaving.Runs()).NotTo(ContainElement(HaveField("HasFinished", true)), "its streams went elsewhere before their end")
 	})
 })
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -39,7 +39,7 @@
 	}
 	limit := func(perSecond float64, all ...*emulator.Server) {
 		for _, s := range all {
-			s.Announce(emulator.Notice{Limit: strconv.FormatFloat(perSecond, 'f', -1, 64)})
+			s.SetStatusHeaders(emulator.StatusHeaders{RateLimit: strconv.FormatFloat(perSecond, 'f', -1, 64)})
 		}
 	}
 	// most is what an endpoint may get within a span, by the platform's bound.
@@ -47,7 +47,7 @@
 
 	It("gets no more than that within any four seconds, and the others serve the rest", func() {
 		const perSecond = 3.0
-		strained, other := add("i-strained", emulator.Plain), add("i-other", emulator.Plain)
+		strained, other := add("i-strained", emulator.PlainService), add("i-other", emulator.PlainService)
 		start()
 		limit(perSecond, strained)
 		load(boxes, told)
@@ -56,21 +56,21 @@
 		Expect(got).To(HaveLen(1))
 		Expect(got).To(HaveKey(http.StatusOK))
 		arrivals := strained.Arrivals(from)
-		Expect(emulator.MostWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
+		Expect(emulator.MaxArrivalsWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
 		Expect(len(arrivals)).To(BeNumerically(">=", 9*perSecond/2), "what it takes is sent to it")
 		Expect(len(other.Arrivals(from))).To(BeNumerically(">", len(arrivals)))
 	})
 
 	It("serves that where all name one, and the rest is refused at once as not run", func() {
 		const perSecond = 2.5
-		strained := add("i-strained", emulator.Plain)
+		strained := add("i-strained", emulator.PlainService)
 		start()
 		limit(perSecond, strained)
 		load(boxes, told)
 		from := time.Now()
 		got := load(boxes, 9*time.Second)
 		arrivals := strained.Arrivals(from)
-		Expect(emulator.MostWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
+		Expect(emulator.MaxArrivalsWithin(arrivals, span)).To(BeNumerically("<=", most(perSecond)))
 		Expect(got[http.StatusOK]).To(BeNumerically(">=", 9*perSecond/2))
 		Expect(got[http.StatusServiceUnavailable]).To(BeNumerically(">", got[http.StatusOK]))
 		Expect(got).To(HaveLen(2))
@@ -81,11 +81,11 @@
 	})
 
 	It("gets what others got before once it names none any more", func() {
-		strained := add("i-strained", emulator.Plain)
+		strained := add("i-strained", emulator.PlainService)
 		start()
 		limit(1, strained)
 		load(boxes, 2*time.Second)
-		strained.Announce(emulator.Notice{})
+		strained.SetStatusHeaders(emulator.StatusHeaders{})
 		Eventually(func() map[int]int { return load(boxes, time.Second) }).WithTimeout(patience).Should(And(
 			HaveLen(1),
 			HaveKey(http.StatusOK),
@@ -96,12 +96,12 @@
 		const perSecond = 2.0
 		var engines []*emulator.Server
 		for i := range 2 {
-			engines = append(engines, add(fmt.Sprintf("e-%d", i), emulator.Model))
+			engines = append(engines, add(fmt.Sprintf("e-%d", i), emulator.ModelService))
 		}
-		plain := add("i-fails", emulator.Plain)
-		plain.SetFault(emulator.Fails, -1)
-		other := add("i-fails-too", emulator.Plain)
-		other.SetFault(emulator.Fails, -1)
+		plain := add("i-fails", emulator.PlainService)
+		plain.SetFault(emulator.InternalError, -1)
+		other := add("i-fails-too", emulator.PlainService)
+		other.SetFault(emulator.InternalError, -1)
 		start()
 		limit(perSecond, append(engines, plain, other)...)
 		send := func(lasts time.Duration) {
@@ -117,8 +117,8 @@
 								Path:     path,
 								Deadline: time.Second,
 								Tokens: emulator.Tokens{
-									Prompt: 100,
-									Most:   20,
+									Prompt:    100,
+									MaxOutput: 20,
 								},
 							})
 							time.Sleep(50 * time.Millisecond)
@@ -132,7 +132,7 @@
 		from := time.Now()
 		send(9 * time.Second)
 		for _, s := range append(engines, plain, other) {
-			Expect(emulator.MostWithin(s.Arrivals(from), span)).To(BeNumerically("<=", most(perSecond)), s.ID)
+			Expect(emulator.MaxArrivalsWithin(s.Arrivals(from), span)).To(BeNumerically("<=", most(perSecond)), s.ID)
 			Expect(s.Arrivals(from)).NotTo(BeEmpty(), s.ID)
 		}
 	})
--- a/box/rest_test.go
+++ b/box/rest_test.go
@@ -41,8 +41,8 @@
 		for _, refused := range all {
 			n := 0
 			for _, a := range all {
-				after := a.At.Sub(refused.Refused)
-				if refused.Rest > 0 && sender(a) == sender(refused) && after > settle && after < refused.Rest {
+				after := a.At.Sub(refused.RefusedAt)
+				if refused.Backoff > 0 && sender(a) == sender(refused) && after > settle && after < refused.Backoff {
 					n++
 				}
 			}
@@ -53,38 +53,38 @@
 
 	It("gets it, and the others serve", func() {
 		begin := time.Now()
-		tired, other := add("i-tired", emulator.Plain), add("i-other", emulator.Plain)
-		other.SetFault(emulator.Fails, -1) // the worse of the two, by its failures
+		tired, other := add("i-tired", emulator.PlainService), add("i-other", emulator.PlainService)
+		other.SetFault(emulator.InternalError, -1) // the worse of the two, by its failures
 		start(2)
-		tired.Announce(emulator.Notice{Rest: rest})
+		tired.SetStatusHeaders(emulator.StatusHeaders{Backoff: rest})
 		tired.SetFault(emulator.Shed, 4)
 		got := load(boxes, rest)
 		Expect(got).To(HaveKey(http.StatusInternalServerError))
 		Expect(disturbed(tired.Arrivals(begin))).To(BeNumerically("<=", most))
-		other.SetFault(emulator.Well, 0)
+		other.SetFault(emulator.NoFault, 0)
 		Eventually(func() map[int]int { return load(boxes, time.Second) }).WithTimeout(patience).Should(HaveLen(1))
 		Eventually(func() int { load(boxes, 300*time.Millisecond); return len(tired.Runs()) }).WithTimeout(patience).Should(BeNumerically(">", 0), "it serves again")
 	})
 
 	It("gets it where there is no other, and requests are refused at once as not run", func() {
 		begin := time.Now()
-		tired := add("i-tired", emulator.Plain)
+		tired := add("i-tired", emulator.PlainService)
 		start(1)
-		tired.Announce(emulator.Notice{Rest: rest})
+		tired.SetStatusHeaders(emulator.StatusHeaders{Backoff: rest})
 		tired.SetFault(emulator.Shed, 1)
 		Expect(boxes[0].call("c0-first").Status).To(Equal(http.StatusServiceUnavailable))
 		o := boxes[0].call("c0-second")
-		Expect(o).To(And(HaveField("Status", http.StatusServiceUnavailable), HaveField("Took", BeNumerically("<", 200*time.Millisecond))))
-		Expect(o.RetryIn).To(MatchRegexp(`^[1-4](\.\d+)?$`), "it is told when the rest ends")
+		Expect(o).To(And(HaveField("Status", http.StatusServiceUnavailable), HaveField("Elapsed", BeNumerically("<", 200*time.Millisecond))))
+		Expect(o.RetryAfter).To(MatchRegexp(`^[1-4](\.\d+)?$`), "it is told when the rest ends")
 		load(boxes, rest-settle)
 		Expect(disturbed(tired.Arrivals(begin))).To(BeNumerically("<=", most))
 		Eventually(func() int { return boxes[0].call("c0-later").Status }).WithTimeout(patience).Should(Equal(http.StatusOK))
 	})
 
 	It("gets it of an engine, from streams, moves and questions for its load", func() {
-		tired := add("e-tired", emulator.Model)
+		tired := add("e-tired", emulator.ModelService)
 		tired.Events = 80
-		tired.EventGap = 50 * time.Millisecond
+		tired.EventInterval = 50 * time.Millisecond
 		start(1)
 		time.Sleep(time.Second)
 		ended := make(chan emulator.Outcome, 1)
@@ -95,18 +95,18 @@
 				Path:     emulator.StreamPath,
 				Deadline: 10 * time.Second,
 				Tokens: emulator.Tokens{
-					Prompt: 100,
-					Most:   200,
+					Prompt:    100,
+					MaxOutput: 200,
 				},
 			})
 		}
 		go func() { ended <- stream("long") }()
 		Eventually(func() int { return len(tired.Runs()) }).WithTimeout(patience).Should(Equal(1))
-		add("e-other", emulator.Model)
+		add("e-other", emulator.ModelService)
 		Eventually(func() string { return boxes[0].get("/status") }).WithTimeout(patience).Should(ContainSubstring(fmt.Sprintf(`"list_changed":%d,`, d.Store.Revision())))
-		tired.Announce(emulator.Notice{Rest: rest})
+		tired.SetStatusHeaders(emulator.StatusHeaders{Backoff: rest})
 		tired.SetFault(emulator.Shed, 1)
-		refused := ContainElement(HaveField("Rest", rest))
+		refused := ContainElement(HaveField("Backoff", rest))
 		for i := 0; ; i++ {
 			Expect(stream(fmt.Sprintf("short-%d", i))).To(HaveField("Status", http.StatusOK))
 			if met, _ := refused.Match(tired.Arrivals(time.Time{})); met {
@@ -115,9 +115,9 @@
 		}
 		from := time.Now().Add(settle)
 		time.Sleep(rest - 4*settle)
-		d.List(tired, emulator.Model, "draining") // its run would be moved off now
+		d.List(tired, emulator.ModelService, "draining") // its run would be moved off now
 		time.Sleep(3 * settle)
 		Expect(len(tired.Arrivals(from))).To(BeNumerically("<=", most), "%v", tired.Arrivals(from))
-		Expect(<-ended).To(HaveField("Whole", true))
+		Expect(<-ended).To(HaveField("IsComplete", true))
 	})
 })
--- a/box/zone_test.go
+++ b/box/zone_test.go
@@ -28,9 +28,9 @@
 		d, err = emulator.NewDeployment()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
-		near, err = d.AddIn("zone-a", "i-1", emulator.Plain)
+		near, err = d.AddIn("zone-a", "i-1", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
-		far, err = d.AddIn("zone-b", "i-2", emulator.Plain)
+		far, err = d.AddIn("zone-b", "i-2", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 	})
 	start := func(n int) {
@@ -71,7 +71,7 @@
 		uses(near)
 		d.Drain("zone-a")
 		avoids(near)
-		d.TakeBack("zone-a")
+		d.EndDrain("zone-a")
 		uses(near)
 		d.Drain("zone-a")
 		avoids(near)
@@ -107,7 +107,7 @@
 		d.Drain("zone-a")
 		d.Store.Compact()
 		avoids(near)
-		d.TakeBack("zone-a")
+		d.EndDrain("zone-a")
 		d.Store.Compact()
 		uses(near)
 	})
@@ -119,16 +119,16 @@
 		Eventually(call).WithArguments(boxes[0]).WithTimeout(bound).Should(Equal(http.StatusServiceUnavailable))
 		before := len(near.Runs()) + len(far.Runs())
 		o := boxes[0].call("refused")
-		Expect(o.NotRun()).To(BeTrue())
-		Expect(o.RetryIn).NotTo(BeEmpty())
-		Expect(o.Took).To(BeNumerically("<", time.Second))
+		Expect(o.PromisesNotRun()).To(BeTrue())
+		Expect(o.RetryAfter).NotTo(BeEmpty())
+		Expect(o.Elapsed).To(BeNumerically("<", time.Second))
 		Expect(len(near.Runs()) + len(far.Runs())).To(Equal(before))
 	})
 
 	It("serves the streams that are under way there to their end", func() {
-		s, err := d.AddIn("zone-a", "e-1", emulator.Model)
+		s, err := d.AddIn("zone-a", "e-1", emulator.ModelService)
 		Expect(err).NotTo(HaveOccurred())
-		s.EventGap = 100 * time.Millisecond
+		s.EventInterval = 100 * time.Millisecond
 		s.Events = 20
 		start(1)
 		ended := make(chan emulator.Outcome, 1)
@@ -138,7 +138,7 @@
 				Method:   http.MethodPost,
 				Path:     emulator.StreamPath,
 				Deadline: 20 * time.Second,
-				Tokens:   emulator.Tokens{Prompt: 10, Most: 80},
+				Tokens:   emulator.Tokens{Prompt: 10, MaxOutput: 80},
 			})
 		}()
 		Eventually(func() int { return len(s.Runs()) }).WithTimeout(patience).Should(Equal(1))
@@ -146,7 +146,7 @@
 		avoids(near)
 		var o emulator.Outcome
 		Eventually(ended).WithTimeout(patience).Should(Receive(&o))
-		Expect(o.Whole).To(BeTrue())
+		Expect(o.IsComplete).To(BeTrue())
 		Expect(o.Events).To(Equal(20))
 		Expect(s.Runs()).To(HaveLen(1))
 	})
--- a/fleet/spread_test.go
+++ b/fleet/spread_test.go
@@ -73,7 +73,7 @@
 	f := &smallFleet{network: n}
 	seed := netip.AddrPortFrom(hostOf(0), 8000)
 	f.start = func(i int) {
-		n.Join(hostOf(i), bytesPerSecond)
+		n.AddHost(hostOf(i), bytesPerSecond)
 		b := fleet.NewState()
 		b.ApplySnapshot(time.Now(), snapshot(1))
 		q := fleet.NewQuarantine(zap.NewNop())
@@ -84,7 +84,7 @@
 			Address:    netip.AddrPortFrom(hostOf(i), 8000),
 			Zone:       fmt.Sprintf("zone-%d", i%2),
 			InstanceID: uint64(i + 1),
-		}, []netip.AddrPort{seed}, b, append(reporting(reports(b)), fleet.WithNetwork(n.At(hostOf(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
+		}, []netip.AddrPort{seed}, b, append(reporting(reports(b)), fleet.WithNetwork(n.ForHost(hostOf(i))), fleet.WithQuarantine(q), fleet.WithLimits(limits),
 			fleet.WithPlacementHandler(func(time.Time, fleet.Placement) { heard.Add(1) }))...)
 		if err != nil {
 			t.Fatal(err)
@@ -197,7 +197,7 @@
 		f := startFleet(t, 18, smallLink)
 		f.learn(0, largeDocument(7, 2850))
 		time.Sleep(30 * time.Millisecond)
-		f.network.Silence(hostOf(0))
+		f.network.SilenceHost(hostOf(0))
 		f.learn(1, largeDocument(7, 2850))
 		time.Sleep(inForce - 30*time.Millisecond)
 		g.Expect(f.without(7)).To(gomega.BeZero(), "boxes without the configuration after %v", inForce)
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -104,11 +104,11 @@
 
 func (b *bench) call(method, path, id, body string) emulator.Outcome {
 	return b.caller.Do(context.Background(), emulator.Call{
-		ID:       id,
-		Method:   method,
-		Path:     path,
-		Body:     body,
-		Deadline: callerWaits,
-		Forged:   true,
+		ID:            id,
+		Method:        method,
+		Path:          path,
+		Body:          body,
+		Deadline:      callerWaits,
+		ForgesHeaders: true,
 	})
 }
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -14,10 +14,10 @@
 var _ = Describe("a caller's connection", func() {
 	var b *bench
 	var s *emulator.Server
-	var c *emulator.Raw
+	var c *emulator.RawCaller
 	BeforeEach(func() {
 		b = newBench()
-		s = b.add("i-1", emulator.Plain)
+		s = b.add("i-1", emulator.PlainService)
 		var err error
 		c, err = emulator.DialRaw(b.front)
 		Expect(err).NotTo(HaveOccurred())
@@ -30,7 +30,7 @@
 	}
 
 	It("with pipelined requests gets the answers in order, each its own", func() {
-		Expect(c.Say(emulator.RequestText("p1", "one") + emulator.RequestText("p2", "two") + emulator.RequestText("p3", "three"))).To(Succeed())
+		Expect(c.Send(emulator.RequestText("p1", "one") + emulator.RequestText("p2", "two") + emulator.RequestText("p3", "three"))).To(Succeed())
 		for i, want := range []string{"one", "two", "three"} {
 			o := answer()
 			Expect(o.Status).To(Equal(http.StatusOK))
@@ -44,36 +44,36 @@
 	// must stop within half a second.
 	It("that is half closed after the request counts as closed", func() {
 		s.WorkTime = 5 * time.Second
-		Expect(c.Say(emulator.RequestText("h1", "body"))).To(Succeed())
+		Expect(c.Send(emulator.RequestText("h1", "body"))).To(Succeed())
 		Eventually(s.Runs).Should(HaveLen(1))
 		Expect(c.HalfClose()).To(Succeed())
-		rest, err := c.Rest()
+		rest, err := c.ReadToEnd()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rest).To(BeEmpty())
 		Eventually(b.gateway.Active).Should(BeZero())
 	})
 
 	It("that asks to be closed is closed after its answer and not before", func() {
-		Expect(c.Say(emulator.RequestText("k1", "body", "Connection: close"))).To(Succeed())
+		Expect(c.Send(emulator.RequestText("k1", "body", "Connection: close"))).To(Succeed())
 		Expect(answer().Status).To(Equal(http.StatusOK))
-		rest, err := c.Rest()
+		rest, err := c.ReadToEnd()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rest).To(BeEmpty())
 	})
 
 	It("with a body shorter than its length never has it run", func() {
 		text := emulator.RequestText("s1", "whole body")
-		Expect(c.Say(text[:len(text)-4])).To(Succeed())
+		Expect(c.Send(text[:len(text)-4])).To(Succeed())
 		Expect(c.HalfClose()).To(Succeed())
-		_, err := c.Rest()
+		_, err := c.ReadToEnd()
 		Expect(err).NotTo(HaveOccurred())
 		Consistently(s.Runs).WithTimeout(200 * time.Millisecond).Should(BeEmpty())
 	})
 
 	DescribeTable("never has a request run that hides in the body of another",
 		func(extra string) {
-			Expect(c.Say(emulator.RequestText("outer", "0\r\n\r\n"+emulator.RequestText("inner", "x"), extra))).To(Succeed())
-			_, err := c.Rest()
+			Expect(c.Send(emulator.RequestText("outer", "0\r\n\r\n"+emulator.RequestText("inner", "x"), extra))).To(Succeed())
+			_, err := c.ReadToEnd()
 			Expect(err).NotTo(HaveOccurred())
 			for _, run := range s.Runs() {
 				Expect(run.ID).To(Equal("outer"))
--- a/gateway/hostile_test.go
+++ b/gateway/hostile_test.go
@@ -20,7 +20,7 @@
 	var s *emulator.Server
 	BeforeEach(func() {
 		b = newBench()
-		s = b.add("i-1", emulator.Plain)
+		s = b.add("i-1", emulator.PlainService)
 	})
 	post := func(id string) emulator.Outcome {
 		return b.call(http.MethodPost, emulator.CallPath+"x?y=1", id, "body")
@@ -49,20 +49,20 @@
 		Entry("bytes that are no answer", emulator.Garble),
 		Entry("a success without a signature", emulator.Unsigned),
 		Entry("a body with an encoding", emulator.Encoded),
-		Entry("a refusal that doesn't say not run", emulator.Lies),
+		Entry("a refusal that doesn't say not run", emulator.RanButRefused),
 	)
 
 	It("is told not run with a time to come back when the only endpoint refuses it", func() {
 		s.SetFault(emulator.Shed, -1)
 		o := post("d1")
 		Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(o.RetryIn).NotTo(BeEmpty())
+		Expect(o.RetryAfter).NotTo(BeEmpty())
 		Expect(s.Runs()).To(BeEmpty())
 	})
 
 	It("goes to another endpoint when one refuses it or can't be reached", func() {
-		s.SetFault(emulator.Elsewhere, -1)
-		b.add("i-2", emulator.Plain)
+		s.SetFault(emulator.Misdirected, -1)
+		b.add("i-2", emulator.PlainService)
 		for i := range 6 {
 			Expect(post(fmt.Sprintf("e%d", i)).Status).To(Equal(http.StatusOK))
 		}
@@ -73,14 +73,14 @@
 	})
 
 	It("is ended at its deadline when the endpoint is silent, as unknown", func() {
-		s.SetFault(emulator.Mute, 1)
+		s.SetFault(emulator.NoAnswer, 1)
 		o := post("g1")
 		Expect(o.Status).To(Equal(http.StatusGatewayTimeout))
 	})
 
 	It("gets its own answer past an answer too many, and the connection isn't used again", func() {
 		Expect(post("h1").Status).To(Equal(http.StatusOK))
-		s.SetFault(emulator.Extra, 1)
+		s.SetFault(emulator.ExtraAnswer, 1)
 		o := post("h2")
 		Expect(o.Status).To(Equal(http.StatusOK))
 		Expect(o.Fault).To(BeEmpty())
@@ -106,7 +106,7 @@
 	})
 
 	It("is delivered when the answer comes before a long body was read, and the connection isn't used again", func() {
-		s.SetFault(emulator.Early, 1)
+		s.SetFault(emulator.EarlyAnswer, 1)
 		long := strings.Repeat("x", 900<<10)
 		o := b.call(http.MethodPost, emulator.CallPath, "l1", long)
 		Expect(o.Status).To(Equal(http.StatusOK))
@@ -118,7 +118,7 @@
 		for i := range 5 {
 			Expect(post(fmt.Sprintf("m%d", i)).Status).To(Equal(http.StatusOK))
 		}
-		Expect(s.Connections()).To(Equal(1))
+		Expect(s.OpenConnections()).To(Equal(1))
 	})
 })
 
@@ -127,19 +127,19 @@
 	// that a handful at once were refused.
 	It("take memory as they come, and many at once are served", func() {
 		b := newBench()
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		s.WorkTime = 200 * time.Millisecond
 		const many = 40
 		statuses := make(chan int, many)
 		for n := range many {
 			go func() {
 				o := b.caller.Do(context.Background(), emulator.Call{
-					ID:       fmt.Sprintf("chunked-%d", n),
-					Method:   http.MethodPost,
-					Path:     emulator.CallPath,
-					Body:     "in chunks",
-					Deadline: 1500 * time.Millisecond,
-					Chunked:  true,
+					ID:        fmt.Sprintf("chunked-%d", n),
+					Method:    http.MethodPost,
+					Path:      emulator.CallPath,
+					Body:      "in chunks",
+					Deadline:  1500 * time.Millisecond,
+					IsChunked: true,
 				})
 				statuses <- o.Status
 			}()
@@ -175,11 +175,11 @@
 var _ = Describe("an endpoint that takes no connection", func() {
 	It("holds no request up that another one can take", func() {
 		b := newBench()
-		b.add("s-1", emulator.Plain)
+		b.add("s-1", emulator.PlainService)
 		gone, err := emulator.NewServer("s-2", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(gone.Crash)
-		b.deployment.ListAt(gone, deaf(), emulator.Plain, "ready")
+		b.deployment.ListAt(gone, deaf(), emulator.PlainService, "ready")
 		b.refresh()
 		begun := time.Now()
 		for i := range 8 {
@@ -201,7 +201,7 @@
 	It("is tried at a second endpoint after a failure, and not at a third", func() {
 		b := newBench()
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			b.add(id, emulator.Plain).SetFault(emulator.Fails, -1)
+			b.add(id, emulator.PlainService).SetFault(emulator.InternalError, -1)
 		}
 		o := b.call(http.MethodGet, emulator.RepeatPath, "a1", "")
 		Expect(o.Status).To(Equal(http.StatusInternalServerError))
@@ -214,7 +214,7 @@
 	DescribeTable("is answered at once, and nothing reaches an endpoint",
 		func(path, key string, body string, status int) {
 			b := newBench()
-			s := b.add("i-1", emulator.Plain)
+			s := b.add("i-1", emulator.PlainService)
 			b.caller = emulator.NewCaller(b.front, key)
 			Expect(b.call(http.MethodPost, path, "a1", body).Status).To(Equal(status))
 			Expect(s.Runs()).To(BeEmpty())
--- a/gateway/lend_test.go
+++ b/gateway/lend_test.go
@@ -20,7 +20,7 @@
 	lent := func(b *bench) int {
 		total := 0
 		for range 20 {
-			total += b.gateway.TransferOut(time.Now(), emulator.Model, 1)
+			total += b.gateway.TransferOut(time.Now(), emulator.ModelService, 1)
 			time.Sleep(10 * time.Millisecond)
 		}
 		return total
@@ -28,15 +28,15 @@
 
 	It("lends all of it when it has no streams", func() {
 		b := newBenchWith(true, shared)
-		b.add("e-1", emulator.Model)
+		b.add("e-1", emulator.ModelService)
 		Expect(lent(b)).To(Equal(part))
 	})
 
 	It("keeps one send when it has a stream", func() {
 		b := newBenchWith(true, shared)
-		s := b.add("e-1", emulator.Model)
+		s := b.add("e-1", emulator.ModelService)
 		s.Events = 1000
-		s.EventGap = 20 * time.Millisecond
+		s.EventInterval = 20 * time.Millisecond
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go b.caller.Do(ctx, emulator.Call{
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -37,7 +37,7 @@
 				Deadline: time.Second,
 			})
 			Expect(o.Status).To(Equal(http.StatusServiceUnavailable))
-			after, err := strconv.ParseFloat(o.RetryIn, 64)
+			after, err := strconv.ParseFloat(o.RetryAfter, 64)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(after).To(And(BeNumerically(">=", 1.5), BeNumerically("<=", 2.5)))
 			times[after] = true
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -38,31 +38,31 @@
 	}
 
 	It("tells endpoints how long callers still wait, the suspension counted", func() {
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		suspendAt(2, suspended)
 		Expect(call("under-way").Status).To(Equal(http.StatusOK))
 		Expect(deadline(s)).To(BeNumerically("<=", callerWaits-suspended))
 	})
 
 	It("gives who came after it all their time", func() {
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		suspendAt(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
 		Expect(deadline(s)).To(BeNumerically(">", callerWaits-suspended))
 	})
 
 	It("doesn't send what nobody waits for any more", func() {
-		b.add("i-1", emulator.Plain)
+		b.add("i-1", emulator.PlainService)
 		suspendAt(2, 2*callerWaits)
 		Expect(call("late").Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(b.deployment.Runs()).To(BeEmpty())
 	})
 
 	It("uses none of the connections that rested before", func() {
-		s := b.add("i-1", emulator.Plain)
+		s := b.add("i-1", emulator.PlainService)
 		Expect(call("before").Status).To(Equal(http.StatusOK))
 		suspendAt(1, suspended)
 		Expect(call("after").Status).To(Equal(http.StatusOK))
-		Expect(s.Accepted()).To(Equal(2))
+		Expect(s.AcceptedConnections()).To(Equal(2))
 	})
 })
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -74,8 +74,8 @@
 		case 0:
 			kind, call.Path, call.Deadline = "stream", emulator.StreamPath, streamPatience
 			call.Tokens = emulator.Tokens{
-				Prompt: 100,
-				Most:   160,
+				Prompt:    100,
+				MaxOutput: 160,
 			}
 		case 1, 2:
 			kind, call.Path, call.Method, call.Body = "repeat", emulator.RepeatPath, http.MethodGet, ""
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -81,7 +81,7 @@
 // does.
 func (i *injector) replaceEnded() {
 	for _, s := range slices.Clone(i.fleet.servers) {
-		if s.left.IsZero() && s.Ended() {
+		if s.left.IsZero() && s.Stopped() {
 			i.say("%s ended", s.ID)
 			s.hurt = true
 			i.unlist(s)
@@ -95,20 +95,20 @@
 	runs := f.deployment.Runs()
 	var reached []emulator.Run
 	for _, o := range repeats {
-		if o.NotRun() && len(runs[o.ID]) > 0 {
+		if o.PromisesNotRun() && len(runs[o.ID]) > 0 {
 			r.breaks("REFUSED: %s was told %d and ran", o.ID, o.Status)
 		}
 		reached = append(reached, runs[o.ID]...)
 	}
-	slices.SortFunc(reached, func(a, b emulator.Run) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	slices.SortFunc(reached, func(a, b emulator.Run) int { return cmp.Compare(a.StartedAt.UnixNano(), b.StartedAt.UnixNano()) })
 	r.Deadly = len(reached)
 	if len(reached) <= deadlyEnds {
 		return
 	}
-	known := reached[deadlyEnds-1].At.Add(workTime + deadlyKnown)
+	known := reached[deadlyEnds-1].StartedAt.Add(workTime + deadlyKnown)
 	late := 0
 	for _, run := range reached {
-		if run.At.After(known) {
+		if run.StartedAt.After(known) {
 			late++
 		}
 	}
--- a/soak/drill.go
+++ b/soak/drill.go
@@ -26,7 +26,7 @@
 type drill struct {
 	injector *injector
 	r        *rand.Rand
-	copied   *emulator.StoreCopy
+	copied   *emulator.StoreSnapshot
 	copiedAt time.Time
 	left     int // how many are still to come
 }
@@ -50,7 +50,7 @@
 	i := d.injector
 	store := i.fleet.deployment.Store
 	if d.copied == nil || time.Since(d.copiedAt) > drillAge {
-		d.copied = store.Copy()
+		d.copied = store.Snapshot()
 		d.copiedAt = time.Now()
 		return
 	}
@@ -59,8 +59,8 @@
 	i.storeAt = append(i.storeAt, time.Now())
 	store.SetFault(emulator.StoreReset, 0)
 	time.Sleep(time.Duration(d.r.Int64N(int64(drillAway))))
-	store.Return(d.copied)
-	store.SetFault(emulator.StoreWell, 0)
+	store.Restore(d.copied)
+	store.SetFault(emulator.StoreNoFault, 0)
 	d.copied = nil
 	i.storeAt = append(i.storeAt, time.Now())
 	d.writeAgain()
@@ -75,7 +75,7 @@
 		switch {
 		case s.left.IsZero():
 			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "ready")
-		case s.notice.Leaving:
+		case s.notice.IsLeaving:
 			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
 		default:
 			time.AfterFunc(lapseTime, func() { i.fleet.deployment.Unlist(s.ID) })
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -144,13 +144,13 @@
 
 func (i *injector) faultServer() {
 	s := i.server()
-	all := []emulator.Fault{emulator.Cut, emulator.Reset, emulator.Mute, emulator.Garble, emulator.Extra, emulator.Trailing,
-		emulator.Unframed, emulator.Fails, emulator.Shed, emulator.Lies, emulator.Unsigned, emulator.Elsewhere}
+	all := []emulator.Fault{emulator.Cut, emulator.Reset, emulator.NoAnswer, emulator.Garble, emulator.ExtraAnswer, emulator.Trailing,
+		emulator.Unframed, emulator.InternalError, emulator.Shed, emulator.RanButRefused, emulator.Unsigned, emulator.Misdirected}
 	fault := all[i.r.IntN(len(all))]
 	i.say("%s answers with the fault %s", s.ID, fault)
 	s.hurt = true
 	s.SetFault(fault, 8)
-	i.undo = append(i.undo, func() { s.SetFault(emulator.Well, 0) })
+	i.undo = append(i.undo, func() { s.SetFault(emulator.NoFault, 0) })
 }
 
 // drainServer replaces a server as planned: it is listed as leaving, serves on,
@@ -160,7 +160,7 @@
 	i.say("%s drains", s.ID)
 	i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
 	s.left = time.Now()
-	s.announce(func(n *emulator.Notice) { n.Leaving = true })
+	s.announce(func(n *emulator.StatusHeaders) { n.IsLeaving = true })
 	if _, err := i.fleet.addServer(s.service); err != nil {
 		i.say("no new server: %v", err)
 	}
@@ -216,12 +216,12 @@
 }
 
 func (i *injector) troubleStore() {
-	fault := []emulator.StoreFault{emulator.StoreBusy, emulator.StoreMany, emulator.StoreSilent, emulator.StoreReset}[i.r.IntN(4)]
+	fault := []emulator.StoreFault{emulator.StoreUnavailable, emulator.StoreTooManyRequests, emulator.StoreSilent, emulator.StoreReset}[i.r.IntN(4)]
 	i.say("store %s", fault)
 	i.fleet.deployment.Store.SetFault(fault, 0)
 	i.storeAt = append(i.storeAt, time.Now())
 	i.undo = append(i.undo, func() {
-		i.fleet.deployment.Store.SetFault(emulator.StoreWell, 0)
+		i.fleet.deployment.Store.SetFault(emulator.StoreNoFault, 0)
 		i.storeAt = append(i.storeAt, time.Now())
 	})
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -58,7 +58,7 @@
 	service string
 	left    time.Time // when its leaving was published
 	hurt    bool
-	notice  emulator.Notice
+	notice  emulator.StatusHeaders
 }
 
 // fleet is all that a run starts.
@@ -82,12 +82,12 @@
 		deployment: d,
 	}
 	for range plainCount {
-		if _, err := f.addServer(emulator.Plain); err != nil {
+		if _, err := f.addServer(emulator.PlainService); err != nil {
 			return f, err
 		}
 	}
 	for range engineCount {
-		if _, err := f.addServer(emulator.Model); err != nil {
+		if _, err := f.addServer(emulator.ModelService); err != nil {
 			return f, err
 		}
 	}
@@ -100,8 +100,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Events, s.EventGap, s.WorkTime = streamEvents, eventGap, workTime
-	s.Deadly = deadlyBody
+	s.Events, s.EventInterval, s.WorkTime = streamEvents, eventGap, workTime
+	s.CrashBody = deadlyBody
 	proxy, err := NewProxy(s.Address())
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 		proxy:   proxy,
 		service: service,
 	}
-	f.deployment.Adopt(s)
+	f.deployment.AddStarted(s)
 	f.deployment.ListAt(s, proxy.Address(), service, "ready")
 	f.servers = append(f.servers, l)
 	return l, nil
@@ -130,14 +130,14 @@
 		}
 		b := &member{
 			settings: emulator.BoxSettings{
-				Name:  fmt.Sprintf("box-%d", i),
-				Zone:  zoneOf(i, count),
-				Front: own[0],
-				Ready: own[1],
-				Peer:  own[2],
-				Store: proxy.Address(),
-				Seeds: []string{addresses[2], addresses[6]},
-				Grace: graceSeconds,
+				Name:         fmt.Sprintf("box-%d", i),
+				Zone:         zoneOf(i, count),
+				Front:        own[0],
+				Ready:        own[1],
+				Peer:         own[2],
+				Store:        proxy.Address(),
+				Seeds:        []string{addresses[2], addresses[6]},
+				GraceSeconds: graceSeconds,
 			},
 			metrics: own[3],
 			store:   proxy,
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -57,7 +57,7 @@
 func (a *announcer) begin() {
 	limited := make(map[string]bool)
 	for _, s := range a.fleet.servers {
-		s.announce(func(n *emulator.Notice) { n.Rest = time.Duration(a.r.Int64N(int64(restMost))) })
+		s.announce(func(n *emulator.StatusHeaders) { n.Backoff = time.Duration(a.r.Int64N(int64(restMost))) })
 		if limited[s.service] {
 			continue
 		}
@@ -67,7 +67,7 @@
 			from:      time.Now(),
 		}
 		a.limits[s] = named
-		s.announce(func(n *emulator.Notice) { n.Limit = strconv.FormatFloat(named.perSecond, 'f', 1, 64) })
+		s.announce(func(n *emulator.StatusHeaders) { n.RateLimit = strconv.FormatFloat(named.perSecond, 'f', 1, 64) })
 	}
 }
 
@@ -76,14 +76,14 @@
 	for s, n := range a.limits {
 		n.until = time.Now()
 		a.limits[s] = n
-		s.announce(func(n *emulator.Notice) { n.Limit = "" })
+		s.announce(func(n *emulator.StatusHeaders) { n.RateLimit = "" })
 	}
 }
 
 // announce changes what a server says of itself.
-func (l *listed) announce(change func(*emulator.Notice)) {
+func (l *listed) announce(change func(*emulator.StatusHeaders)) {
 	change(&l.notice)
-	l.Announce(l.notice)
+	l.SetStatusHeaders(l.notice)
 }
 
 // sender gives the box that sent a request by the callers' id, or -1.
@@ -122,7 +122,7 @@
 		if n, limited := limiting.limits[s]; limited && !s.hurt {
 			r.judgeLimit(f, s, arrivals, n)
 		}
-		if s.notice.Leaving && !s.hurt {
+		if s.notice.IsLeaving && !s.hurt {
 			r.judgeLeavingNotice(f, s, arrivals, began)
 		}
 	}
@@ -131,18 +131,18 @@
 func (r *Report) judgeRest(f *fleet, s *listed, arrivals []emulator.Arrival) {
 	for _, refused := range arrivals {
 		box := sender(refused)
-		if refused.Rest == 0 || !f.well(box) {
+		if refused.Backoff == 0 || !f.well(box) {
 			continue
 		}
 		n := 0
 		for _, a := range arrivals {
-			after := a.At.Sub(refused.Refused)
-			if sender(a) == box && after > tellTime && after < refused.Rest {
+			after := a.At.Sub(refused.RefusedAt)
+			if sender(a) == box && after > tellTime && after < refused.Backoff {
 				n++
 			}
 		}
 		if n > restArrivals {
-			r.breaks("BUDGET: %s asked box %d for %s of rest and got %d requests from it", s.ID, box, refused.Rest, n)
+			r.breaks("BUDGET: %s asked box %d for %s of rest and got %d requests from it", s.ID, box, refused.Backoff, n)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 		}
 	}
 	most := limitOver*n.perSecond*limitSpan.Seconds() + limitExtra
-	if got := emulator.MostWithin(counted, limitSpan); float64(got) > most {
+	if got := emulator.MaxArrivalsWithin(counted, limitSpan); float64(got) > most {
 		r.breaks("LIMIT: %s takes %.1f requests a second and got %d in %s", s.ID, n.perSecond, got, limitSpan)
 	}
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -161,18 +161,18 @@
 	runs := f.deployment.Runs()
 	for _, s := range all {
 		r.Requests++
-		if s.Status == http.StatusOK && s.Whole && s.Fault == "" {
+		if s.Status == http.StatusOK && s.IsComplete && s.Fault == "" {
 			r.Served++
 		}
 		if s.Fault != "" {
 			r.breaks("MIXED or ORDER: %s", s.Fault)
 		}
-		if s.stream && s.Status == http.StatusOK && s.Whole && s.Events != streamEvents {
+		if s.stream && s.Status == http.StatusOK && s.IsComplete && s.Events != streamEvents {
 			r.breaks("ORDER: stream %s looked complete after %d events", s.ID, s.Events)
 		}
 		first := 0
 		for _, run := range runs[s.ID] {
-			if run.Continued == "" {
+			if run.ResumedFrom == "" {
 				first++
 			}
 			if run.Key != "" {
@@ -182,7 +182,7 @@
 		if s.kind != "repeat" && first > 1 {
 			r.breaks("TWICE: %s ran %d times", s.ID, first)
 		}
-		if s.NotRun() && len(runs[s.ID]) > 0 {
+		if s.PromisesNotRun() && len(runs[s.ID]) > 0 {
 			r.breaks("REFUSED: %s was told %d and ran", s.ID, s.Status)
 		}
 		if s.kind == "repeat" && first > 2 {
@@ -203,7 +203,7 @@
 		if s.Status == 0 && len(runs[s.ID]) > 0 && s.ended.Sub(s.began) < graceSeconds*time.Second/2 {
 			r.breaks("LOST: %s was sent on and its connection closed without an answer", s.ID)
 		}
-		if s.stream && s.Status == http.StatusOK && !s.Whole {
+		if s.stream && s.Status == http.StatusOK && !s.IsComplete {
 			r.breaks("LOST: stream %s was cut by planned work after %d events", s.ID, s.Events)
 		}
 	}
@@ -218,8 +218,8 @@
 		}
 		for id, all := range runs {
 			for _, run := range all {
-				if run.Server == s.ID && run.Continued == "" && run.At.After(s.left.Add(applyTime)) && !i.paused(f) {
-					r.breaks("DRAIN: %s reached %s %s after it was leaving", id, s.ID, run.At.Sub(s.left))
+				if run.Server == s.ID && run.ResumedFrom == "" && run.StartedAt.After(s.left.Add(applyTime)) && !i.paused(f) {
+					r.breaks("DRAIN: %s reached %s %s after it was leaving", id, s.ID, run.StartedAt.Sub(s.left))
 				}
 			}
 		}
--- a/wire/patience_test.go
+++ b/wire/patience_test.go
@@ -20,9 +20,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := emulator.NewNetwork(time.Millisecond)
 		here, there := netip.MustParseAddrPort("10.0.0.1:9"), netip.MustParseAddrPort("10.0.0.2:9")
-		n.Join(here.Addr(), bytesPerSecond)
-		n.Join(there.Addr(), bytesPerSecond)
-		handlers := wire.NewHandlers(wire.WithNetwork(n.At(there.Addr())))
+		n.AddHost(here.Addr(), bytesPerSecond)
+		n.AddHost(there.Addr(), bytesPerSecond)
+		handlers := wire.NewHandlers(wire.WithNetwork(n.ForHost(there.Addr())))
 		wire.HandleRequest(handlers, func(context.Context, *wire.Conn, wire.Fetch) (wire.Snapshot, error) {
 			time.Sleep(pause)
 			return wire.Snapshot{Config: make([]byte, size)}, nil
@@ -31,7 +31,7 @@
 		if listenErr != nil {
 			t.Fatal(listenErr)
 		}
-		c, dialErr := wire.Dial(t.Context(), there, wire.NewHandlers(wire.WithNetwork(n.At(here.Addr()))))
+		c, dialErr := wire.Dial(t.Context(), there, wire.NewHandlers(wire.WithNetwork(n.ForHost(here.Addr()))))
 		if dialErr != nil {
 			t.Fatal(dialErr)
 		}
