--- a/bench/engine.go
+++ b/bench/engine.go
@@ -9,15 +9,15 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// engineRun is one engine in virtual time.
-type engineRun struct {
-	name     string
-	batch    *standin.Batch
-	busy     bool
-	dead     bool
-	reported admission.Report
-	reports  []timedReport
-	shares   [core.SlotCount]*admission.Shares
+// simulatedEngine is one engine in virtual time.
+type simulatedEngine struct {
+	name           string
+	batch          *standin.Batch
+	isStepping     bool
+	hasFailed      bool
+	visibleReport  admission.Report
+	pendingReports []timedReport
+	shares         [core.SlotCount]*admission.Shares
 }
 
 type timedReport struct {
@@ -25,36 +25,36 @@
 	report admission.Report
 }
 
-func (n *run) addEngine(name string) {
-	e := &engineRun{
+func (n *simulation) addEngine(name string) {
+	e := &simulatedEngine{
 		name:  name,
 		batch: standin.NewBatch(EngineRules()),
 	}
 	for slot := range e.shares {
-		hold := core.NewOwnership(name, core.DefaultLeaseRules())
-		hold.Step(n.now, core.HoldTaken{Fresh: true})
-		e.shares[slot] = admission.NewShares(hold, EngineRules().MemoryTokens, slotCount, targetStep)
+		ownership := core.NewOwnership(name, core.DefaultLeaseRules())
+		ownership.Step(n.now, core.HoldTaken{Fresh: true})
+		e.shares[slot] = admission.NewShares(ownership, EngineRules().MemoryTokens, slotCount, targetStepTime)
 	}
 	n.engines[name] = e
-	n.names = append(n.names, name)
+	n.engineNames = append(n.engineNames, name)
 }
 
-func (n *run) kill(e *engineRun) {
-	e.dead = true
-	for _, r := range n.all {
-		if r.engine != e.name || n.live[r.id] == nil {
+func (n *simulation) failEngine(e *simulatedEngine) {
+	e.hasFailed = true
+	for _, r := range n.requests {
+		if r.engine != e.name || n.active[r.id] == nil {
 			continue
 		}
 		r.lost = true
-		n.leave(r, false)
+		n.finishRequest(r, false)
 	}
 }
 
-func (n *run) startOn(r *request) {
+func (n *simulation) startRequest(r *request) {
 	e := n.engines[r.engine]
-	if e.dead {
+	if e.hasFailed {
 		r.lost = true
-		n.leave(r, false)
+		n.finishRequest(r, false)
 		return
 	}
 	r.seq = &standin.Sequence{
@@ -65,37 +65,37 @@
 		OutputLength: r.arrival.Output,
 	}
 	e.batch.Submit(r.seq)
-	if !e.busy {
-		e.busy = true
-		n.step(e)
+	if !e.isStepping {
+		e.isStepping = true
+		n.stepEngine(e)
 	}
 }
 
-func (n *run) step(e *engineRun) {
-	if e.dead || e.batch.IsIdle() {
-		e.busy = false
+func (n *simulation) stepEngine(e *simulatedEngine) {
+	if e.hasFailed || e.batch.IsIdle() {
+		e.isStepping = false
 		return
 	}
 	s := e.batch.Step()
-	n.after(s.Duration, func() {
+	n.schedule(s.Duration, func() {
 		for _, q := range s.Made {
-			n.token(n.live[q.ID])
+			n.recordToken(n.active[q.ID])
 		}
 		for _, q := range s.Finished {
-			if r := n.live[q.ID]; r != nil {
+			if r := n.active[q.ID]; r != nil {
 				r.done = true
-				n.leave(r, true)
+				n.finishRequest(r, true)
 			}
 		}
 		n.report(e, s.Duration)
-		n.step(e)
+		n.stepEngine(e)
 	})
 }
 
 // report lets owners see an engine's load later.
-func (n *run) report(e *engineRun, took time.Duration) {
-	lag := reportLag + n.c.Lag
-	e.reports = append(e.reports, timedReport{
+func (n *simulation) report(e *simulatedEngine, took time.Duration) {
+	lag := reportLag + n.c.ReportLag
+	e.pendingReports = append(e.pendingReports, timedReport{
 		at: n.now,
 		report: admission.Report{
 			Batch: e.batch.Running(),
@@ -103,37 +103,37 @@
 			Used:  e.batch.Used(),
 		},
 	})
-	due := 0
-	for due < len(e.reports) && n.now.Sub(e.reports[due].at) >= lag {
-		due++
+	visible := 0
+	for visible < len(e.pendingReports) && n.now.Sub(e.pendingReports[visible].at) >= lag {
+		visible++
 	}
-	if due == 0 {
+	if visible == 0 {
 		return
 	}
-	e.reported = e.reports[due-1].report
-	e.reports = slices.Delete(e.reports, 0, due)
+	e.visibleReport = e.pendingReports[visible-1].report
+	e.pendingReports = slices.Delete(e.pendingReports, 0, visible)
 	for slot := range e.shares {
-		e.shares[slot].Observe(e.reported)
+		e.shares[slot].Observe(e.visibleReport)
 	}
 }
 
-// stallAfter is the silence between tokens that counts as a stall.
-const stallAfter = 0.25
+// stallThreshold is the silence between tokens that counts as a stall.
+const stallThreshold = 0.25
 
-func (n *run) token(r *request) {
+func (n *simulation) recordToken(r *request) {
 	if r == nil {
 		return
 	}
-	if r.first.IsZero() {
-		r.first = n.now
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = n.now
 	} else {
-		gap := n.now.Sub(r.last).Seconds()
-		r.gaps = append(r.gaps, gap)
-		r.stall += max(0, gap-stallAfter)
+		gap := n.now.Sub(r.lastTokenAt).Seconds()
+		r.tokenGaps = append(r.tokenGaps, gap)
+		r.stallSeconds += max(0, gap-stallThreshold)
 	}
-	r.last = n.now
-	if r.seq.Made-r.counted >= reportEvery {
-		r.counted = r.seq.Made
+	r.lastTokenAt = n.now
+	if r.seq.Made-r.reportedTokens >= tokensPerReport {
+		r.reportedTokens = r.seq.Made
 		n.boxes[r.arrival.Box].Step(n.now, admission.TokensMade{
 			ID:        r.id,
 			Generated: r.seq.Made,
@@ -141,15 +141,15 @@
 	}
 }
 
-func (n *run) leave(r *request, whole bool) {
-	delete(n.live, r.id)
+func (n *simulation) finishRequest(r *request, completed bool) {
+	delete(n.active, r.id)
 	made := 0
 	if r.seq != nil {
 		made = r.seq.Made
 	}
-	n.perform(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
+	n.execute(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
 		ID:        r.id,
 		Generated: made,
-		Whole:     whole,
+		Whole:     completed,
 	}))
 }
--- /dev/null
+++ b/bench/event_queue.go
@@ -0,0 +1,46 @@
+package bench
+
+import (
+	"container/heap"
+	"time"
+)
+
+// event is something that happens at a time.
+type event struct {
+	at     time.Time
+	order  int
+	action func()
+}
+
+type eventQueue struct {
+	items     []event
+	lastOrder int
+}
+
+func (q *eventQueue) Len() int { return len(q.items) }
+
+func (q *eventQueue) Less(i, j int) bool {
+	if q.items[i].at.Equal(q.items[j].at) {
+		return q.items[i].order < q.items[j].order
+	}
+	return q.items[i].at.Before(q.items[j].at)
+}
+
+func (q *eventQueue) Swap(i, j int) { q.items[i], q.items[j] = q.items[j], q.items[i] }
+
+func (q *eventQueue) Push(x any) { q.items = append(q.items, x.(event)) }
+
+func (q *eventQueue) Pop() any {
+	last := q.items[len(q.items)-1]
+	q.items = q.items[:len(q.items)-1]
+	return last
+}
+
+func (n *simulation) schedule(d time.Duration, action func()) {
+	n.queue.lastOrder++
+	heap.Push(&n.queue, event{
+		at:     n.now.Add(d),
+		order:  n.queue.lastOrder,
+		action: action,
+	})
+}
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -6,26 +6,26 @@
 
 // Policy is one way to decide, for a column of the table.
 type Policy struct {
-	Name   string
-	Change func(*admission.Rules, *run)
-	Boxes  int // 1: as if every request asked the owner
+	Name  string
+	Apply func(*admission.Rules, *simulation)
+	Boxes int // 1: as if every request asked the owner
 }
 
 // Policies are the columns.
 func Policies() []Policy {
 	return []Policy{
-		{Name: "round robin", Change: roundRobin},
-		{Name: "least reported", Change: leastReported},
-		{Name: "reservation", Change: func(r *admission.Rules, _ *run) { r.ReserveMaxLength = true }},
-		{Name: "dillsaddle", Change: func(*admission.Rules, *run) {}},
-		{Name: "one owner asked", Change: func(*admission.Rules, *run) {}, Boxes: 1},
-		{Name: "oracle", Change: func(r *admission.Rules, n *run) {
-			r.KnownLength = func(id string) int { return n.live[id].arrival.Output }
+		{Name: "round robin", Apply: roundRobin},
+		{Name: "least reported", Apply: leastReported},
+		{Name: "reservation", Apply: func(r *admission.Rules, _ *simulation) { r.ReserveMaxLength = true }},
+		{Name: "dillsaddle", Apply: func(*admission.Rules, *simulation) {}},
+		{Name: "one owner asked", Apply: func(*admission.Rules, *simulation) {}, Boxes: 1},
+		{Name: "oracle", Apply: func(r *admission.Rules, n *simulation) {
+			r.KnownLength = func(id string) int { return n.active[id].arrival.Output }
 		}},
 	}
 }
 
-func roundRobin(r *admission.Rules, n *run) {
+func roundRobin(r *admission.Rules, n *simulation) {
 	next := 0
 	r.IgnoreFit = true
 	r.Choose = func(candidates []string) string {
@@ -37,12 +37,12 @@
 	}
 }
 
-func leastReported(r *admission.Rules, n *run) {
+func leastReported(r *admission.Rules, n *simulation) {
 	r.IgnoreFit = true
 	r.Choose = func(candidates []string) string {
 		best := ""
 		for _, name := range candidates {
-			if best == "" || n.engines[name].reported.Used < n.engines[best].reported.Used {
+			if best == "" || n.engines[name].visibleReport.Used < n.engines[best].visibleReport.Used {
 				best = name
 			}
 		}
--- a/bench/replay_test.go
+++ b/bench/replay_test.go
@@ -20,7 +20,7 @@
 }
 
 func replay(d bench.Deployment, name, policy string) *bench.Outcome {
-	c, err := bench.Find(bench.Cases(60*time.Second), name)
+	c, err := bench.FindCase(bench.Cases(60*time.Second), name)
 	Expect(err).NotTo(HaveOccurred())
 	return bench.Replay(d, c, policyNamed(policy), bench.Seed)
 }
@@ -40,7 +40,7 @@
 
 		It("keep control within its bytes and goodput above reservation's in "+d.Name, func() {
 			o := replay(d, "1.3", bench.PolicyOurs)
-			Expect(o.Bytes).To(BeNumerically("<", 23000))
+			Expect(o.ControlBytesPerSecond).To(BeNumerically("<", 23000))
 			Expect(o.Goodput).To(BeNumerically(">", 1.5*replay(d, "1.3", bench.PolicyReservation).Goodput))
 		})
 
--- a/bench/run.go
+++ b/bench/run.go
@@ -13,20 +13,20 @@
 
 // The fixed sizes of a run.
 const (
-	boxCount     = 3
-	engineCount  = 6
-	slotCount    = 60
-	leaseEvery   = 500 * time.Millisecond
-	controlDelay = 3 * time.Millisecond
-	reportLag    = 500 * time.Millisecond
-	reportEvery  = 16
-	targetStep   = 30 * time.Millisecond
-	cutFor       = 20 * time.Second
+	boxCount        = 3
+	engineCount     = 6
+	slotCount       = 60
+	leaseInterval   = 500 * time.Millisecond
+	controlDelay    = 3 * time.Millisecond
+	reportLag       = 500 * time.Millisecond
+	tokensPerReport = 16
+	targetStepTime  = 30 * time.Millisecond
+	partitionTime   = 20 * time.Second
 )
 
-// tierRisks are the risks of the tiers by rank, as the examples' configurations
+// rankRisks are the risks of the tiers by rank, as the examples' configurations
 // have them.
-var tierRisks = []float64{0.01, 0.05, 0.1}
+var rankRisks = []float64{0.01, 0.05, 0.1}
 
 // EngineRules are the engines of a run; memory binds before the batch does.
 func EngineRules() standin.BatchRules {
@@ -38,35 +38,35 @@
 
 // request is one arrival on its way through a run.
 type request struct {
-	arrival *Arrival
-	id      string
-	seq     *standin.Sequence
-	engine  string
-	first   time.Time
-	last    time.Time
-	gaps    []float64 // seconds between tokens
-	stall   float64
-	refused bool
-	lost    bool
-	done    bool
-	counted int
+	arrival        *Arrival
+	id             string
+	seq            *standin.Sequence
+	engine         string
+	firstTokenAt   time.Time
+	lastTokenAt    time.Time
+	tokenGaps      []float64 // seconds between tokens
+	stallSeconds   float64
+	refused        bool
+	lost           bool
+	done           bool
+	reportedTokens int
 }
 
-// run is one replay.
-type run struct {
-	c        Case
-	list     *core.List
-	owners   *core.Owners
-	start    time.Time
-	now      time.Time
-	queue    events
-	engines  map[string]*engineRun
-	names    []string
-	boxes    []*admission.Model
-	live     map[string]*request
-	all      []*request
-	bytes    int
-	messages int
+// simulation is one replay.
+type simulation struct {
+	c               Case
+	list            *core.List
+	owners          *core.Owners
+	start           time.Time
+	now             time.Time
+	queue           eventQueue
+	engines         map[string]*simulatedEngine
+	engineNames     []string
+	boxes           []*admission.Model
+	active          map[string]*request
+	requests        []*request
+	controlBytes    int
+	controlMessages int
 }
 
 // Replay runs one deployment, case and policy.
@@ -75,15 +75,15 @@
 	if p.Boxes > 0 {
 		boxes = p.Boxes
 	}
-	n := newRun(c, p, boxes)
-	arrivals := d.Arrivals(c, d.Rate(engineCount, EngineRules(), slotCount), boxes, seed)
+	n := newSimulation(c, p, boxes)
+	arrivals := d.Arrivals(c, d.SustainableRate(engineCount, EngineRules(), slotCount), boxes, seed)
 	for i := range arrivals {
 		a := &arrivals[i]
-		n.after(a.At, func() { n.arrive(a, i) })
+		n.schedule(a.At, func() { n.arrive(a, i) })
 	}
-	n.disturb()
+	n.scheduleFaults()
 	for i := range n.boxes {
-		n.after(time.Duration(i)*leaseEvery/time.Duration(boxes), func() { n.renew(i) })
+		n.schedule(time.Duration(i)*leaseInterval/time.Duration(boxes), func() { n.renewLeases(i) })
 	}
 	end := n.start.Add(c.Duration + drainTime)
 	for n.queue.Len() > 0 {
@@ -92,7 +92,7 @@
 			break
 		}
 		n.now = next.at
-		next.do()
+		next.action()
 	}
 	return n.outcome(d, p)
 }
@@ -100,12 +100,12 @@
 // drainTime lets what was admitted end after the last arrival.
 const drainTime = 30 * time.Second
 
-func newRun(c Case, p Policy, boxes int) *run {
-	n := &run{
+func newSimulation(c Case, p Policy, boxes int) *simulation {
+	n := &simulation{
 		c:       c,
 		start:   time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC),
-		engines: make(map[string]*engineRun),
-		live:    make(map[string]*request),
+		engines: make(map[string]*simulatedEngine),
+		active:  make(map[string]*request),
 		list:    &core.List{Version: 1},
 	}
 	n.now = n.start
@@ -120,121 +120,121 @@
 		rules := admission.DefaultRules()
 		rules.MaxWaiting = func(string) int { return 100000 }
 		rules.MaxWait = 20 * time.Second
-		p.Change(&rules, n)
+		p.Apply(&rules, n)
 		m := admission.NewModel(admission.WithRules(rules))
-		m.Step(n.now, admission.EndpointsChanged{Names: n.names})
+		m.Step(n.now, admission.EndpointsChanged{Names: n.engineNames})
 		n.boxes = append(n.boxes, m)
 	}
 	return n
 }
 
-// disturb arranges what goes wrong in the case.
-func (n *run) disturb() {
-	if n.c.Death {
-		n.after(n.c.Duration/2, func() { n.kill(n.engines[n.names[0]]) })
+// scheduleFaults arranges what goes wrong in the case.
+func (n *simulation) scheduleFaults() {
+	if n.c.EngineFails {
+		n.schedule(n.c.Duration/2, func() { n.failEngine(n.engines[n.engineNames[0]]) })
 	}
 }
 
-// cutOff reports whether a box can't reach an owner now.
-func (n *run) cutOff(box, owner string) bool {
-	if !n.c.Cut {
+// isCutOff reports whether a box can't reach an owner now.
+func (n *simulation) isCutOff(box, owner string) bool {
+	if !n.c.IsPartitioned {
 		return false
 	}
-	began := n.start.Add(n.c.Duration / 3)
-	if n.now.Before(began) || n.now.After(began.Add(cutFor)) {
+	partitionStart := n.start.Add(n.c.Duration / 3)
+	if n.now.Before(partitionStart) || n.now.After(partitionStart.Add(partitionTime)) {
 		return false
 	}
-	half := n.list.Boxes[len(n.list.Boxes)/2].Name
-	return (box < half) != (owner < half)
+	firstOfSecondHalf := n.list.Boxes[len(n.list.Boxes)/2].Name
+	return (box < firstOfSecondHalf) != (owner < firstOfSecondHalf)
 }
 
-// renew asks every owner for leases, as an entry does.
-func (n *run) renew(box int) {
-	n.after(leaseEvery, func() { n.renew(box) })
-	n.askOwners(box)
-	n.perform(box, n.boxes[box].Step(n.now, admission.Ticked{}))
+// renewLeases asks every owner for leases, as an entry does.
+func (n *simulation) renewLeases(box int) {
+	n.schedule(leaseInterval, func() { n.renewLeases(box) })
+	n.requestLeases(box)
+	n.execute(box, n.boxes[box].Step(n.now, admission.Ticked{}))
 }
 
-func (n *run) askOwners(box int) {
+func (n *simulation) requestLeases(box int) {
 	m := n.boxes[box]
 	name := n.list.Boxes[box].Name
 	asked := n.now
 	owners := make(map[string]*wire.LeaseRequest)
-	for _, w := range m.Demands(n.now, true) {
+	for _, demand := range m.Demands(n.now, true) {
 		for slot := range core.SlotCount {
-			n.ask(box, name, asked, w, slot, owners)
+			n.ask(box, name, asked, demand, slot, owners)
 		}
 	}
 	for _, ask := range owners {
-		n.count(ask)
+		n.countMessage(ask)
 	}
 }
 
-func (n *run) ask(box int, name string, asked time.Time, w admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
-	owner := n.owners.Of(w.Endpoint, "", slot)
-	e := n.engines[w.Endpoint]
-	if e.dead || n.cutOff(name, owner) {
+func (n *simulation) ask(box int, name string, asked time.Time, demand admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
+	owner := n.owners.Of(demand.Endpoint, "", slot)
+	e := n.engines[demand.Endpoint]
+	if e.hasFailed || n.isCutOff(name, owner) {
 		return
 	}
 	if owners[owner] == nil {
 		owners[owner] = &wire.LeaseRequest{}
 	}
-	mean, deviation := w.Profile.Floats()
+	mean, deviation := demand.Profile.Floats()
 	owners[owner].Demands = append(owners[owner].Demands, wire.LeaseDemand{
-		Endpoint:  w.Endpoint,
+		Endpoint:  demand.Endpoint,
 		Mean:      mean,
 		Deviation: deviation,
-		Running:   w.Running,
-		Waiting:   w.Waiting,
+		Running:   demand.Running,
+		Waiting:   demand.Waiting,
 	})
-	n.after(controlDelay, func() {
+	n.schedule(controlDelay, func() {
 		e.shares[slot].Ownership().Step(n.now, core.ListConfirmed{At: n.now})
-		g := e.shares[slot].Grant(n.now, name, w.Demand)
-		n.count(wire.LeaseGrant{
-			Endpoint:       w.Endpoint,
+		grant := e.shares[slot].Grant(n.now, name, demand.Demand)
+		n.countMessage(wire.LeaseGrant{
+			Endpoint:       demand.Endpoint,
 			OtherMean:      mean,
 			OtherDeviation: deviation,
 		})
-		n.after(controlDelay, func() {
-			n.perform(box, n.boxes[box].Step(n.now, admission.LeaseArrived{
+		n.schedule(controlDelay, func() {
+			n.execute(box, n.boxes[box].Step(n.now, admission.LeaseArrived{
 				Slot:         slot,
-				Lease:        core.NewLease(w.Endpoint, asked, g.TTL, g.Tokens, g.Slots),
+				Lease:        core.NewLease(demand.Endpoint, asked, grant.TTL, grant.Tokens, grant.Slots),
 				HasOthers:    true,
-				Others:       g.Others,
-				OtherRunning: g.OtherRunning,
-				Growth:       g.Growth,
-				Step:         e.reported.Step,
+				Others:       grant.Others,
+				OtherRunning: grant.OtherRunning,
+				Growth:       grant.Growth,
+				Step:         e.visibleReport.Step,
 			}))
 		})
 	})
 }
 
-// count adds a control message to the bytes that boxes exchange.
-func (n *run) count(m any) {
-	n.bytes += wire.EncodedSize(m)
-	n.messages++
+// countMessage adds a control message to the bytes that boxes exchange.
+func (n *simulation) countMessage(m any) {
+	n.controlBytes += wire.EncodedSize(m)
+	n.controlMessages++
 }
 
-func (n *run) arrive(a *Arrival, i int) {
+func (n *simulation) arrive(a *Arrival, i int) {
 	r := &request{
 		arrival: a,
 		id:      fmt.Sprintf("r%d", i),
 	}
-	n.all = append(n.all, r)
-	n.live[r.id] = r
+	n.requests = append(n.requests, r)
+	n.active[r.id] = r
 	n.submit(r)
 }
 
-func (n *run) submit(r *request) {
+func (n *simulation) submit(r *request) {
 	a := r.arrival
-	n.perform(a.Box, n.boxes[a.Box].Step(n.now, admission.RequestArrived{Request: admission.Request{
+	n.execute(a.Box, n.boxes[a.Box].Step(n.now, admission.RequestArrived{Request: admission.Request{
 		ID:           r.id,
 		Customer:     a.Customer.Name,
 		Class:        a.Customer.Class,
 		Tier:         a.Customer.Tier,
 		Rank:         a.Customer.Rank,
 		Weight:       1,
-		Risk:         tierRisks[a.Customer.Rank],
+		Risk:         rankRisks[a.Customer.Rank],
 		PromptTokens: a.Prompt,
 		MaxTokens:    a.Customer.Most,
 		Prefix:       a.Prefix,
@@ -242,20 +242,20 @@
 	}}))
 }
 
-func (n *run) perform(box int, commands []core.Command) {
+func (n *simulation) execute(box int, commands []core.Command) {
 	for _, command := range commands {
 		switch c := command.(type) {
 		case admission.PlaceRequest:
-			r := n.live[c.ID]
+			r := n.active[c.ID]
 			r.engine = c.Endpoint
-			n.after(controlDelay, func() { n.startOn(r) })
+			n.schedule(controlDelay, func() { n.startRequest(r) })
 		case admission.Wake:
-			n.after(c.After, func() { n.perform(box, n.boxes[box].Step(n.now, admission.Ticked{})) })
+			n.schedule(c.After, func() { n.execute(box, n.boxes[box].Step(n.now, admission.Ticked{})) })
 		case admission.WantLeases:
-			n.askOwners(box)
+			n.requestLeases(box)
 		case admission.RefuseRequest:
-			n.live[c.ID].refused = true
-			delete(n.live, c.ID)
+			n.active[c.ID].refused = true
+			delete(n.active, c.ID)
 		}
 	}
 }
--- a/bench/summary.go
+++ b/bench/summary.go
@@ -8,25 +8,25 @@
 
 // The names of the policies that a summary compares with.
 const (
-	PolicyOurs        = "dillsaddle"
-	PolicyOracle      = "oracle"
-	PolicyReservation = "reservation"
-	PolicyLeast       = "least reported"
+	PolicyOurs          = "dillsaddle"
+	PolicyOracle        = "oracle"
+	PolicyReservation   = "reservation"
+	PolicyLeastReported = "least reported"
 )
 
 // Summary is one case's distance to the aims.
 type Summary struct {
-	Case            string
-	OfOracle        float64 // goodput
-	OfReservation   float64
-	OfLeast         float64
-	TopPreempted    int     // of the two highest tiers
-	GoldBetween99   float64 // seconds
-	GoldFirst95     float64
-	GoldStall       float64
-	ControlBytes    float64
-	BronzePreempted int
-	Computed        float64 // part of the prompts' tokens that engines computed
+	Case                string
+	VersusOracle        float64 // goodput
+	VersusReservation   float64
+	VersusLeastReported float64
+	GoldSilverPreempted int     // of the two highest tiers
+	GoldTokenGapP99     float64 // seconds
+	GoldFirstTokenP95   float64
+	GoldStall           float64
+	ControlBytes        float64
+	BronzePreempted     int
+	Computed            float64 // part of the prompts' tokens that engines computed
 }
 
 // noisyCase and quietCase differ in the noisy customer alone.
@@ -35,9 +35,9 @@
 	quietCase = "0.7"
 )
 
-// NoisyCost gives the part of their goodput that the other customers of a noisy
+// NoisyCustomerCost gives the part of their goodput that the other customers of a noisy
 // customer's tier lose to it; the tier's customers are named, the noisy first.
-func NoisyCost(all []*Outcome, tier []string) float64 {
+func NoisyCustomerCost(all []*Outcome, tier []string) float64 {
 	others := func(name string) float64 {
 		sum := 0.0
 		for _, o := range all {
@@ -57,8 +57,8 @@
 	return 1 - others(noisyCase)/quiet
 }
 
-// NoisyTier gives the customers of the tier in which one is noisy, it first.
-func (d *Deployment) NoisyTier() []string {
+// NoisyTierCustomers gives the customers of the tier in which one is noisy, it first.
+func (d *Deployment) NoisyTierCustomers() []string {
 	noisy := &d.Customers[noisyCustomer]
 	names := []string{noisy.Name}
 	for i := range d.Customers {
@@ -92,17 +92,17 @@
 	ours := by[PolicyOurs]
 	gold := ours.Tier("gold")
 	return Summary{
-		Case:            name,
-		OfOracle:        ours.Goodput / by[PolicyOracle].Goodput,
-		OfReservation:   ours.Goodput / by[PolicyReservation].Goodput,
-		OfLeast:         ours.Goodput / by[PolicyLeast].Goodput,
-		TopPreempted:    gold.Preemptions + ours.Tier("silver").Preemptions,
-		BronzePreempted: ours.Tier("bronze").Preemptions,
-		GoldBetween99:   gold.Between99,
-		GoldFirst95:     gold.First95,
-		GoldStall:       gold.StallMean,
-		ControlBytes:    ours.Bytes,
-		Computed:        ours.Computed,
+		Case:                name,
+		VersusOracle:        ours.Goodput / by[PolicyOracle].Goodput,
+		VersusReservation:   ours.Goodput / by[PolicyReservation].Goodput,
+		VersusLeastReported: ours.Goodput / by[PolicyLeastReported].Goodput,
+		GoldSilverPreempted: gold.Preemptions + ours.Tier("silver").Preemptions,
+		BronzePreempted:     ours.Tier("bronze").Preemptions,
+		GoldTokenGapP99:     gold.TokenGapP99,
+		GoldFirstTokenP95:   gold.FirstTokenP95,
+		GoldStall:           gold.StallMean,
+		ControlBytes:        ours.ControlBytesPerSecond,
+		Computed:            ours.Computed,
 	}
 }
 
@@ -111,8 +111,8 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "deployment\tcase\tof oracle\tof reservation\tof least rep.\ttop preempted\tbronze preempted\tgold p99 ms\tgold first p95 s\tgold stall ms\tcontrol B/s\tprompts computed\t")
 	for _, s := range all {
-		fmt.Fprintf(w, "%s\t%s\t%.3f\t%.2f\t%.2f\t%d\t%d\t%.1f\t%.2f\t%.0f\t%.0f\t%.2f\t\n", deployment, s.Case, s.OfOracle, s.OfReservation,
-			s.OfLeast, s.TopPreempted, s.BronzePreempted, 1000*s.GoldBetween99, s.GoldFirst95, 1000*s.GoldStall, s.ControlBytes, s.Computed)
+		fmt.Fprintf(w, "%s\t%s\t%.3f\t%.2f\t%.2f\t%d\t%d\t%.1f\t%.2f\t%.0f\t%.0f\t%.2f\t\n", deployment, s.Case, s.VersusOracle, s.VersusReservation,
+			s.VersusLeastReported, s.GoldSilverPreempted, s.BronzePreempted, 1000*s.GoldTokenGapP99, s.GoldFirstTokenP95, 1000*s.GoldStall, s.ControlBytes, s.Computed)
 	}
 	return w.Flush()
 }
--- a/bench/table.go
+++ b/bench/table.go
@@ -11,18 +11,18 @@
 // Seed is the seed of the committed loads.
 const Seed = 20261202
 
-// Measure replays all policies on some cases of a deployment, side by side, in
+// ReplayAll replays all policies on some cases of a deployment, side by side, in
 // the order of cases and policies.
-func Measure(d Deployment, cases []Case, policies []Policy) []*Outcome {
+func ReplayAll(d Deployment, cases []Case, policies []Policy) []*Outcome {
 	all := make([]*Outcome, len(cases)*len(policies))
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wait sync.WaitGroup
 	for i, c := range cases {
 		for j, p := range policies {
 			wait.Go(func() {
-				room <- struct{}{}
+				slots <- struct{}{}
 				all[i*len(policies)+j] = Replay(d, c, p, Seed)
-				<-room
+				<-slots
 			})
 		}
 	}
@@ -30,8 +30,8 @@
 	return all
 }
 
-// Print writes the table of some outcomes.
-func Print(out io.Writer, all []*Outcome) error {
+// PrintTiers writes the table of some outcomes.
+func PrintTiers(out io.Writer, all []*Outcome) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "deployment\tcase\tpolicy\ttier\trequests\trefused\tlost\tstall ms\tstall p99\tpreempted\tp50 ms\tp95 ms\tp99 ms\tfirst p95 s\tgoodput/s\tcontrol B/s\tmsg/s\t")
 	for _, o := range all {
@@ -39,7 +39,7 @@
 			t := &o.Tiers[i]
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t%.1f\t\n",
 				o.Deployment, o.Case, o.Policy, t.Tier, t.Requests, t.Refused, t.Lost, 1000*t.StallMean, 1000*t.StallP99, t.Preemptions,
-				1000*t.Between50, 1000*t.Between95, 1000*t.Between99, t.First95, t.Goodput, o.Bytes, o.Messages)
+				1000*t.TokenGapP50, 1000*t.TokenGapP95, 1000*t.TokenGapP99, t.FirstTokenP95, t.Goodput, o.ControlBytesPerSecond, o.MessagesPerSecond)
 		}
 	}
 	return w.Flush()
--- a/bench/load.go
+++ b/bench/workload.go
@@ -40,15 +40,15 @@
 
 // Case is one load with one disturbance.
 type Case struct {
-	Name     string
-	Factor   float64 // of what the engines can carry
-	Burst    bool
-	Noisy    bool // one customer of the middle tier sends five times as much
-	Growth   bool // one customer's outputs grow tenfold half way
-	Death    bool // one engine dies half way
-	Cut      bool // half the boxes lose the other half's owners for a while
-	Lag      time.Duration
-	Duration time.Duration
+	Name             string
+	LoadFactor       float64 // of what the engines can carry
+	HasBursts        bool
+	HasNoisyCustomer bool // one customer of the middle tier sends five times as much
+	OutputsGrow      bool // one customer's outputs grow tenfold half way
+	EngineFails      bool // one engine dies half way
+	IsPartitioned    bool // half the boxes lose the other half's owners for a while
+	ReportLag        time.Duration
+	Duration         time.Duration
 }
 
 // Buscodigo is the code search router fleet's load in shape: short completions
@@ -101,11 +101,11 @@
 }
 
 // shortBatch leaves a part of the memory for what the mean doesn't show.
-const usableMemory = 0.9
+const usableMemoryShare = 0.9
 
-// Rate gives the requests a second that some engines can carry: as many at once
+// SustainableRate gives the requests a second that some engines can carry: as many at once
 // as the memory holds on average or the time between tokens allows.
-func (d *Deployment) Rate(engines int, rules standin.BatchRules, slots int) float64 {
+func (d *Deployment) SustainableRate(engines int, rules standin.BatchRules, slots int) float64 {
 	output, held := 0.0, 0.0
 	for i := range d.Customers {
 		c := &d.Customers[i]
@@ -113,7 +113,7 @@
 		output += c.Share * length
 		held += c.Share * length * (prompt + secondMoment(c.Output)/(2*length))
 	}
-	atOnce := math.Min(float64(slots), usableMemory*float64(rules.MemoryTokens)/(held/output))
+	atOnce := math.Min(float64(slots), usableMemoryShare*float64(rules.MemoryTokens)/(held/output))
 	step := rules.StepBase + time.Duration(atOnce*float64(rules.StepPerSeq))
 	return float64(engines) * atOnce / step.Seconds() / output
 }
@@ -133,7 +133,7 @@
 // ten times as long in the growth case.
 const (
 	noisyCustomer = 2
-	noisyTimes    = 5
+	noisyFactor   = 5
 )
 
 // Arrivals draws a case's requests.
@@ -143,28 +143,28 @@
 	total := 0.0
 	for i := range d.Customers {
 		weights[i] = d.Customers[i].Share
-		if c.Noisy && i == noisyCustomer {
-			weights[i] *= noisyTimes
+		if c.HasNoisyCustomer && i == noisyCustomer {
+			weights[i] *= noisyFactor
 		}
 		total += weights[i]
 	}
 	var all []Arrival
 	now := time.Duration(0)
 	for {
-		current := rate * c.Factor * total
-		if c.Burst {
-			current *= burst(now)
+		current := rate * c.LoadFactor * total
+		if c.HasBursts {
+			current *= burstFactor(now)
 		}
 		now += time.Duration(r.ExpFloat64() / current * float64(time.Second))
 		if now > c.Duration {
 			return all
 		}
-		all = append(all, d.draw(r, c, weights, now, boxes))
+		all = append(all, d.sampleArrival(r, c, weights, now, boxes))
 	}
 }
 
-// burst doubles and halves the rate in turn, with a short spike.
-func burst(now time.Duration) float64 {
+// burstFactor doubles and halves the rate in turn, with a short spike.
+func burstFactor(now time.Duration) float64 {
 	switch second := int(now.Seconds()) % 20; {
 	case second < 2:
 		return 3
@@ -174,7 +174,7 @@
 	return 0.6
 }
 
-func (d *Deployment) draw(r *rand.Rand, c Case, weights []float64, now time.Duration, boxes int) Arrival {
+func (d *Deployment) sampleArrival(r *rand.Rand, c Case, weights []float64, now time.Duration, boxes int) Arrival {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -193,7 +193,7 @@
 		Prefix:   uint64(pick*1000 + 1 + r.IntN(12)),
 		Box:      r.IntN(boxes),
 	}
-	if c.Growth && pick == noisyCustomer && now > c.Duration/2 {
+	if c.OutputsGrow && pick == noisyCustomer && now > c.Duration/2 {
 		a.Output = min(a.Output*10, customer.Most)
 	}
 	return a
@@ -202,15 +202,15 @@
 // Cases are the committed loads.
 func Cases(duration time.Duration) []Case {
 	cases := []Case{
-		{Name: "0.7", Factor: 0.7},
-		{Name: "1.0", Factor: 1.0},
-		{Name: "1.3", Factor: 1.3},
-		{Name: "burst", Factor: 1.0, Burst: true},
-		{Name: "noisy", Factor: 0.7, Noisy: true},
-		{Name: "growth", Factor: 1.0, Growth: true},
-		{Name: "death", Factor: 1.0, Death: true},
-		{Name: "cut", Factor: 1.0, Cut: true},
-		{Name: "lag", Factor: 1.0, Lag: 5 * time.Second},
+		{Name: "0.7", LoadFactor: 0.7},
+		{Name: "1.0", LoadFactor: 1.0},
+		{Name: "1.3", LoadFactor: 1.3},
+		{Name: "burst", LoadFactor: 1.0, HasBursts: true},
+		{Name: "noisy", LoadFactor: 0.7, HasNoisyCustomer: true},
+		{Name: "growth", LoadFactor: 1.0, OutputsGrow: true},
+		{Name: "death", LoadFactor: 1.0, EngineFails: true},
+		{Name: "cut", LoadFactor: 1.0, IsPartitioned: true},
+		{Name: "lag", LoadFactor: 1.0, ReportLag: 5 * time.Second},
 	}
 	for i := range cases {
 		cases[i].Duration = duration
@@ -218,8 +218,8 @@
 	return cases
 }
 
-// Find gives a case by name.
-func Find(cases []Case, name string) (Case, error) {
+// FindCase gives a case by name.
+func FindCase(cases []Case, name string) (Case, error) {
 	at := slices.IndexFunc(cases, func(c Case) bool { return c.Name == name })
 	if at < 0 {
 		return Case{}, fmt.Errorf("no case is named %q; leave the name out to see all", name)
--- a/lab/capacity.go
+++ b/lab/capacity.go
@@ -8,28 +8,28 @@
 
 // The rates of the mechanisms, a second.
 const (
-	leasesPerSecond     = 0.5 // a lease in use, of four seconds, with two left
-	heartbeatsPerSecond = 1.0 // to each peer
-	peersOfBox          = 4.0 // that it asks; as many ask it
-	subset              = 3.0 // endpoints of a model that an entry uses: 96 over 32 models
-	listPollsPerSecond  = 0.1 // long polls
-	configPolls         = 0.1
-	confirmsPerSecond   = 0.4  // at most, when no peer vouches
-	keyedPart           = 0.05 // of requests, that may run at most once
-	retentionSeconds    = 3600.0
+	leasesPerSecond      = 0.5 // a lease in use, of four seconds, with two left
+	heartbeatsPerSecond  = 1.0 // to each peer
+	peersPerBox          = 4.0 // that it asks; as many ask it
+	endpointsPerModel    = 3.0 // endpoints of a model that an entry uses: 96 over 32 models
+	listPollsPerSecond   = 0.1 // long polls
+	configPollsPerSecond = 0.1
+	confirmsPerSecond    = 0.4  // at most, when no peer vouches
+	keyedShare           = 0.05 // of requests, that may run at most once
+	retentionSeconds     = 3600.0
 )
 
-// figure is one line of the capacity page.
-type figure struct {
+// capacityFigure is one line of the capacity page.
+type capacityFigure struct {
 	role  string
 	what  string
 	value float64
 	unit  string
 	limit string
-	how   string
+	basis string
 }
 
-func find(all []slope, name string) *slope {
+func findSlope(all []slope, name string) *slope {
 	for i := range all {
 		if all[i].name == name {
 			return &all[i]
@@ -40,33 +40,33 @@
 
 // printCapacity works the slopes out for the size in two years.
 func printCapacity(out io.Writer, all []slope) error {
-	requests := fullRequests / fullBoxes
-	wishes := fullModels * subset * 2
-	wishBytes := find(all, "a wish and its grant on the wire, by wishes").each
-	grantNs := find(all, "a lease's wish at its owner, by boxes")
-	halves := fullServers * 2.0 / fullBoxes
-	boxesOfHalf := wishes * fullBoxes / (fullServers * 2.0)
-	claims := requests * keyedPart * retentionSeconds
-	parse := find(all, "reading a configuration, by endpoints")
-	figures := []figure{
-		{"entry", "requests", requests, "/s", "", "54,000 over 470"},
-		{"entry", "leases held", wishes, "", "", "32 models, 3 endpoints each, two halves"},
-		{"entry", "lease messages, both ways", wishes * leasesPerSecond * wishBytes, "B/s", "23,000", "leases x 0.5/s x bytes a wish and grant"},
-		{"entry", "admission (on the path, no control)", 100 * requests * find(all, "admission of a request, by waiting").at(10) / 1e9, "% of a core", "", "requests x cost at 10 waiting for its model"},
-		{"entry", "estimates", fullModels * find(all, "an estimate's memory, by customers").at(fullCustomers) / 1e6, "MB", "128", "models x memory at 410 customers"},
-		{"scheduler", "halves owned", halves, "", "", "5,300 endpoints x 2 over 470"},
-		{"scheduler", "leases granted", halves * boxesOfHalf * leasesPerSecond, "/s", "", "halves x boxes a half x 0.5/s"},
-		{"scheduler", "granting", 100 * halves * boxesOfHalf * leasesPerSecond * grantNs.at(boxesOfHalf) / 1e9, "% core", "3.2", "leases granted x cost at its boxes"},
-		{"scheduler", "ownership, on a change", 100 * 2 * fullReplaced / daySeconds * find(all, "owners of all endpoints, by endpoints").at(fullServers) / 1e9, "% core", "3.2", "two lists a replaced box x cost at 5,300 endpoints"},
+	requestsPerBox := targetRequests / targetBoxes
+	demands := targetModels * endpointsPerModel * 2
+	demandBytes := findSlope(all, "a wish and its grant on the wire, by wishes").perUnit
+	grantNS := findSlope(all, "a lease's wish at its owner, by boxes")
+	slotsPerBox := targetEndpoints * 2.0 / targetBoxes
+	boxesPerSlot := demands * targetBoxes / (targetEndpoints * 2.0)
+	claims := requestsPerBox * keyedShare * retentionSeconds
+	parseNS := findSlope(all, "reading a configuration, by endpoints")
+	figures := []capacityFigure{
+		{"entry", "requests", requestsPerBox, "/s", "", "54,000 over 470"},
+		{"entry", "leases held", demands, "", "", "32 models, 3 endpoints each, two halves"},
+		{"entry", "lease messages, both ways", demands * leasesPerSecond * demandBytes, "B/s", "23,000", "leases x 0.5/s x bytes a wish and grant"},
+		{"entry", "admission (on the path, no control)", 100 * requestsPerBox * findSlope(all, "admission of a request, by waiting").estimate(10) / 1e9, "% of a core", "", "requests x cost at 10 waiting for its model"},
+		{"entry", "estimates", targetModels * findSlope(all, "an estimate's memory, by customers").estimate(targetCustomers) / 1e6, "MB", "128", "models x memory at 410 customers"},
+		{"scheduler", "halves owned", slotsPerBox, "", "", "5,300 endpoints x 2 over 470"},
+		{"scheduler", "leases granted", slotsPerBox * boxesPerSlot * leasesPerSecond, "/s", "", "halves x boxes a half x 0.5/s"},
+		{"scheduler", "granting", 100 * slotsPerBox * boxesPerSlot * leasesPerSecond * grantNS.estimate(boxesPerSlot) / 1e9, "% core", "3.2", "leases granted x cost at its boxes"},
+		{"scheduler", "ownership, on a change", 100 * 2 * boxesReplacedPerDay / secondsPerDay * findSlope(all, "owners of all endpoints, by endpoints").estimate(targetEndpoints) / 1e9, "% core", "3.2", "two lists a replaced box x cost at 5,300 endpoints"},
 		{"scheduler", "claims held", claims, "", "", "5% of requests keyed, kept an hour"},
-		{"scheduler", "claims", claims * find(all, "a claim's memory, by claims held").each / 1e6, "MB", "128", "claims x memory of one"},
-		{"watch", "heartbeats, both ways", 2 * peersOfBox * heartbeatsPerSecond * 2 * find(all, "a heartbeat on the wire, by suspects").at(2), "B/s", "23,000", "4 asked and 4 asking, question and answer"},
-		{"watch", "lists", 2 * fullReplaced / daySeconds * find(all, "a list's packed text, by endpoints (470 boxes)").at(fullServers), "B/s", "23,000", "two lists a replaced box x packed text"},
-		{"watch", "configuration read", 100 * fullChanges / daySeconds * 3 * parse.at(fullServers) / 1e9, "% core", "3.2", "6,800 a day x cost at 5,300 endpoints, in 3 processes"},
-		{"watch", "configuration fetched", fullChanges / daySeconds * find(all, "a configuration's packed text, by endpoints").at(fullServers), "B/s", "23,000", "6,800 a day x packed text"},
-		{"watch", "configuration", 3 * find(all, "a configuration's memory, by endpoints").at(fullServers) / 1e6, "MB", "128", "in each of 3 processes"},
-		{"platform", "calls", fullBoxes * (listPollsPerSecond + configPolls + fullChanges/daySeconds + 2*fullReplaced/daySeconds), "/s", "2,000", "470 x (long polls and changes)"},
-		{"platform", "calls, no peer vouching", fullBoxes * (listPollsPerSecond + configPolls + confirmsPerSecond + fullChanges/daySeconds + 2*fullReplaced/daySeconds), "/s", "2,000", "470 x (the above and confirmations)"},
+		{"scheduler", "claims", claims * findSlope(all, "a claim's memory, by claims held").perUnit / 1e6, "MB", "128", "claims x memory of one"},
+		{"watch", "heartbeats, both ways", 2 * peersPerBox * heartbeatsPerSecond * 2 * findSlope(all, "a heartbeat on the wire, by suspects").estimate(2), "B/s", "23,000", "4 asked and 4 asking, question and answer"},
+		{"watch", "lists", 2 * boxesReplacedPerDay / secondsPerDay * findSlope(all, "a list's packed text, by endpoints (470 boxes)").estimate(targetEndpoints), "B/s", "23,000", "two lists a replaced box x packed text"},
+		{"watch", "configuration read", 100 * configChangesPerDay / secondsPerDay * 3 * parseNS.estimate(targetEndpoints) / 1e9, "% core", "3.2", "6,800 a day x cost at 5,300 endpoints, in 3 processes"},
+		{"watch", "configuration fetched", configChangesPerDay / secondsPerDay * findSlope(all, "a configuration's packed text, by endpoints").estimate(targetEndpoints), "B/s", "23,000", "6,800 a day x packed text"},
+		{"watch", "configuration", 3 * findSlope(all, "a configuration's memory, by endpoints").estimate(targetEndpoints) / 1e6, "MB", "128", "in each of 3 processes"},
+		{"platform", "calls", targetBoxes * (listPollsPerSecond + configPollsPerSecond + configChangesPerDay/secondsPerDay + 2*boxesReplacedPerDay/secondsPerDay), "/s", "2,000", "470 x (long polls and changes)"},
+		{"platform", "calls, no peer vouching", targetBoxes * (listPollsPerSecond + configPollsPerSecond + confirmsPerSecond + configChangesPerDay/secondsPerDay + 2*boxesReplacedPerDay/secondsPerDay), "/s", "2,000", "470 x (the above and confirmations)"},
 	}
 	bytes, cpu, memory := 0.0, 0.0, 0.0
 	for _, f := range figures {
@@ -80,14 +80,14 @@
 		}
 	}
 	figures = append(figures,
-		figure{"node", "control bytes", bytes, "B/s", "23,000", "sum of the above"},
-		figure{"node", "control processor time", cpu, "% core", "3.2", "sum of the above"},
-		figure{"node", "control tables", memory, "MB", "128", "sum of the above, without what a process takes empty"},
+		capacityFigure{"node", "control bytes", bytes, "B/s", "23,000", "sum of the above"},
+		capacityFigure{"node", "control processor time", cpu, "% core", "3.2", "sum of the above"},
+		capacityFigure{"node", "control tables", memory, "MB", "128", "sum of the above, without what a process takes empty"},
 	)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\nrole\twhat at 470 boxes\tvalue\tunit\tlimit a node\tworked out from")
 	for _, f := range figures {
-		fmt.Fprintf(w, "%s\t%s\t%.4g\t%s\t%s\t%s\n", f.role, f.what, f.value, f.unit, f.limit, f.how)
+		fmt.Fprintf(w, "%s\t%s\t%.4g\t%s\t%s\t%s\n", f.role, f.what, f.value, f.unit, f.limit, f.basis)
 	}
 	fmt.Fprintln(w)
 	return w.Flush()
--- a/lab/fleet_lists.go
+++ b/lab/fixtures.go
@@ -10,31 +10,31 @@
 
 // The size that the users expect within two years.
 const (
-	fullBoxes     = 470
-	fullServers   = 5300
-	fullRequests  = 54000.0
-	fullTokens    = 25e6
-	fullCustomers = 410
-	fullModels    = 32
-	fullRegions   = 7
-	fullZones     = 18
-	fullChanges   = 6800.0 // of configuration a day
-	fullReplaced  = 2067.0 // boxes a day, failures included
-	daySeconds    = 86400.0
+	targetBoxes         = 470
+	targetEndpoints     = 5300
+	targetRequests      = 54000.0
+	targetTokens        = 25e6
+	targetCustomers     = 410
+	targetModels        = 32
+	targetRegions       = 7
+	targetZones         = 18
+	configChangesPerDay = 6800.0 // of configuration a day
+	boxesReplacedPerDay = 2067.0 // boxes a day, failures included
+	secondsPerDay       = 86400.0
 )
 
-// listOf builds a list of boxes over zones and regions, and endpoints.
-func listOf(boxes, endpoints int) *core.List {
+// newList builds a list of boxes over zones and regions, and endpoints.
+func newList(boxes, endpoints int) *core.List {
 	l := &core.List{
 		Version: 1,
 		Age:     time.Hour,
 	}
 	for i := range boxes {
-		zone := i % fullZones
+		zone := i % targetZones
 		l.Boxes = append(l.Boxes, core.Member{
 			Name:   fmt.Sprintf("box-%03d", i),
 			Zone:   fmt.Sprintf("zone-%02d", zone),
-			Region: fmt.Sprintf("region-%d", zone%fullRegions),
+			Region: fmt.Sprintf("region-%d", zone%targetRegions),
 		})
 	}
 	for i := range endpoints {
@@ -43,8 +43,8 @@
 	return l
 }
 
-// document builds a configuration of a size.
-func document(customers, models, endpoints int) []byte {
+// configDocument builds a configuration of a size.
+func configDocument(customers, models, endpoints int) []byte {
 	type entry map[string]any
 	d := entry{
 		"version":  1,
@@ -66,7 +66,7 @@
 		es = append(es, entry{
 			"name":    fmt.Sprintf("engine-%04d", i),
 			"address": fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1),
-			"zone":    fmt.Sprintf("zone-%02d", i%fullZones),
+			"zone":    fmt.Sprintf("zone-%02d", i%targetZones),
 			"models":  []string{fmt.Sprintf("model-%02d", i%models)},
 		})
 	}
--- a/lab/load.go
+++ b/lab/load.go
@@ -23,26 +23,26 @@
 	"dillsaddle.example/dillsaddle/events"
 )
 
-// loadRules say what load to bring to a running fleet.
-type loadRules struct {
-	url     string
-	key     string
-	model   string
-	rate    float64
-	lasting time.Duration
-	most    int
-	seed    uint64
+// loadOptions say what load to bring to a running fleet.
+type loadOptions struct {
+	url       string
+	key       string
+	model     string
+	rate      float64
+	duration  time.Duration
+	maxTokens int
+	seed      uint64
 }
 
 func init() {
-	var rules loadRules
+	var rules loadOptions
 	fs := flag.NewFlagSet("load", flag.ContinueOnError)
 	fs.StringVar(&rules.url, "url", "http://127.0.0.1:7101", "callers' `address` of an entry")
 	fs.StringVar(&rules.key, "key", "demo-editor-key", "customer's `key`")
 	fs.StringVar(&rules.model, "model", "complete-small", "`model` to ask for")
 	fs.Float64Var(&rules.rate, "rate", 2, "streams begun a `second`")
-	fs.DurationVar(&rules.lasting, "lasting", 10*time.Second, "`time` during which streams are begun")
-	fs.IntVar(&rules.most, "max-tokens", 400, "longest output in `tokens`")
+	fs.DurationVar(&rules.duration, "lasting", 10*time.Second, "`time` during which streams are begun")
+	fs.IntVar(&rules.maxTokens, "max-tokens", 400, "longest output in `tokens`")
 	fs.Uint64Var(&rules.seed, "seed", 1, "`seed` of the arrivals")
 	commands = append(commands, &ffcli.Command{
 		Name:       "load",
@@ -53,17 +53,17 @@
 	})
 }
 
-// loadSeen is what the callers of a load had.
-type loadSeen struct {
-	mu      sync.Mutex
-	whole   int
-	refused int
-	failed  int
-	firsts  []float64
-	gaps    []float64
+// loadResults is what the callers of a load had.
+type loadResults struct {
+	mu              sync.Mutex
+	completed       int
+	refused         int
+	failed          int
+	firstTokenTimes []float64
+	tokenGaps       []float64
 }
 
-func load(ctx context.Context, out io.Writer, rules *loadRules) error {
+func load(ctx context.Context, out io.Writer, rules *loadOptions) error {
 	if rules.rate <= 0 {
 		return errors.New("flag -rate must be above 0")
 	}
@@ -75,10 +75,10 @@
 	if err != nil {
 		return err
 	}
-	seen := &loadSeen{}
+	seen := &loadResults{}
 	random := rand.New(rand.NewPCG(rules.seed, 1))
 	var wait sync.WaitGroup
-	for end := time.Now().Add(rules.lasting); time.Now().Before(end); {
+	for end := time.Now().Add(rules.duration); time.Now().Before(end); {
 		wait.Go(func() { seen.stream(ctx, c, rules) })
 		time.Sleep(time.Duration(random.ExpFloat64() / rules.rate * float64(time.Second)))
 	}
@@ -86,66 +86,66 @@
 	return seen.print(out)
 }
 
-func (s *loadSeen) stream(ctx context.Context, c *client.Client, rules *loadRules) {
+func (s *loadResults) stream(ctx context.Context, c *client.Client, rules *loadOptions) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(http.MethodPost)
 	req.SetRequestURI(rules.url + "/v1/completions")
 	req.Header.Set("Authorization", "Bearer "+rules.key)
-	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"a load's prompt","stream":true,"max_tokens":%d}`, rules.model, rules.most))
+	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"a load's prompt","stream":true,"max_tokens":%d}`, rules.model, rules.maxTokens))
 	began := time.Now()
 	err := c.Do(ctx, req, resp)
 	defer func() { _ = resp.CloseBodyStream() }()
 	if err != nil || resp.StatusCode() != http.StatusOK {
-		s.ended(err == nil, false)
+		s.recordEnd(err == nil, false)
 		return
 	}
-	last, whole := began, false
+	last, completed := began, false
 	err = events.Each(ctx, resp, func(e *sse.Event) error {
 		now := time.Now()
 		if string(e.Data) == "[DONE]" {
-			whole = true
+			completed = true
 			return nil
 		}
-		s.token(now.Sub(last), last.Equal(began))
+		s.recordToken(now.Sub(last), last.Equal(began))
 		last = now
 		return nil
 	})
-	s.ended(false, whole && err == nil)
+	s.recordEnd(false, completed && err == nil)
 }
 
-func (s *loadSeen) token(gap time.Duration, first bool) {
+func (s *loadResults) recordToken(gap time.Duration, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if first {
-		s.firsts = append(s.firsts, gap.Seconds())
+		s.firstTokenTimes = append(s.firstTokenTimes, gap.Seconds())
 		return
 	}
-	s.gaps = append(s.gaps, gap.Seconds())
+	s.tokenGaps = append(s.tokenGaps, gap.Seconds())
 }
 
-func (s *loadSeen) ended(refused, whole bool) {
+func (s *loadResults) recordEnd(refused, completed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case refused:
 		s.refused++
-	case whole:
-		s.whole++
+	case completed:
+		s.completed++
 	default:
 		s.failed++
 	}
 }
 
-func (s *loadSeen) print(out io.Writer) error {
-	slices.Sort(s.firsts)
-	slices.Sort(s.gaps)
+func (s *loadResults) print(out io.Writer) error {
+	slices.Sort(s.firstTokenTimes)
+	slices.Sort(s.tokenGaps)
 	_, err := fmt.Fprintf(out, "streams: %d whole, %d refused, %d failed\nfirst token: p50 %.0f ms, p95 %.0f ms\nbetween tokens: p50 %.1f ms, p95 %.1f ms, p99 %.1f ms\n",
-		s.whole, s.refused, s.failed, part(s.firsts, 0.5), part(s.firsts, 0.95), part(s.gaps, 0.5), part(s.gaps, 0.95), part(s.gaps, 0.99))
+		s.completed, s.refused, s.failed, quantileMS(s.firstTokenTimes, 0.5), quantileMS(s.firstTokenTimes, 0.95), quantileMS(s.tokenGaps, 0.5), quantileMS(s.tokenGaps, 0.95), quantileMS(s.tokenGaps, 0.99))
 	return err
 }
 
-// part gives a quantile in milliseconds.
-func part(sorted []float64, q float64) float64 {
+// quantileMS gives a quantile in milliseconds.
+func quantileMS(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -34,13 +34,13 @@
 	lookupServers = 3
 )
 
-// lateness is how a service's servers are late.
-type lateness struct {
+// latencyCase is how a service's servers are late.
+type latencyCase struct {
 	name   string
 	faults standin.Faults
 }
 
-var latenesses = []lateness{
+var latencyCases = []latencyCase{
 	{name: "sound"},
 	{name: "each 20th answer 400 ms late", faults: standin.Faults{DelayMS: 400, DelayEvery: 20}},
 	{name: "each 50th answer 1.5 s late", faults: standin.Faults{DelayMS: 1500, DelayEvery: 50}},
@@ -48,7 +48,7 @@
 }
 
 func lookups(out io.Writer, programs string, lasting time.Duration) error {
-	for _, l := range latenesses {
+	for _, l := range latencyCases {
 		for _, hedge := range []bool{false, true} {
 			if err := printLookups(out, programs, l, hedge, lasting); err != nil {
 				return err
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func printLookups(out io.Writer, programs string, l lateness, hedge bool, lasting time.Duration) error {
+func printLookups(out io.Writer, programs string, l latencyCase, hedge bool, lasting time.Duration) error {
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
 	shape.Engines = 1
@@ -77,11 +77,11 @@
 		return err
 	}
 	_, err = fmt.Fprintf(out, "lookups, %s, hedge %t: %d, %d not answered, p50 %.1f, p95 %.1f, p99 %.1f, p99.9 %.1f ms, %.3f calls a lookup\n",
-		l.name, hedge, len(all.Latencies), all.Failed, lookupTime(all, 0.5), lookupTime(all, 0.95), lookupTime(all, 0.99), lookupTime(all, 0.999), float64(all.Calls)/float64(len(all.Latencies)))
+		l.name, hedge, len(all.Latencies), all.Failed, lookupQuantileMS(all, 0.5), lookupQuantileMS(all, 0.95), lookupQuantileMS(all, 0.99), lookupQuantileMS(all, 0.999), float64(all.Calls)/float64(len(all.Latencies)))
 	return err
 }
 
-// lookupTime gives a quantile in milliseconds.
-func lookupTime(all *proof.Lookups, part float64) float64 {
+// lookupQuantileMS gives a quantile in milliseconds.
+func lookupQuantileMS(all *proof.Lookups, part float64) float64 {
 	return 1000 * stat.Quantile(part, stat.Empirical, all.Latencies, nil)
 }
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -30,7 +30,7 @@
 func measure(deployment, name string, duration time.Duration, brief bool) error {
 	cases := bench.Cases(duration)
 	if name != "" {
-		one, err := bench.Find(cases, name)
+		one, err := bench.FindCase(cases, name)
 		if err != nil {
 			return err
 		}
@@ -40,9 +40,9 @@
 		if deployment != "" && d.Name != deployment {
 			continue
 		}
-		all := bench.Measure(d, cases, bench.Policies())
+		all := bench.ReplayAll(d, cases, bench.Policies())
 		if !brief {
-			if err := bench.Print(os.Stdout, all); err != nil {
+			if err := bench.PrintTiers(os.Stdout, all); err != nil {
 				return err
 			}
 		}
@@ -52,7 +52,7 @@
 		if err := bench.PrintSummary(os.Stdout, d.Name, bench.Summarise(all)); err != nil {
 			return err
 		}
-		fmt.Printf("%s: the noisy customer costs the others of its tier %.1f%% of their goodput\n", d.Name, 100*bench.NoisyCost(all, d.NoisyTier()))
+		fmt.Printf("%s: the noisy customer costs the others of its tier %.1f%% of their goodput\n", d.Name, 100*bench.NoisyCustomerCost(all, d.NoisyTierCustomers()))
 	}
 	return nil
 }
--- a/lab/plots.go
+++ b/lab/plots.go
@@ -28,11 +28,11 @@
 	})
 }
 
-// drawn are the policies in the plots, by their columns' names.
-var drawn = []string{bench.PolicyLeast, bench.PolicyReservation, bench.PolicyOurs, bench.PolicyOracle}
+// plottedPolicies are the policies in the plots, by their columns' names.
+var plottedPolicies = []string{bench.PolicyLeastReported, bench.PolicyReservation, bench.PolicyOurs, bench.PolicyOracle}
 
-// factors are the loads along the plots' axis.
-var factors = []float64{0.5, 0.7, 0.85, 1.0, 1.15, 1.3}
+// loadFactors are the loads along the plots' axis.
+var loadFactors = []float64{0.5, 0.7, 0.85, 1.0, 1.15, 1.3}
 
 func plots(folder string, duration time.Duration) error {
 	for _, d := range []bench.Deployment{bench.Buscodigo(), bench.Jordan()} {
@@ -59,23 +59,23 @@
 
 func draw(d bench.Deployment, duration time.Duration, goodput, between *plot.Plot) error {
 	var cases []bench.Case
-	for _, factor := range factors {
+	for _, factor := range loadFactors {
 		cases = append(cases, bench.Case{
-			Factor:   factor,
-			Duration: duration,
+			LoadFactor: factor,
+			Duration:   duration,
 		})
 	}
-	all := bench.Measure(d, cases, bench.Policies())
+	all := bench.ReplayAll(d, cases, bench.Policies())
 	var tokens, gaps []any
-	for _, name := range drawn {
+	for _, name := range plottedPolicies {
 		var t, g plotter.XYs
 		for i, o := range all {
 			if o.Policy != name {
 				continue
 			}
-			x := factors[i/len(bench.Policies())]
+			x := loadFactors[i/len(bench.Policies())]
 			t = append(t, plotter.XY{X: x, Y: o.Goodput})
-			g = append(g, plotter.XY{X: x, Y: 1000 * o.Tier("gold").Between99})
+			g = append(g, plotter.XY{X: x, Y: 1000 * o.Tier("gold").TokenGapP99})
 		}
 		tokens = append(tokens, name, t)
 		gaps = append(gaps, name, g)
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -33,36 +33,36 @@
 	})
 }
 
-// deepAtOnce bounds the explorations that run side by side, for their memory.
-const deepAtOnce = 3
+// maxDeepRuns bounds the explorations that run side by side, for their memory.
+const maxDeepRuns = 3
 
-// evidence is what was run for a promise.
-type evidence struct {
-	mu   sync.Mutex
-	ran  map[model.Promise][]string
-	fell map[model.Promise][]string
+// proofResults is what was run for a promise.
+type proofResults struct {
+	mu     sync.Mutex
+	ran    map[model.Promise][]string
+	failed map[model.Promise][]string
 }
 
-func (e *evidence) add(promises []model.Promise, what, broke string) {
+func (e *proofResults) add(promises []model.Promise, what, failure string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range promises {
 		e.ran[p] = append(e.ran[p], what)
-		if broke != "" {
-			e.fell[p] = append(e.fell[p], what+": "+broke)
+		if failure != "" {
+			e.failed[p] = append(e.failed[p], what+": "+failure)
 		}
 	}
-	if broke != "" {
-		fmt.Printf("fell: %s: %s\n", what, broke)
+	if failure != "" {
+		fmt.Printf("fell: %s: %s\n", what, failure)
 		return
 	}
 	fmt.Printf("held: %s\n", what)
 }
 
 func prove(programs, traces string, deep bool) error {
-	e := &evidence{
-		ran:  make(map[model.Promise][]string),
-		fell: make(map[model.Promise][]string),
+	e := &proofResults{
+		ran:    make(map[model.Promise][]string),
+		failed: make(map[model.Promise][]string),
 	}
 	proveModels(e, deep)
 	if err := proveTraces(e, traces); err != nil {
@@ -74,26 +74,26 @@
 		if seen != "" {
 			what += " (" + seen + ")"
 		}
-		e.add(s.Promises, what, textOf(err))
+		e.add(s.Promises, what, errorText(err))
 	}
 	return e.verdict()
 }
 
-func textOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-func proveModels(e *evidence, deep bool) {
-	room := make(chan struct{}, min(deepAtOnce, runtime.GOMAXPROCS(0)))
+func proveModels(e *proofResults, deep bool) {
+	slots := make(chan struct{}, min(maxDeepRuns, runtime.GOMAXPROCS(0)))
 	var wait sync.WaitGroup
 	for _, c := range model.Checks() {
 		wait.Go(func() {
-			room <- struct{}{}
+			slots <- struct{}{}
 			proveModel(e, c, deep)
-			<-room
+			<-slots
 		})
 	}
 	wait.Wait()
@@ -101,20 +101,20 @@
 
 // proveModel explores with every guard on, and with each off, where the break
 // must be found.
-func proveModel(e *evidence, c model.Check, deep bool) {
+func proveModel(e *proofResults, c model.Check, deep bool) {
 	r := c.Run(deep)
-	broke := r.Violation
-	if broke != "" {
-		broke += "\n" + model.FormatTrace(r.Trace)
+	failure := r.Violation
+	if failure != "" {
+		failure += "\n" + model.FormatTrace(r.Trace)
 	}
-	e.add(c.Promises, "model, "+c.Name+" ("+r.String()+")", broke)
+	e.add(c.Promises, "model, "+c.Name+" ("+r.String()+")", failure)
 	for _, g := range c.Guards {
 		off := c.Run(false, core.WithoutGuard(g))
-		broke := ""
+		failure := ""
 		if off.Violation == "" {
-			broke = "no break was found without the guard"
+			failure = "no break was found without the guard"
 		}
-		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(off.Trace)), broke)
+		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(off.Trace)), failure)
 	}
 }
 
@@ -127,7 +127,7 @@
 	"late":     {model.CompleteAnswer},
 }
 
-func proveTraces(e *evidence, folder string) error {
+func proveTraces(e *proofResults, folder string) error {
 	files, err := filepath.Glob(filepath.Join(folder, "*", "*.jsonl"))
 	if err != nil || len(files) == 0 {
 		return errors.Errorf("no traces in %s; give the folder with -traces", folder)
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func proveTrace(e *evidence, file string) error {
+func proveTrace(e *proofResults, file string) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
@@ -150,37 +150,37 @@
 	if err != nil {
 		return errors.Wrap(err, file)
 	}
-	broke := ""
+	failure := ""
 	if len(report.Mismatches) > 0 {
-		broke = report.Mismatches[0].Error()
+		failure = report.Mismatches[0].Error()
 	}
 	name := filepath.Base(file)
-	for word, promises := range tracePromises {
-		if strings.Contains(name, word) {
-			e.add(promises, fmt.Sprintf("replay, %s (%d outcomes)", name, report.Expectations), broke)
+	for keyword, promises := range tracePromises {
+		if strings.Contains(name, keyword) {
+			e.add(promises, fmt.Sprintf("replay, %s (%d outcomes)", name, report.Expectations), failure)
 		}
 	}
 	return nil
 }
 
-func (e *evidence) verdict() error {
-	fell := 0
+func (e *proofResults) verdict() error {
+	failed := 0
 	for p := model.TokensOnce; p <= model.NeverOlderConfig; p++ {
 		verdict := "held"
 		detail := fmt.Sprintf("%s; %d runs: %s", model.Promises[p], len(e.ran[p]), strings.Join(e.ran[p], "; "))
 		switch {
-		case len(e.fell[p]) > 0:
+		case len(e.failed[p]) > 0:
 			verdict = "fell"
-			detail = strings.Join(e.fell[p], "; ")
-			fell++
+			detail = strings.Join(e.failed[p], "; ")
+			failed++
 		case len(e.ran[p]) == 0:
 			verdict = "not proved"
 			detail = "nothing was run"
 		}
 		fmt.Printf("promise %d: %s: %s\n", p, verdict, detail)
 	}
-	if fell > 0 {
-		return errors.Errorf("%d promises fell", fell)
+	if failed > 0 {
+		return errors.Errorf("%d promises fell", failed)
 	}
 	return nil
 }
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -13,38 +13,38 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// growth is 1, 2, 4 and 8 times a base.
-func growth(base float64) []float64 { return []float64{base, 2 * base, 4 * base, 8 * base} }
+// doublings is 1, 2, 4 and 8 times a base.
+func doublings(base float64) []float64 { return []float64{base, 2 * base, 4 * base, 8 * base} }
 
 // coreSlopes are the costs of the decisions themselves.
 func coreSlopes() []slope {
 	return []slope{
-		fitSlope("admission of a request, by waiting", "ns", growth(50), admissionCost),
-		fitSlope("a lease's wish at its owner, by boxes", "ns", growth(8), grantCost),
-		fitSlope("a wish and its grant on the wire, by wishes", "bytes", growth(4), leaseBytes),
-		fitSlope("owners of all endpoints, by endpoints", "ns", growth(600), ownerCost),
-		fitSlope("owners of all endpoints, by boxes (600 endpoints)", "ns", growth(55), func(n int) float64 { return ownerCostOf(n, 600) }),
-		fitSlope("reading a configuration, by endpoints", "ns", growth(600), parseCost),
-		fitSlope("a configuration's memory, by endpoints", "bytes", growth(600), parseMemory),
-		fitSlope("a configuration's packed text, by endpoints", "bytes", growth(600), func(n int) float64 { return packed(document(fullCustomers, fullModels, n)) }),
-		fitSlope("a list's packed text, by endpoints (470 boxes)", "bytes", growth(600), listText),
-		fitSlope("a claim, by claims held", "ns", growth(10000), claimCost),
-		fitSlope("a claim's memory, by claims held", "bytes", growth(10000), claimMemory),
-		fitSlope("an estimate's memory, by customers", "bytes", growth(50), estimateMemory),
-		fitSlope("a heartbeat on the wire, by suspects", "bytes", growth(2), heartbeatBytes),
-		fitSlope("a list on the wire, by boxes", "bytes", growth(55), func(n int) float64 { return float64(wire.EncodedSize(listOf(n, 0))) }),
-		fitSlope("a list on the wire, by endpoints", "bytes", growth(600), func(n int) float64 { return float64(wire.EncodedSize(listOf(1, n))) }),
-		fitSlope("a handover on the wire, by boxes of ten lists", "bytes", growth(55), handoverBytes),
-		fitSlope("peers of a box, by boxes", "count", growth(55), peerCount),
-		fitSlope("a lookup in the shards, by threads at once", "ns", growth(1), shardCost),
+		fitSlope("admission of a request, by waiting", "ns", doublings(50), admissionCost),
+		fitSlope("a lease's wish at its owner, by boxes", "ns", doublings(8), grantCost),
+		fitSlope("a wish and its grant on the wire, by wishes", "bytes", doublings(4), leaseBytes),
+		fitSlope("owners of all endpoints, by endpoints", "ns", doublings(600), ownerCost),
+		fitSlope("owners of all endpoints, by boxes (600 endpoints)", "ns", doublings(55), func(n int) float64 { return ownerCostFor(n, 600) }),
+		fitSlope("reading a configuration, by endpoints", "ns", doublings(600), configParseCost),
+		fitSlope("a configuration's memory, by endpoints", "bytes", doublings(600), configMemory),
+		fitSlope("a configuration's packed text, by endpoints", "bytes", doublings(600), func(n int) float64 { return gzipSize(configDocument(targetCustomers, targetModels, n)) }),
+		fitSlope("a list's packed text, by endpoints (470 boxes)", "bytes", doublings(600), listText),
+		fitSlope("a claim, by claims held", "ns", doublings(10000), claimCost),
+		fitSlope("a claim's memory, by claims held", "bytes", doublings(10000), claimMemory),
+		fitSlope("an estimate's memory, by customers", "bytes", doublings(50), estimateMemory),
+		fitSlope("a heartbeat on the wire, by suspects", "bytes", doublings(2), heartbeatBytes),
+		fitSlope("a list on the wire, by boxes", "bytes", doublings(55), func(n int) float64 { return float64(wire.EncodedSize(newList(n, 0))) }),
+		fitSlope("a list on the wire, by endpoints", "bytes", doublings(600), func(n int) float64 { return float64(wire.EncodedSize(newList(1, n))) }),
+		fitSlope("a handover on the wire, by boxes of ten lists", "bytes", doublings(55), handoverBytes),
+		fitSlope("peers of a box, by boxes", "count", doublings(55), peerCount),
+		fitSlope("a lookup in the shards, by threads at once", "ns", doublings(1), shardCost),
 	}
 }
 
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// modelWith builds an admission of 16 endpoints with full leases and some
+// newLoadedModel builds an admission of 16 endpoints with full leases and some
 // requests waiting behind a full fleet.
-func modelWith(waiting int) *admission.Model {
+func newLoadedModel(waiting int) *admission.Model {
 	rules := admission.DefaultRules()
 	rules.MaxWaiting = func(string) int { return 1 << 20 }
 	rules.MaxWait = time.Hour
@@ -74,7 +74,7 @@
 func arrival(i int, now time.Time) admission.RequestArrived {
 	return admission.RequestArrived{Request: admission.Request{
 		ID:           fmt.Sprintf("r%d", i),
-		Customer:     fmt.Sprintf("customer-%d", i%fullCustomers),
+		Customer:     fmt.Sprintf("customer-%d", i%targetCustomers),
 		Class:        "standard",
 		Tier:         "gold",
 		Risk:         0.05,
@@ -88,10 +88,10 @@
 
 // admissionCost is one request in and one out, with some waiting.
 func admissionCost(waiting int) float64 {
-	m := modelWith(waiting)
+	m := newLoadedModel(waiting)
 	now := epoch.Add(30 * time.Minute)
 	i := 1 << 20
-	return nanoseconds(func() {
+	return meanNanoseconds(func() {
 		i++
 		now = now.Add(time.Millisecond)
 		ev := arrival(i, now)
@@ -104,20 +104,20 @@
 }
 
 func grantCost(boxes int) float64 {
-	hold := core.NewOwnership("engine", core.DefaultLeaseRules())
-	hold.Step(epoch, core.HoldTaken{Fresh: true})
-	s := admission.NewShares(hold, 100000, 64, 30*time.Millisecond)
+	ownership := core.NewOwnership("engine", core.DefaultLeaseRules())
+	ownership.Step(epoch, core.HoldTaken{Fresh: true})
+	s := admission.NewShares(ownership, 100000, 64, 30*time.Millisecond)
 	now := epoch
-	var w admission.Demand
-	w.Waiting = 500
+	var demand admission.Demand
+	demand.Waiting = 500
 	names := make([]string, boxes)
 	for i := range names {
 		names[i] = fmt.Sprintf("box-%d", i)
 	}
 	i := 0
-	return nanoseconds(func() {
-		hold.Step(now, core.ListConfirmed{At: now})
-		s.Grant(now, names[i%boxes], w)
+	return meanNanoseconds(func() {
+		ownership.Step(now, core.ListConfirmed{At: now})
+		s.Grant(now, names[i%boxes], demand)
 		i++
 	})
 }
@@ -125,16 +125,16 @@
 // handoverBytes is a handover without claims that tells of ten replaced lists.
 func handoverBytes(boxes int) float64 {
 	self := core.Box{Name: "box-000"}
-	home := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
+	owner := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
 	for version := range uint64(11) {
-		l := listOf(boxes, 0)
+		l := newList(boxes, 0)
 		l.Version = version + 1
-		home.Step(epoch, core.ListAdopted{
+		owner.Step(epoch, core.ListAdopted{
 			List: l,
 			At:   epoch,
 		})
 	}
-	for _, command := range home.Step(epoch, core.HandoverAsked{
+	for _, command := range owner.Step(epoch, core.HandoverAsked{
 		From:        core.Box{Name: "box-001"},
 		ListVersion: 11,
 	}) {
@@ -145,8 +145,8 @@
 	return 0
 }
 
-func leaseBytes(wishes int) float64 {
-	var ask wire.LeaseRequest
+func leaseBytes(demands int) float64 {
+	var request wire.LeaseRequest
 	var grants wire.LeaseGrants
 	full := admission.Profile{}
 	for i := range full.Mean {
@@ -154,9 +154,9 @@
 		full.Variance[i] = 345678.9 + float64(i)
 	}
 	mean, deviation := full.Floats()
-	for i := range wishes {
+	for i := range demands {
 		name := fmt.Sprintf("engine-%04d", i)
-		ask.Demands = append(ask.Demands, wire.LeaseDemand{
+		request.Demands = append(request.Demands, wire.LeaseDemand{
 			Endpoint:  name,
 			Model:     "model-01",
 			Mean:      mean,
@@ -183,14 +183,14 @@
 		}
 		grants.Grants = append(grants.Grants, grant)
 	}
-	return float64(wire.EncodedSize(ask) + wire.EncodedSize(grants))
+	return float64(wire.EncodedSize(request) + wire.EncodedSize(grants))
 }
 
-func ownerCost(endpoints int) float64 { return ownerCostOf(fullBoxes, endpoints) }
+func ownerCost(endpoints int) float64 { return ownerCostFor(targetBoxes, endpoints) }
 
-func ownerCostOf(boxes, endpoints int) float64 {
-	l := listOf(boxes, endpoints)
-	return nanoseconds(func() {
+func ownerCostFor(boxes, endpoints int) float64 {
+	l := newList(boxes, endpoints)
+	return meanNanoseconds(func() {
 		owners := core.NewOwners(l)
 		for i := range l.Endpoints {
 			zone := l.Boxes[i%len(l.Boxes)].Zone
@@ -200,35 +200,35 @@
 	})
 }
 
-func parseCost(endpoints int) float64 {
-	text := document(fullCustomers, fullModels, endpoints)
-	return nanoseconds(func() { config.Parse("document", text) })
+func configParseCost(endpoints int) float64 {
+	text := configDocument(targetCustomers, targetModels, endpoints)
+	return meanNanoseconds(func() { config.Parse("document", text) })
 }
 
-func parseMemory(endpoints int) float64 {
-	text := document(fullCustomers, fullModels, endpoints)
+func configMemory(endpoints int) float64 {
+	text := configDocument(targetCustomers, targetModels, endpoints)
 	return heapBytes(func() any {
 		d, _ := config.Parse("document", text)
 		return d
 	})
 }
 
-func homeWith(claims int) *core.ClaimOwner {
+func newLoadedClaimOwner(claims int) *core.ClaimOwner {
 	self := core.Box{
 		Name:        "box-000",
 		Incarnation: 1,
 	}
-	h := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
-	l := listOf(1, 0)
+	owner := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
+	l := newList(1, 0)
 	l.Age = 0
-	h.Step(epoch, core.ListAdopted{
+	owner.Step(epoch, core.ListAdopted{
 		List: l,
 		At:   epoch,
 	})
 	for i := range claims {
-		h.Step(epoch, claimAsked(i))
+		owner.Step(epoch, claimAsked(i))
 	}
-	return h
+	return owner
 }
 
 func claimAsked(i int) core.ClaimAsked {
@@ -244,30 +244,30 @@
 }
 
 func claimCost(claims int) float64 {
-	h := homeWith(claims)
+	owner := newLoadedClaimOwner(claims)
 	i := claims
-	return nanoseconds(func() {
+	return meanNanoseconds(func() {
 		i++
-		h.Step(epoch, claimAsked(i%claims))
+		owner.Step(epoch, claimAsked(i%claims))
 	})
 }
 
 func claimMemory(claims int) float64 {
-	return heapBytes(func() any { return homeWith(claims) })
+	return heapBytes(func() any { return newLoadedClaimOwner(claims) })
 }
 
 func estimateMemory(customers int) float64 {
 	return heapBytes(func() any {
-		e := admission.NewLengthEstimator(256)
+		estimator := admission.NewLengthEstimator(256)
 		for i := range customers {
 			key := admission.LengthKey{
 				Customer: fmt.Sprintf("customer-%d", i),
 				Class:    "standard",
 			}
-			e.ObserveEnd(key, 100)
-			e.Curve(key)
+			estimator.ObserveEnd(key, 100)
+			estimator.Curve(key)
 		}
-		return e
+		return estimator
 	})
 }
 
@@ -286,13 +286,13 @@
 	return float64(wire.EncodedSize(h))
 }
 
-// packed gives the size of a text as the platform sends it.
-func packed(text []byte) float64 { return float64(len(compress.AppendGzipBytes(nil, text))) }
+// gzipSize gives the size of a text as the platform sends it.
+func gzipSize(text []byte) float64 { return float64(len(compress.AppendGzipBytes(nil, text))) }
 
 func listText(endpoints int) float64 {
-	text, err := json.Marshal(listOf(fullBoxes, endpoints))
+	text, err := json.Marshal(newList(targetBoxes, endpoints))
 	if err != nil {
 		return 0
 	}
-	return packed(text)
+	return gzipSize(text)
 }
--- a/lab/slopes_fleet.go
+++ b/lab/slopes_fleet.go
@@ -9,14 +9,14 @@
 	"dillsaddle.example/dillsaddle/watch"
 )
 
-// peerLimit is how many peers a watch has.
-const peerLimit = 4
+// maxPeers is how many peers a watch has.
+const maxPeers = 4
 
 func peerCount(boxes int) float64 {
-	l := listOf(boxes, 0)
+	l := newList(boxes, 0)
 	most := 0
 	for i := range l.Boxes {
-		most = max(most, len(watch.Peers(l, l.Boxes[i].Name, peerLimit)))
+		most = max(most, len(watch.Peers(l, l.Boxes[i].Name, maxPeers)))
 	}
 	return float64(most)
 }
--- a/lab/slopes_path.go
+++ b/lab/slopes_path.go
@@ -14,15 +14,15 @@
 	"dillsaddle.example/dillsaddle/proof"
 )
 
-// pathLoad is what a run of real streams cost.
-type pathLoad struct {
-	tokens   float64
-	requests float64
-	seconds  float64
-	entry    float64 // core seconds
-	control  float64 // core seconds of scheduler and watch
-	memory   float64 // bytes of the entry
-	gcPart   float64 // of the entry's time
+// pathCost is what a run of real streams cost.
+type pathCost struct {
+	tokens         float64
+	requests       float64
+	seconds        float64
+	entrySeconds   float64 // core seconds
+	controlSeconds float64 // core seconds of scheduler and watch
+	entryBytes     float64 // bytes of the entry
+	gcShare        float64 // of the entry's time
 }
 
 // pathShape is a fleet whose engines make tokens faster than one entry passes
@@ -40,35 +40,35 @@
 }
 
 // runPath keeps a number of streams open for a while.
-func runPath(programs string, median float64, streams int, lasting time.Duration) (*pathLoad, error) {
+func runPath(programs string, median float64, streams int, lasting time.Duration) (*pathCost, error) {
 	f, err := proof.Start(programs, pathShape(median))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	before, err := gauges(f)
+	before, err := readEntryMetrics(f)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	requests := keepOpen(f, streams, began.Add(lasting))
-	after, err := gauges(f)
+	requests := runStreams(f, streams, began.Add(lasting))
+	after, err := readEntryMetrics(f)
 	if err != nil {
 		return nil, err
 	}
 	took := time.Since(began).Seconds()
-	return &pathLoad{
-		tokens:   after["tokens"] - before["tokens"],
-		requests: float64(requests),
-		seconds:  took,
-		entry:    after["entry"] - before["entry"],
-		control:  after["control"] - before["control"],
-		memory:   after["memory"],
-		gcPart:   after["gc"],
+	return &pathCost{
+		tokens:         after["tokens"] - before["tokens"],
+		requests:       float64(requests),
+		seconds:        took,
+		entrySeconds:   after["entry"] - before["entry"],
+		controlSeconds: after["control"] - before["control"],
+		entryBytes:     after["memory"],
+		gcShare:        after["gc"],
 	}, nil
 }
 
-func keepOpen(f *proof.Fleet, streams int, until time.Time) int {
+func runStreams(f *proof.Fleet, streams int, until time.Time) int {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
@@ -88,8 +88,8 @@
 	return total
 }
 
-// gauges reads the processes' own metrics.
-func gauges(f *proof.Fleet) (map[string]float64, error) {
+// readEntryMetrics reads the processes' own metrics.
+func readEntryMetrics(f *proof.Fleet) (map[string]float64, error) {
 	all := make(map[string]float64)
 	entry, err := f.Metrics(0, "entry")
 	if err != nil {
@@ -99,8 +99,8 @@
 	all["tokens"] = entry.Sum("dillsaddle_tokens_total")
 	all["memory"] = entry.Sum("process_resident_memory_bytes")
 	all["gc"] = entry.Sum("go_gc_cpu_seconds_total") / max(0.001, entry.Sum("process_cpu_seconds_total"))
-	for _, part := range []string{"scheduler", "watch"} {
-		m, err := f.Metrics(0, part)
+	for _, process := range []string{"scheduler", "watch"} {
+		m, err := f.Metrics(0, process)
 		if err != nil {
 			return nil, err
 		}
@@ -121,11 +121,11 @@
 		return errors.Wrap(err, "load of long outputs")
 	}
 	det := short.tokens*long.requests - long.tokens*short.requests
-	token := (short.entry*long.requests - long.entry*short.requests) / det
-	request := (short.tokens*long.entry - long.tokens*short.entry) / det
-	for name, l := range map[string]*pathLoad{"short": short, "long": long} {
+	token := (short.entrySeconds*long.requests - long.entrySeconds*short.requests) / det
+	request := (short.tokens*long.entrySeconds - long.tokens*short.entrySeconds) / det
+	for name, l := range map[string]*pathCost{"short": short, "long": long} {
 		fmt.Fprintf(out, "path, %s outputs: %.0f tokens/s, %.0f requests/s, entry %.2f cores (%.1f us a token, all in), control %.3f cores, entry memory %.0f MB, garbage collection %.1f%% of the entry's time\n",
-			name, l.tokens/l.seconds, l.requests/l.seconds, l.entry/l.seconds, 1e6*l.entry/l.tokens, l.control/l.seconds, l.memory/1e6, 100*l.gcPart)
+			name, l.tokens/l.seconds, l.requests/l.seconds, l.entrySeconds/l.seconds, 1e6*l.entrySeconds/l.tokens, l.controlSeconds/l.seconds, l.entryBytes/1e6, 100*l.gcShare)
 	}
 	fmt.Fprintf(out, "path: %.2f us of a core a token, %.0f us a request; 53,000 tokens/s and 115 requests/s take %.2f cores\n",
 		1e6*token, 1e6*request, 53000*token+115*request)
@@ -177,12 +177,12 @@
 }
 
 func printControlOf(out io.Writer, f *proof.Fleet, boxes int, lasting time.Duration) error {
-	before, calls, err := control(f, boxes)
+	before, calls, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
 	}
 	time.Sleep(lasting)
-	after, callsAfter, err := control(f, boxes)
+	after, callsAfter, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
 	}
@@ -192,18 +192,18 @@
 	return err
 }
 
-func control(f *proof.Fleet, boxes int) (map[string]float64, int, error) {
+func readControlMetrics(f *proof.Fleet, boxes int) (map[string]float64, int, error) {
 	all := make(map[string]float64)
 	for i := range boxes {
-		for _, part := range []string{"entry", "scheduler", "watch"} {
-			m, err := f.Metrics(i, part)
+		for _, process := range []string{"entry", "scheduler", "watch"} {
+			m, err := f.Metrics(i, process)
 			if err != nil {
 				return nil, 0, err
 			}
 			all["bytes"] += m.Sum("dillsaddle_wire_sent_bytes_total")
 			all["messages"] += m.Sum("dillsaddle_wire_sent_messages_total")
 			all["cpu"] += m.Sum("process_cpu_seconds_total")
-			if part != "entry" {
+			if process != "entry" {
 				all["memory"] += m.Sum("process_resident_memory_bytes")
 			}
 		}
--- a/lab/slopes_tail.go
+++ b/lab/slopes_tail.go
@@ -21,11 +21,11 @@
 	tailProbes  = 8
 )
 
-// tail is the time between tokens of some streams, in seconds.
-type tail struct {
+// tailResult is the time between tokens of some streams, in seconds.
+type tailResult struct {
 	p50, p99, p999 float64
-	pause          float64 // the 99th hundredth of the collector's pauses
-	memory         float64 // bytes of the entry
+	gcPauseP99     float64 // the 99th hundredth of the collector's pauses
+	entryBytes     float64 // bytes of the entry
 }
 
 // printTail tells what garbage collection adds to the time between tokens: the
@@ -37,13 +37,13 @@
 			return errors.Wrap(err, "tail with GOGC="+collector)
 		}
 		fmt.Fprintf(out, "tail, GOGC=%s: time between tokens of %d streams beside %d others p50 %.2f, p99 %.2f, p99.9 %.2f ms; collector's pauses p99 %.3f ms; entry %.0f MB\n",
-			collector, tailProbes, tailStreams, 1000*t.p50, 1000*t.p99, 1000*t.p999, 1000*t.pause, t.memory/1e6)
+			collector, tailProbes, tailStreams, 1000*t.p50, 1000*t.p99, 1000*t.p999, 1000*t.gcPauseP99, t.entryBytes/1e6)
 	}
 	return nil
 }
 
 // runTail runs the load with the collector's setting in all processes.
-func runTail(programs, collector string, lasting time.Duration) (*tail, error) {
+func runTail(programs, collector string, lasting time.Duration) (*tailResult, error) {
 	before := os.Getenv("GOGC")
 	if err := os.Setenv("GOGC", collector); err != nil {
 		return nil, err
@@ -56,24 +56,24 @@
 	defer f.Close()
 	end := time.Now().Add(lasting)
 	var wait sync.WaitGroup
-	wait.Go(func() { keepOpen(f, tailStreams, end) })
-	gaps := probe(f, end)
+	wait.Go(func() { runStreams(f, tailStreams, end) })
+	gaps := measureGaps(f, end)
 	wait.Wait()
 	m, err := f.Metrics(0, "entry")
 	if err != nil {
 		return nil, err
 	}
-	return &tail{
-		p50:    stat.Quantile(0.5, stat.Empirical, gaps, nil),
-		p99:    stat.Quantile(0.99, stat.Empirical, gaps, nil),
-		p999:   stat.Quantile(0.999, stat.Empirical, gaps, nil),
-		pause:  m.Quantile("go_gc_pauses_seconds", 0.99),
-		memory: m.Sum("process_resident_memory_bytes"),
+	return &tailResult{
+		p50:        stat.Quantile(0.5, stat.Empirical, gaps, nil),
+		p99:        stat.Quantile(0.99, stat.Empirical, gaps, nil),
+		p999:       stat.Quantile(0.999, stat.Empirical, gaps, nil),
+		gcPauseP99: m.Quantile("go_gc_pauses_seconds", 0.99),
+		entryBytes: m.Sum("process_resident_memory_bytes"),
 	}, nil
 }
 
-// probe reads streams one after the other and gives their sorted gaps in seconds.
-func probe(f *proof.Fleet, end time.Time) []float64 {
+// measureGaps reads streams one after the other and gives their sorted gaps in seconds.
+func measureGaps(f *proof.Fleet, end time.Time) []float64 {
 	var mu sync.Mutex
 	var gaps []float64
 	var wait sync.WaitGroup
--- a/lab/soak.go
+++ b/lab/soak.go
@@ -68,9 +68,9 @@
 }
 
 func soakSeed(program, folder string, seed uint64, opts ...soak.Option) (*soak.Report, error) {
-	own := filepath.Join(folder, fmt.Sprintf("seed-%d", seed))
-	if err := os.MkdirAll(own, 0o755); err != nil {
+	seedFolder := filepath.Join(folder, fmt.Sprintf("seed-%d", seed))
+	if err := os.MkdirAll(seedFolder, 0o755); err != nil {
 		return nil, err
 	}
-	return soak.Run(program, own, seed, opts...)
+	return soak.Run(program, seedFolder, seed, opts...)
 }
