--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,7 +1,6 @@
-// Package bench measures the decisions under load: it replays seeded arrivals in
-// virtual time through several boxes' admission against the stand-in engine's
-// batching, and tells stall time, preemptions, time between tokens and goodput
-// by tier.
+// Package bench compares admission and placement policies under load. It replays seeded
+// arrivals in virtual time through the admission of several boxes and simulated engines,
+// and reports stalls, preemptions, time between tokens and goodput by tier.
 //
-// It models no machine and no network but for a delay, a cut and a lag.
+// The network is modelled only by a fixed delay, a partition and delayed load reports.
 package bench
--- a/bench/engine.go
+++ b/bench/engine.go
@@ -9,7 +9,8 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// simulatedEngine is one engine in virtual time.
+// simulatedEngine is an engine in virtual time, with the lease ownership and shares of
+// its owner slots.
 type simulatedEngine struct {
 	name           string
 	batch          *standin.Batch
@@ -92,7 +93,8 @@
 	})
 }
 
-// report lets owners see an engine's load later.
+// report queues an engine's load report and delivers to the owners those that are at least
+// the report lag old.
 func (n *simulation) report(e *simulatedEngine, took time.Duration) {
 	lag := reportLag + n.c.ReportLag
 	e.pendingReports = append(e.pendingReports, timedReport{
@@ -117,8 +119,9 @@
 	}
 }
 
-// stallThreshold is the silence between tokens that counts as a stall.
-const stallThreshold = 0.25
+// stallThresholdSeconds is the time between two tokens, in seconds, above which a stream counts
+// as stalled.
+const stallThresholdSeconds = 0.25
 
 func (n *simulation) recordToken(r *request) {
 	if r == nil {
@@ -129,7 +132,7 @@
 	} else {
 		gap := n.now.Sub(r.lastTokenAt).Seconds()
 		r.tokenGaps = append(r.tokenGaps, gap)
-		r.stallSeconds += max(0, gap-stallThreshold)
+		r.stallSeconds += max(0, gap-stallThresholdSeconds)
 	}
 	r.lastTokenAt = n.now
 	if r.seq.Made-r.reportedTokens >= tokensPerReport {
--- a/bench/event_queue.go
+++ b/bench/event_queue.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is an action scheduled for a point in virtual time. Events of the same time run in
+// the order in which they were scheduled.
 type event struct {
 	at     time.Time
 	order  int
 	action func()
 }
 
+// eventQueue is a heap of events, ordered by time; it implements heap.Interface.
 type eventQueue struct {
 	items     []event
 	lastOrder int
--- a/bench/outcome.go
+++ b/bench/outcome.go
@@ -7,45 +7,46 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// The brief's limits on one generation.
+// A generation counts as goodput if its first token comes within firstTokenLimit and at
+// least minOnTimeShare of its token gaps are within tokenGapLimitSeconds.
 const (
-	firstTokenLimit = 2 * time.Second
-	tokenGapLimit   = 0.030
-	minOnTimeShare  = 0.95
+	firstTokenLimit      = 2 * time.Second
+	tokenGapLimitSeconds = 0.030
+	minOnTimeShare       = 0.95
 )
 
-// TierOutcome is what one tier's callers had.
+// TierOutcome holds the results of one tier's requests.
 type TierOutcome struct {
 	Tier          string
 	Requests      int
 	Refused       int
 	Lost          int
 	Completed     int
-	StallMean     float64 // seconds a stream
+	StallMean     float64 // seconds per stream
 	StallP99      float64
 	Preemptions   int
-	TokenGapP50   float64 // seconds
+	TokenGapP50   float64 // quantiles of the time between tokens, in seconds
 	TokenGapP95   float64
 	TokenGapP99   float64
-	FirstTokenP95 float64
-	Goodput       float64 // tokens a second
+	FirstTokenP95 float64 // quantile of the time to the first token, in seconds
+	Goodput       float64 // tokens per second of generations within the limits
 	tokens        float64
 }
 
-// Outcome is what one replay gave.
+// Outcome holds the results of one replay.
 type Outcome struct {
 	Deployment            string
 	Case                  string
 	Policy                string
 	Tiers                 []TierOutcome
-	Goodput               float64
-	ByCustomer            map[string]float64
-	ControlBytesPerSecond float64 // control bytes a second and box
-	MessagesPerSecond     float64
-	Computed              float64 // part of the prompts' tokens that engines computed
+	Goodput               float64            // tokens per second of generations within the limits
+	ByCustomer            map[string]float64 // goodput by customer
+	ControlBytesPerSecond float64            // per box
+	MessagesPerSecond     float64            // control messages per box
+	Computed              float64            // share of prompt tokens computed, not read from a cache
 }
 
-// Tier finds a tier's part.
+// Tier returns the results of a tier, which are zero if it had no requests.
 func (o *Outcome) Tier(name string) *TierOutcome {
 	for i := range o.Tiers {
 		if o.Tiers[i].Tier == name {
@@ -55,14 +56,14 @@
 	return &TierOutcome{}
 }
 
-// metTargets reports whether a generation met the brief's limits.
+// metTargets reports whether a generation completed within the limits.
 func (r *request) metTargets(start time.Time) bool {
 	if !r.done || r.firstTokenAt.Sub(start.Add(r.arrival.At)) > firstTokenLimit {
 		return false
 	}
 	onTime := 0
 	for _, gap := range r.tokenGaps {
-		if gap <= tokenGapLimit {
+		if gap <= tokenGapLimitSeconds {
 			onTime++
 		}
 	}
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -4,14 +4,14 @@
 	"dillsaddle.example/dillsaddle/admission"
 )
 
-// Policy is one way to decide, for a column of the table.
+// Policy is an admission and placement policy to be compared.
 type Policy struct {
 	Name  string
 	Apply func(*admission.Rules, *simulation)
-	Boxes int // 1: as if every request asked the owner
+	Boxes int // number of boxes; 0 for the default, 1 for a single box that decides everything
 }
 
-// Policies are the columns.
+// Policies returns the compared policies in the order of the table's columns.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "round robin", Apply: roundRobin},
--- a/bench/replay_test.go
+++ b/bench/replay_test.go
@@ -25,26 +25,26 @@
 	return bench.Replay(d, c, policyNamed(policy), bench.Seed)
 }
 
-var _ = Describe("decisions under load, in virtual time", func() {
+var _ = Describe("decisions under load in virtual time", func() {
 	for _, d := range []bench.Deployment{bench.Buscodigo(), bench.Jordan()} {
-		It("give the same figures in every run of "+d.Name, func() {
+		It("gives the same figures in every run of "+d.Name, func() {
 			first := replay(d, "1.3", bench.PolicyOurs)
 			Expect(replay(d, "1.3", bench.PolicyOurs)).To(Equal(first))
 		})
 
-		It("preempt nothing of the two highest tiers at 1.3 in "+d.Name, func() {
+		It("preempts no gold or silver request at 1.3 times the sustainable load in "+d.Name, func() {
 			o := replay(d, "1.3", bench.PolicyOurs)
 			Expect(o.Tier("gold").Preemptions + o.Tier("silver").Preemptions).To(BeZero())
 			Expect(o.Tier("gold").StallMean).To(BeZero())
 		})
 
-		It("keep control within its bytes and goodput above reservation's in "+d.Name, func() {
+		It("keeps control traffic below its limit and goodput well above the reservation policy's in "+d.Name, func() {
 			o := replay(d, "1.3", bench.PolicyOurs)
 			Expect(o.ControlBytesPerSecond).To(BeNumerically("<", 23000))
 			Expect(o.Goodput).To(BeNumerically(">", 1.5*replay(d, "1.3", bench.PolicyReservation).Goodput))
 		})
 
-		It("degrade to what the reachable owners lease while half the boxes are cut off in "+d.Name, func() {
+		It("preempts no gold or silver request and refuses no gold one while half the boxes are partitioned in "+d.Name, func() {
 			o := replay(d, "cut", bench.PolicyOurs)
 			Expect(o.Tier("gold").Preemptions + o.Tier("silver").Preemptions).To(BeZero())
 			Expect(o.Tier("gold").Refused).To(BeZero())
--- a/bench/run.go
+++ b/bench/run.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// The fixed sizes of a run.
+// Sizes and intervals of every replay.
 const (
 	boxCount        = 3
 	engineCount     = 6
@@ -24,11 +24,12 @@
 	partitionTime   = 20 * time.Second
 )
 
-// rankRisks are the risks of the tiers by rank, as the examples' configurations
-// have them.
+// rankRisks holds the accepted risk of running out of memory by the tier's rank, as in the
+// example configurations.
 var rankRisks = []float64{0.01, 0.05, 0.1}
 
-// EngineRules are the engines of a run; memory binds before the batch does.
+// EngineRules returns the simulated engines' rules. Their memory is small enough to fill
+// before their batch does.
 func EngineRules() standin.BatchRules {
 	rules := standin.DefaultBatchRules()
 	rules.MemoryTokens = 32000
@@ -36,7 +37,7 @@
 	return rules
 }
 
-// request is one arrival on its way through a run.
+// request is the state of one arrival during a replay.
 type request struct {
 	arrival        *Arrival
 	id             string
@@ -44,7 +45,7 @@
 	engine         string
 	firstTokenAt   time.Time
 	lastTokenAt    time.Time
-	tokenGaps      []float64 // seconds between tokens
+	tokenGaps      []float64 // seconds
 	stallSeconds   float64
 	refused        bool
 	lost           bool
@@ -52,7 +53,7 @@
 	reportedTokens int
 }
 
-// simulation is one replay.
+// simulation is the state of one replay.
 type simulation struct {
 	c               Case
 	list            *core.List
@@ -69,7 +70,8 @@
 	controlMessages int
 }
 
-// Replay runs one deployment, case and policy.
+// Replay simulates one case of a deployment under a policy. The same seed gives the same
+// outcome.
 func Replay(d Deployment, c Case, p Policy, seed uint64) *Outcome {
 	boxes := boxCount
 	if p.Boxes > 0 {
@@ -97,7 +99,7 @@
 	return n.outcome(d, p)
 }
 
-// drainTime lets what was admitted end after the last arrival.
+// drainTime is the time after the last arrival in which admitted requests can finish.
 const drainTime = 30 * time.Second
 
 func newSimulation(c Case, p Policy, boxes int) *simulation {
@@ -128,14 +130,14 @@
 	return n
 }
 
-// scheduleFaults arranges what goes wrong in the case.
+// scheduleFaults schedules the engine failure of the case, if any.
 func (n *simulation) scheduleFaults() {
 	if n.c.EngineFails {
 		n.schedule(n.c.Duration/2, func() { n.failEngine(n.engines[n.engineNames[0]]) })
 	}
 }
 
-// isCutOff reports whether a box can't reach an owner now.
+// isCutOff reports whether the partition separates a box from an owner now.
 func (n *simulation) isCutOff(box, owner string) bool {
 	if !n.c.IsPartitioned {
 		return false
@@ -148,7 +150,7 @@
 	return (box < firstOfSecondHalf) != (owner < firstOfSecondHalf)
 }
 
-// renewLeases asks every owner for leases, as an entry does.
+// renewLeases requests leases from every owner, and repeats this at every lease interval.
 func (n *simulation) renewLeases(box int) {
 	n.schedule(leaseInterval, func() { n.renewLeases(box) })
 	n.requestLeases(box)
@@ -209,7 +211,7 @@
 	})
 }
 
-// countMessage adds a control message to the bytes that boxes exchange.
+// countMessage adds a message to the control traffic between boxes.
 func (n *simulation) countMessage(m any) {
 	n.controlBytes += wire.EncodedSize(m)
 	n.controlMessages++
--- a/bench/summary.go
+++ b/bench/summary.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// The names of the policies that a summary compares with.
+// Names of the policies that a summary compares.
 const (
 	PolicyOurs          = "dillsaddle"
 	PolicyOracle        = "oracle"
@@ -14,29 +14,29 @@
 	PolicyLeastReported = "least reported"
 )
 
-// Summary is one case's distance to the aims.
+// Summary compares the project's own policy with the baselines in one case.
 type Summary struct {
 	Case                string
-	VersusOracle        float64 // goodput
+	VersusOracle        float64 // goodput relative to another policy's
 	VersusReservation   float64
 	VersusLeastReported float64
-	GoldSilverPreempted int     // of the two highest tiers
+	GoldSilverPreempted int     // preemptions
 	GoldTokenGapP99     float64 // seconds
-	GoldFirstTokenP95   float64
-	GoldStall           float64
-	ControlBytes        float64
-	BronzePreempted     int
-	Computed            float64 // part of the prompts' tokens that engines computed
+	GoldFirstTokenP95   float64 // seconds
+	GoldStall           float64 // mean, in seconds per stream
+	ControlBytes        float64 // per second and box
+	BronzePreempted     int     // preemptions
+	Computed            float64 // share of prompt tokens computed, not read from a cache
 }
 
-// noisyCase and quietCase differ in the noisy customer alone.
+// noisyCase and quietCase differ only in the noisy customer's load.
 const (
 	noisyCase = "noisy"
 	quietCase = "0.7"
 )
 
-// NoisyCustomerCost gives the part of their goodput that the other customers of a noisy
-// customer's tier lose to it; the tier's customers are named, the noisy first.
+// NoisyCustomerCost returns the share of goodput that a noisy customer costs the others of
+// its tier. The noisy customer is the first of tier.
 func NoisyCustomerCost(all []*Outcome, tier []string) float64 {
 	others := func(name string) float64 {
 		sum := 0.0
@@ -57,7 +57,8 @@
 	return 1 - others(noisyCase)/quiet
 }
 
-// NoisyTierCustomers gives the customers of the tier in which one is noisy, it first.
+// NoisyTierCustomers returns the customers of the noisy customer's tier, starting with the
+// noisy one.
 func (d *Deployment) NoisyTierCustomers() []string {
 	noisy := &d.Customers[noisyCustomer]
 	names := []string{noisy.Name}
@@ -70,7 +71,7 @@
 	return names
 }
 
-// Summarise compares our policy with the others, case by case.
+// Summarise compares the project's own policy with the baselines, case by case.
 func Summarise(all []*Outcome) []Summary {
 	byCase := make(map[string]map[string]*Outcome)
 	var order []string
@@ -106,7 +107,7 @@
 	}
 }
 
-// PrintSummary writes the distances to the aims.
+// PrintSummary writes a table with one line per case.
 func PrintSummary(out io.Writer, deployment string, all []Summary) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "deployment\tcase\tof oracle\tof reservation\tof least rep.\ttop preempted\tbronze preempted\tgold p99 ms\tgold first p95 s\tgold stall ms\tcontrol B/s\tprompts computed\t")
--- a/bench/table.go
+++ b/bench/table.go
@@ -8,11 +8,11 @@
 	"text/tabwriter"
 )
 
-// Seed is the seed of the committed loads.
+// Seed is the seed of the arrivals in the published tables.
 const Seed = 20261202
 
-// ReplayAll replays all policies on some cases of a deployment, side by side, in
-// the order of cases and policies.
+// ReplayAll replays every policy on every case of a deployment in parallel. The outcomes
+// are ordered by case, then by policy.
 func ReplayAll(d Deployment, cases []Case, policies []Policy) []*Outcome {
 	all := make([]*Outcome, len(cases)*len(policies))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -30,7 +30,7 @@
 	return all
 }
 
-// PrintTiers writes the table of some outcomes.
+// PrintTiers writes a table with one line per outcome and tier.
 func PrintTiers(out io.Writer, all []*Outcome) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "deployment\tcase\tpolicy\ttier\trequests\trefused\tlost\tstall ms\tstall p99\tpreempted\tp50 ms\tp95 ms\tp99 ms\tfirst p95 s\tgoodput/s\tcontrol B/s\tmsg/s\t")
@@ -45,7 +45,7 @@
 	return w.Flush()
 }
 
-// PrintGoodput writes each policy's goodput, one line a case.
+// PrintGoodput writes a table with one line per case and one column per policy.
 func PrintGoodput(out io.Writer, all []*Outcome, policies []Policy) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "goodput/s of deployment\tcase\t")
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -10,19 +10,19 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// Customer is one customer's part of a load.
+// Customer describes one customer's part of the load.
 type Customer struct {
 	Name   string
 	Class  string
 	Tier   string
 	Rank   int
-	Share  float64 // of all requests
+	Share  float64 // fraction of all requests
 	Prompt standin.LengthDistribution
 	Output standin.LengthDistribution
-	Most   int
+	Most   int // limit of the output tokens
 }
 
-// Arrival is one request of a load.
+// Arrival is one request, with the lengths that it turns out to have.
 type Arrival struct {
 	At       time.Duration
 	Customer *Customer
@@ -32,27 +32,27 @@
 	Box      int
 }
 
-// Deployment is who calls, and how.
+// Deployment is a named mix of customers.
 type Deployment struct {
 	Name      string
 	Customers []Customer
 }
 
-// Case is one load with one disturbance.
+// Case is a load level with at most one disturbance.
 type Case struct {
 	Name             string
-	LoadFactor       float64 // of what the engines can carry
-	HasBursts        bool
-	HasNoisyCustomer bool // one customer of the middle tier sends five times as much
-	OutputsGrow      bool // one customer's outputs grow tenfold half way
-	EngineFails      bool // one engine dies half way
-	IsPartitioned    bool // half the boxes lose the other half's owners for a while
+	LoadFactor       float64 // relative to the sustainable rate
+	HasBursts        bool    // the rate varies over time
+	HasNoisyCustomer bool    // one silver customer sends noisyFactor times its share
+	OutputsGrow      bool    // one customer's outputs become ten times as long half way
+	EngineFails      bool    // one engine crashes half way
+	IsPartitioned    bool    // half of the boxes can't reach the owners in the other half for partitionTime
 	ReportLag        time.Duration
 	Duration         time.Duration
 }
 
-// Buscodigo is the code search router fleet's load in shape: short completions
-// over shared prefixes, and longer summaries.
+// Buscodigo returns a load shaped like the code search deployment's: short completions
+// with shared prefixes, and longer summaries.
 func Buscodigo() Deployment {
 	short := standin.LengthDistribution{Median: 45, Sigma: 0.9, Most: 2000}
 	long := standin.LengthDistribution{Median: 350, Sigma: 1.1, Most: 12000}
@@ -70,8 +70,8 @@
 	}
 }
 
-// Jordan is the climate records assistant's load in shape: answers of middling
-// length, read word by word, and bulk summaries.
+// Jordan returns a load shaped like the climate records assistant's: interactive answers
+// of medium length, and bulk summaries.
 func Jordan() Deployment {
 	answer := standin.LengthDistribution{Median: 220, Sigma: 0.8, Most: 6000}
 	bulk := standin.LengthDistribution{Median: 600, Sigma: 1.0, Most: 16000}
@@ -89,7 +89,7 @@
 	}
 }
 
-// mean is the expected value of drawn lengths, by drawing.
+// mean estimates a length distribution's mean by sampling.
 func mean(l standin.LengthDistribution) float64 {
 	r := rand.New(rand.NewPCG(1, 2))
 	sum := 0
@@ -100,11 +100,11 @@
 	return float64(sum) / draws
 }
 
-// shortBatch leaves a part of the memory for what the mean doesn't show.
+// usableMemoryShare leaves a part of the memory free for variation around the mean.
 const usableMemoryShare = 0.9
 
-// SustainableRate gives the requests a second that some engines can carry: as many at once
-// as the memory holds on average or the time between tokens allows.
+// SustainableRate returns the requests per second that a number of engines can serve. The
+// requests run at once on an engine are limited by its slots and by its memory.
 func (d *Deployment) SustainableRate(engines int, rules standin.BatchRules, slots int) float64 {
 	output, held := 0.0, 0.0
 	for i := range d.Customers {
@@ -129,14 +129,14 @@
 	return sum / draws
 }
 
-// noisyCustomer sends noisyTimes as much in the noisy case, and makes outputs
-// ten times as long in the growth case.
+// noisyCustomer is the index of the customer that sends noisyFactor times its share in the
+// noisy case and whose outputs grow in the growth case.
 const (
 	noisyCustomer = 2
 	noisyFactor   = 5
 )
 
-// Arrivals draws a case's requests.
+// Arrivals generates the requests of a case.
 func (d *Deployment) Arrivals(c Case, rate float64, boxes int, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 7))
 	weights := make([]float64, len(d.Customers))
@@ -163,7 +163,8 @@
 	}
 }
 
-// burstFactor doubles and halves the rate in turn, with a short spike.
+// burstFactor returns the factor of the arrival rate at a time: in every 20 s, 3 for 2 s,
+// 1 for 8 s and 0.6 for the rest.
 func burstFactor(now time.Duration) float64 {
 	switch second := int(now.Seconds()) % 20; {
 	case second < 2:
@@ -199,7 +200,7 @@
 	return a
 }
 
-// Cases are the committed loads.
+// Cases returns the published cases, each with arrivals over a duration.
 func Cases(duration time.Duration) []Case {
 	cases := []Case{
 		{Name: "0.7", LoadFactor: 0.7},
@@ -218,7 +219,7 @@
 	return cases
 }
 
-// FindCase gives a case by name.
+// FindCase returns the case with a name.
 func FindCase(cases []Case, name string) (Case, error) {
 	at := slices.IndexFunc(cases, func(c Case) bool { return c.Name == name })
 	if at < 0 {
