--- a/lab/capacity.go
+++ b/lab/capacity.go
@@ -6,20 +6,20 @@
 	"text/tabwriter"
 )
 
-// The rates of the mechanisms, a second.
+// Rates at which boxes exchange control messages, and assumptions about the requests.
 const (
-	leasesPerSecond      = 0.5 // a lease in use, of four seconds, with two left
+	leasesPerSecond      = 0.5 // per lease in use: a lease of 4 s is renewed after 2 s
 	heartbeatsPerSecond  = 1.0 // to each peer
-	peersPerBox          = 4.0 // that it asks; as many ask it
-	endpointsPerModel    = 3.0 // endpoints of a model that an entry uses: 96 over 32 models
+	peersPerBox          = 4.0 // peers that a box polls; as many poll it
+	endpointsPerModel    = 3.0 // endpoints that an entry uses for a model
 	listPollsPerSecond   = 0.1 // long polls
 	configPollsPerSecond = 0.1
-	confirmsPerSecond    = 0.4  // at most, when no peer vouches
-	keyedShare           = 0.05 // of requests, that may run at most once
+	confirmsPerSecond    = 0.4  // upper limit, when no peer can confirm the list
+	keyedShare           = 0.05 // fraction of requests that may run at most once
 	retentionSeconds     = 3600.0
 )
 
-// capacityFigure is one line of the capacity page.
+// capacityFigure is one line of the capacity table.
 type capacityFigure struct {
 	role  string
 	what  string
@@ -35,10 +35,10 @@
 			return &all[i]
 		}
 	}
-	panic("no slope " + name)
+	panic("no slope is named " + name)
 }
 
-// printCapacity works the slopes out for the size in two years.
+// printCapacity extrapolates the measured slopes to the target size.
 func printCapacity(out io.Writer, all []slope) error {
 	requestsPerBox := targetRequests / targetBoxes
 	demands := targetModels * endpointsPerModel * 2
--- a/lab/doc.go
+++ b/lab/doc.go
@@ -1,3 +1,3 @@
-// Package lab is the maintainers' load and experiment tool: proofs, decision
-// tables, slopes and a load on a running fleet.
+// Package lab is the maintainers' command-line tool. It checks the guarantees, runs soak
+// tests, measures costs and policies, and sends load to a running fleet.
 package lab
--- a/lab/fixtures.go
+++ b/lab/fixtures.go
@@ -8,7 +8,7 @@
 	"dillsaddle.example/dillsaddle/core"
 )
 
-// The size that the users expect within two years.
+// Target size: what the users expect within two years.
 const (
 	targetBoxes         = 470
 	targetEndpoints     = 5300
@@ -18,12 +18,12 @@
 	targetModels        = 32
 	targetRegions       = 7
 	targetZones         = 18
-	configChangesPerDay = 6800.0 // of configuration a day
-	boxesReplacedPerDay = 2067.0 // boxes a day, failures included
+	configChangesPerDay = 6800.0
+	boxesReplacedPerDay = 2067.0 // including failures
 	secondsPerDay       = 86400.0
 )
 
-// newList builds a list of boxes over zones and regions, and endpoints.
+// newList returns a membership list whose boxes are spread over zones and regions.
 func newList(boxes, endpoints int) *core.List {
 	l := &core.List{
 		Version: 1,
@@ -43,7 +43,7 @@
 	return l
 }
 
-// configDocument builds a configuration of a size.
+// configDocument returns the text of a configuration with the given number of entries.
 func configDocument(customers, models, endpoints int) []byte {
 	type entry map[string]any
 	d := entry{
--- a/lab/load.go
+++ b/lab/load.go
@@ -23,7 +23,7 @@
 	"dillsaddle.example/dillsaddle/events"
 )
 
-// loadOptions say what load to bring to a running fleet.
+// loadOptions are the flags of the load command.
 type loadOptions struct {
 	url       string
 	key       string
@@ -35,25 +35,25 @@
 }
 
 func init() {
-	var rules loadOptions
+	var options loadOptions
 	fs := flag.NewFlagSet("load", flag.ContinueOnError)
-	fs.StringVar(&rules.url, "url", "http://127.0.0.1:7101", "callers' `address` of an entry")
-	fs.StringVar(&rules.key, "key", "demo-editor-key", "customer's `key`")
-	fs.StringVar(&rules.model, "model", "complete-small", "`model` to ask for")
-	fs.Float64Var(&rules.rate, "rate", 2, "streams begun a `second`")
-	fs.DurationVar(&rules.duration, "lasting", 10*time.Second, "`time` during which streams are begun")
-	fs.IntVar(&rules.maxTokens, "max-tokens", 400, "longest output in `tokens`")
-	fs.Uint64Var(&rules.seed, "seed", 1, "`seed` of the arrivals")
+	fs.StringVar(&options.url, "url", "http://127.0.0.1:7101", "callers' `address` of an entry")
+	fs.StringVar(&options.key, "key", "demo-editor-key", "customer's `key`")
+	fs.StringVar(&options.model, "model", "complete-small", "`model` to ask for")
+	fs.Float64Var(&options.rate, "rate", 2, "streams begun a `second`")
+	fs.DurationVar(&options.duration, "lasting", 10*time.Second, "`time` during which streams are begun")
+	fs.IntVar(&options.maxTokens, "max-tokens", 400, "longest output in `tokens`")
+	fs.Uint64Var(&options.seed, "seed", 1, "`seed` of the arrivals")
 	commands = append(commands, &ffcli.Command{
 		Name:       "load",
 		ShortUsage: "dillsaddle-lab load [flags]",
 		ShortHelp:  "bring a load to a running fleet and tell what its callers had",
 		FlagSet:    fs,
-		Exec:       func(ctx context.Context, _ []string) error { return load(ctx, os.Stdout, &rules) },
+		Exec:       func(ctx context.Context, _ []string) error { return load(ctx, os.Stdout, &options) },
 	})
 }
 
-// loadResults is what the callers of a load had.
+// loadResults collects what the callers of a load observed; times are in seconds.
 type loadResults struct {
 	mu              sync.Mutex
 	completed       int
@@ -63,8 +63,8 @@
 	tokenGaps       []float64
 }
 
-func load(ctx context.Context, out io.Writer, rules *loadOptions) error {
-	if rules.rate <= 0 {
+func load(ctx context.Context, out io.Writer, options *loadOptions) error {
+	if options.rate <= 0 {
 		return errors.New("flag -rate must be above 0")
 	}
 	c, err := client.NewClient(
@@ -75,23 +75,23 @@
 	if err != nil {
 		return err
 	}
-	seen := &loadResults{}
-	random := rand.New(rand.NewPCG(rules.seed, 1))
+	results := &loadResults{}
+	random := rand.New(rand.NewPCG(options.seed, 1))
 	var wait sync.WaitGroup
-	for end := time.Now().Add(rules.duration); time.Now().Before(end); {
-		wait.Go(func() { seen.stream(ctx, c, rules) })
-		time.Sleep(time.Duration(random.ExpFloat64() / rules.rate * float64(time.Second)))
+	for end := time.Now().Add(options.duration); time.Now().Before(end); {
+		wait.Go(func() { results.stream(ctx, c, options) })
+		time.Sleep(time.Duration(random.ExpFloat64() / options.rate * float64(time.Second)))
 	}
 	wait.Wait()
-	return seen.print(out)
+	return results.print(out)
 }
 
-func (s *loadResults) stream(ctx context.Context, c *client.Client, rules *loadOptions) {
+func (s *loadResults) stream(ctx context.Context, c *client.Client, options *loadOptions) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(http.MethodPost)
-	req.SetRequestURI(rules.url + "/v1/completions")
-	req.Header.Set("Authorization", "Bearer "+rules.key)
-	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"a load's prompt","stream":true,"max_tokens":%d}`, rules.model, rules.maxTokens))
+	req.SetRequestURI(options.url + "/v1/completions")
+	req.Header.Set("Authorization", "Bearer "+options.key)
+	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"a load's prompt","stream":true,"max_tokens":%d}`, options.model, options.maxTokens))
 	began := time.Now()
 	err := c.Do(ctx, req, resp)
 	defer func() { _ = resp.CloseBodyStream() }()
@@ -144,7 +144,7 @@
 	return err
 }
 
-// quantileMS gives a quantile in milliseconds.
+// quantileMS returns a quantile of sorted seconds, in milliseconds.
 func quantileMS(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -18,23 +18,23 @@
 func init() {
 	fs := flag.NewFlagSet("lookups", flag.ContinueOnError)
 	programs := fs.String("programs", "bin", "`folder` of the programs")
-	lasting := fs.Duration("lasting", 8*time.Second, "`time` of each load")
+	duration := fs.Duration("lasting", 8*time.Second, "`time` of each load")
 	commands = append(commands, &ffcli.Command{
 		Name:       "lookups",
 		ShortUsage: "dillsaddle-lab lookups [flags]",
 		ShortHelp:  "measure lookups of a service whose servers are late now and then, with hedging and without",
 		FlagSet:    fs,
-		Exec:       func(context.Context, []string) error { return lookups(os.Stdout, *programs, *lasting) },
+		Exec:       func(context.Context, []string) error { return lookups(os.Stdout, *programs, *duration) },
 	})
 }
 
-// The load of lookups.
+// Size of the lookup load.
 const (
 	lookupCallers = 16
 	lookupServers = 3
 )
 
-// latencyCase is how a service's servers are late.
+// latencyCase is a pattern of late answers from a service's servers.
 type latencyCase struct {
 	name   string
 	faults standin.Faults
@@ -47,10 +47,10 @@
 	{name: "each answer 30 ms late", faults: standin.Faults{DelayMS: 30}},
 }
 
-func lookups(out io.Writer, programs string, lasting time.Duration) error {
+func lookups(out io.Writer, programs string, duration time.Duration) error {
 	for _, l := range latencyCases {
 		for _, hedge := range []bool{false, true} {
-			if err := printLookups(out, programs, l, hedge, lasting); err != nil {
+			if err := printLookups(out, programs, l, hedge, duration); err != nil {
 				return err
 			}
 		}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func printLookups(out io.Writer, programs string, l latencyCase, hedge bool, lasting time.Duration) error {
+func printLookups(out io.Writer, programs string, l latencyCase, hedge bool, duration time.Duration) error {
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
 	shape.Engines = 1
@@ -72,7 +72,7 @@
 	if err := f.SetServerFaults(l.faults); err != nil {
 		return err
 	}
-	all, err := f.Lookups(lookupCallers, lasting)
+	all, err := f.Lookups(lookupCallers, duration)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 	return err
 }
 
-// lookupQuantileMS gives a quantile in milliseconds.
+// lookupQuantileMS returns a quantile of the lookups' latencies, in milliseconds.
 func lookupQuantileMS(all *proof.Lookups, part float64) float64 {
 	return 1000 * stat.Quantile(part, stat.Empirical, all.Latencies, nil)
 }
--- a/lab/main.go
+++ b/lab/main.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// commands are the lab's commands; each file adds its own.
+// commands holds the sub-commands; each file adds its own.
 var commands []*ffcli.Command
 
-// Run carries out a command line and gives its exit code.
+// Run executes a command line and returns its exit code.
 func Run(arguments []string) int {
 	root := &ffcli.Command{
 		ShortUsage:  "dillsaddle-lab COMMAND [flags]",
--- a/lab/plots.go
+++ b/lab/plots.go
@@ -28,10 +28,10 @@
 	})
 }
 
-// plottedPolicies are the policies in the plots, by their columns' names.
+// plottedPolicies are the policies drawn in the plots.
 var plottedPolicies = []string{bench.PolicyLeastReported, bench.PolicyReservation, bench.PolicyOurs, bench.PolicyOracle}
 
-// loadFactors are the loads along the plots' axis.
+// loadFactors are the load levels on the plots' x axis.
 var loadFactors = []float64{0.5, 0.7, 0.85, 1.0, 1.15, 1.3}
 
 func plots(folder string, duration time.Duration) error {
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -33,10 +33,10 @@
 	})
 }
 
-// maxDeepRuns bounds the explorations that run side by side, for their memory.
+// maxDeepRuns limits the model explorations that run at once, because of their memory.
 const maxDeepRuns = 3
 
-// proofResults is what was run for a promise.
+// proofResults collects the checks that were run for each guarantee, and their failures.
 type proofResults struct {
 	mu     sync.Mutex
 	ran    map[model.Promise][]string
@@ -69,10 +69,10 @@
 		return err
 	}
 	for _, s := range proof.Scenarios() {
-		seen, err := s.Execute(programs)
+		details, err := s.Execute(programs)
 		what := "processes, " + s.Name
-		if seen != "" {
-			what += " (" + seen + ")"
+		if details != "" {
+			what += " (" + details + ")"
 		}
 		e.add(s.Promises, what, errorText(err))
 	}
@@ -99,8 +99,8 @@
 	wait.Wait()
 }
 
-// proveModel explores with every guard on, and with each off, where the break
-// must be found.
+// proveModel explores a model with all guards enabled, and then with each guard disabled,
+// when the exploration must find a violation.
 func proveModel(e *proofResults, c model.Check, deep bool) {
 	r := c.Run(deep)
 	failure := r.Violation
@@ -109,16 +109,17 @@
 	}
 	e.add(c.Promises, "model, "+c.Name+" ("+r.String()+")", failure)
 	for _, g := range c.Guards {
-		off := c.Run(false, core.WithoutGuard(g))
+		withoutGuard := c.Run(false, core.WithoutGuard(g))
 		failure := ""
-		if off.Violation == "" {
+		if withoutGuard.Violation == "" {
 			failure = "no break was found without the guard"
 		}
-		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(off.Trace)), failure)
+		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(withoutGuard.Trace)), failure)
 	}
 }
 
-// tracePromises tell which promises a recorded trace bears on, by its name.
+// tracePromises maps a keyword in a recorded trace's file name to the guarantees that the
+// trace exercises.
 var tracePromises = map[string][]model.Promise{
 	"stalled":  {model.TokensOnce, model.CompleteAnswer},
 	"vanished": {model.TokensOnce, model.CompleteAnswer},
@@ -180,7 +181,7 @@
 		fmt.Printf("promise %d: %s: %s\n", p, verdict, detail)
 	}
 	if failed > 0 {
-		return errors.Errorf("%d promises fell", failed)
+		return errors.Errorf("%d promises were broken", failed)
 	}
 	return nil
 }
--- a/lab/slope.go
+++ b/lab/slope.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// slope is a cost that was measured at several sizes and fitted by a line.
+// slope is a cost measured at several sizes, with a linear fit.
 type slope struct {
 	name      string
 	unit      string
@@ -18,10 +18,10 @@
 	costs     []float64
 	intercept float64
 	perUnit   float64
-	rSquared  float64 // r squared
+	rSquared  float64
 }
 
-// measure fits a cost over sizes.
+// fitSlope measures a cost at several sizes and fits a line.
 func fitSlope(name, unit string, sizes []float64, cost func(size int) float64) slope {
 	s := slope{
 		name:  name,
@@ -36,7 +36,7 @@
 	return s
 }
 
-// estimate gives the cost at a size by the fit.
+// estimate returns the fitted cost at a size.
 func (s *slope) estimate(size float64) float64 { return max(0, s.intercept+s.perUnit*size) }
 
 func printSlopes(out io.Writer, all []slope) error {
@@ -56,10 +56,10 @@
 	return text
 }
 
-// minMeasureTime is how long a cost is measured at the least.
+// minMeasureTime is the minimum time for which a call is repeated.
 const minMeasureTime = 60 * time.Millisecond
 
-// meanNanoseconds gives the time of one call in the mean.
+// meanNanoseconds returns the mean duration of a call.
 func meanNanoseconds(call func()) float64 {
 	call()
 	began := time.Now()
@@ -71,7 +71,7 @@
 	return float64(time.Since(began).Nanoseconds()) / float64(n)
 }
 
-// heapBytes gives the memory that what a function builds keeps.
+// heapBytes returns the heap memory retained by the result of build.
 func heapBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -12,17 +12,17 @@
 func init() {
 	fs := flag.NewFlagSet("slopes", flag.ContinueOnError)
 	programs := fs.String("programs", "bin", "`folder` of the programs")
-	lasting := fs.Duration("lasting", 8*time.Second, "`time` of each load on real processes")
+	duration := fs.Duration("lasting", 8*time.Second, "`time` of each load on real processes")
 	commands = append(commands, &ffcli.Command{
 		Name:       "slopes",
 		ShortUsage: "dillsaddle-lab slopes [flags]",
 		ShortHelp:  "measure what each part costs, and work it out for the size in two years",
 		FlagSet:    fs,
-		Exec:       func(context.Context, []string) error { return slopes(*programs, *lasting) },
+		Exec:       func(context.Context, []string) error { return slopes(*programs, *duration) },
 	})
 }
 
-func slopes(programs string, lasting time.Duration) error {
+func slopes(programs string, duration time.Duration) error {
 	all := coreSlopes()
 	if err := printSlopes(os.Stdout, all); err != nil {
 		return err
@@ -30,11 +30,11 @@
 	if err := printCapacity(os.Stdout, all); err != nil {
 		return err
 	}
-	if err := printControl(os.Stdout, programs, lasting); err != nil {
+	if err := printControl(os.Stdout, programs, duration); err != nil {
 		return err
 	}
-	if err := printPath(os.Stdout, programs, lasting); err != nil {
+	if err := printPath(os.Stdout, programs, duration); err != nil {
 		return err
 	}
-	return printTail(os.Stdout, programs, lasting)
+	return printTail(os.Stdout, programs, duration)
 }
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -13,10 +13,10 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// doublings is 1, 2, 4 and 8 times a base.
+// doublings returns 1, 2, 4 and 8 times a base.
 func doublings(base float64) []float64 { return []float64{base, 2 * base, 4 * base, 8 * base} }
 
-// coreSlopes are the costs of the decisions themselves.
+// coreSlopes measures the costs of decisions, messages and tables without processes.
 func coreSlopes() []slope {
 	return []slope{
 		fitSlope("admission of a request, by waiting", "ns", doublings(50), admissionCost),
@@ -42,8 +42,8 @@
 
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newLoadedModel builds an admission of 16 endpoints with full leases and some
-// requests waiting behind a full fleet.
+// newLoadedModel returns an admission model with 16 endpoints whose leases are used up and
+// a number of waiting requests.
 func newLoadedModel(waiting int) *admission.Model {
 	rules := admission.DefaultRules()
 	rules.MaxWaiting = func(string) int { return 1 << 20 }
@@ -86,7 +86,7 @@
 	}}
 }
 
-// admissionCost is one request in and one out, with some waiting.
+// admissionCost measures one arrival and its withdrawal while other requests wait.
 func admissionCost(waiting int) float64 {
 	m := newLoadedModel(waiting)
 	now := epoch.Add(30 * time.Minute)
@@ -122,7 +122,7 @@
 	})
 }
 
-// handoverBytes is a handover without claims that tells of ten replaced lists.
+// handoverBytes returns the size of a handover that holds ten earlier lists and no claims.
 func handoverBytes(boxes int) float64 {
 	self := core.Box{Name: "box-000"}
 	owner := core.NewClaimOwner(self, core.DefaultClaimRules(), epoch)
@@ -286,7 +286,7 @@
 	return float64(wire.EncodedSize(h))
 }
 
-// gzipSize gives the size of a text as the platform sends it.
+// gzipSize returns the compressed size of a text, which is what the platform sends.
 func gzipSize(text []byte) float64 { return float64(len(compress.AppendGzipBytes(nil, text))) }
 
 func listText(endpoints int) float64 {
--- a/lab/slopes_fleet.go
+++ b/lab/slopes_fleet.go
@@ -9,7 +9,7 @@
 	"dillsaddle.example/dillsaddle/watch"
 )
 
-// maxPeers is how many peers a watch has.
+// maxPeers is the maximum number of peers of a watch process.
 const maxPeers = 4
 
 func peerCount(boxes int) float64 {
@@ -21,14 +21,14 @@
 	return float64(most)
 }
 
-// The sizes of the measurement of the shards.
+// Size of the sharded map's measurement.
 const (
 	shardKeys    = 10000
 	shardLookups = 300000
 )
 
-// shardCost is the time of one lookup while several threads look up: without
-// contention it stays the same as threads are added.
+// shardCost measures a lookup in the sharded map while several goroutines look up keys.
+// Without lock contention it doesn't grow with their number.
 func shardCost(threads int) float64 {
 	m := shard.NewMap[int]()
 	keys := make([]string, shardKeys)
--- a/lab/slopes_path.go
+++ b/lab/slopes_path.go
@@ -14,19 +14,19 @@
 	"dillsaddle.example/dillsaddle/proof"
 )
 
-// pathCost is what a run of real streams cost.
+// pathCost is the resource use of a load of real streams.
 type pathCost struct {
 	tokens         float64
 	requests       float64
 	seconds        float64
-	entrySeconds   float64 // core seconds
-	controlSeconds float64 // core seconds of scheduler and watch
-	entryBytes     float64 // bytes of the entry
-	gcShare        float64 // of the entry's time
+	entrySeconds   float64 // processor time
+	controlSeconds float64 // processor time of scheduler and watch
+	entryBytes     float64 // resident memory
+	gcShare        float64 // fraction of the entry's processor time
 }
 
-// pathShape is a fleet whose engines make tokens faster than one entry passes
-// them on.
+// pathShape returns a fleet whose engines generate tokens faster than one entry process
+// forwards them.
 func pathShape(median float64) proof.Shape {
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
@@ -39,20 +39,20 @@
 	return shape
 }
 
-// runPath keeps a number of streams open for a while.
-func runPath(programs string, median float64, streams int, lasting time.Duration) (*pathCost, error) {
+// runPath keeps a number of streams open for a duration and returns what they cost.
+func runPath(programs string, median float64, streams int, duration time.Duration) (*pathCost, error) {
 	f, err := proof.Start(programs, pathShape(median))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	before, err := readEntryMetrics(f)
+	before, err := readPathMetrics(f)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	requests := runStreams(f, streams, began.Add(lasting))
-	after, err := readEntryMetrics(f)
+	requests := runStreams(f, streams, began.Add(duration))
+	after, err := readPathMetrics(f)
 	if err != nil {
 		return nil, err
 	}
@@ -88,8 +88,8 @@
 	return total
 }
 
-// readEntryMetrics reads the processes' own metrics.
-func readEntryMetrics(f *proof.Fleet) (map[string]float64, error) {
+// readPathMetrics reads processor time, memory and token counts from a box's processes.
+func readPathMetrics(f *proof.Fleet) (map[string]float64, error) {
 	all := make(map[string]float64)
 	entry, err := f.Metrics(0, "entry")
 	if err != nil {
@@ -109,20 +109,20 @@
 	return all, nil
 }
 
-// printPath tells what a token and a request cost in one entry process: two
-// loads of short and long outputs give the two slopes.
-func printPath(out io.Writer, programs string, lasting time.Duration) error {
-	short, err := runPath(programs, 30, 300, lasting)
+// printPath prints the cost of a token and of a request in an entry process. It solves for
+// both from one load with short outputs and one with long outputs.
+func printPath(out io.Writer, programs string, duration time.Duration) error {
+	short, err := runPath(programs, 30, 300, duration)
 	if err != nil {
-		return errors.Wrap(err, "load of short outputs")
+		return errors.Wrap(err, "run the load with short outputs")
 	}
-	long, err := runPath(programs, 600, 400, lasting)
+	long, err := runPath(programs, 600, 400, duration)
 	if err != nil {
-		return errors.Wrap(err, "load of long outputs")
+		return errors.Wrap(err, "run the load with long outputs")
 	}
-	det := short.tokens*long.requests - long.tokens*short.requests
-	token := (short.entrySeconds*long.requests - long.entrySeconds*short.requests) / det
-	request := (short.tokens*long.entrySeconds - long.tokens*short.entrySeconds) / det
+	determinant := short.tokens*long.requests - long.tokens*short.requests
+	token := (short.entrySeconds*long.requests - long.entrySeconds*short.requests) / determinant
+	request := (short.tokens*long.entrySeconds - long.tokens*short.entrySeconds) / determinant
 	for name, l := range map[string]*pathCost{"short": short, "long": long} {
 		fmt.Fprintf(out, "path, %s outputs: %.0f tokens/s, %.0f requests/s, entry %.2f cores (%.1f us a token, all in), control %.3f cores, entry memory %.0f MB, garbage collection %.1f%% of the entry's time\n",
 			name, l.tokens/l.seconds, l.requests/l.seconds, l.entrySeconds/l.seconds, 1e6*l.entrySeconds/l.tokens, l.controlSeconds/l.seconds, l.entryBytes/1e6, 100*l.gcShare)
@@ -132,8 +132,8 @@
 	return printRatio(out, programs)
 }
 
-// printRatio compares one stream through an entry with the same engine's read
-// directly, one after the other in one run.
+// printRatio compares the time to the first token through an entry with that of streams
+// read directly from the same engine.
 func printRatio(out io.Writer, programs string) error {
 	f, err := proof.Start(programs, pathShape(20))
 	if err != nil {
@@ -158,8 +158,8 @@
 	return err
 }
 
-// printControl tells what control costs boxes that carry no stream.
-func printControl(out io.Writer, programs string, lasting time.Duration) error {
+// printControl prints the cost of control traffic between idle boxes.
+func printControl(out io.Writer, programs string, duration time.Duration) error {
 	for _, boxes := range []int{1, 2, 4, 8, 16, 24} {
 		shape := proof.DefaultShape()
 		shape.Boxes = boxes
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		err = printControlOf(out, f, boxes, lasting)
+		err = printControlOf(out, f, boxes, duration)
 		f.Close()
 		if err != nil {
 			return err
@@ -176,19 +176,19 @@
 	return nil
 }
 
-func printControlOf(out io.Writer, f *proof.Fleet, boxes int, lasting time.Duration) error {
+func printControlOf(out io.Writer, f *proof.Fleet, boxes int, duration time.Duration) error {
 	before, calls, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
 	}
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	after, callsAfter, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
 	}
-	per := float64(boxes) * lasting.Seconds()
+	boxSeconds := float64(boxes) * duration.Seconds()
 	_, err = fmt.Fprintf(out, "control of %d boxes, 3 endpoints, idle: %.0f bytes/s sent and %.1f messages/s a box, %.2f%% of a core a box for all three processes, %.2f platform calls/s a box, resident memory a box: scheduler and watch %.0f MB\n",
-		boxes, (after["bytes"]-before["bytes"])/per, (after["messages"]-before["messages"])/per, 100*(after["cpu"]-before["cpu"])/per, float64(callsAfter-calls)/per, after["memory"]/float64(boxes)/1e6)
+		boxes, (after["bytes"]-before["bytes"])/boxSeconds, (after["messages"]-before["messages"])/boxSeconds, 100*(after["cpu"]-before["cpu"])/boxSeconds, float64(callsAfter-calls)/boxSeconds, after["memory"]/float64(boxes)/1e6)
 	return err
 }
 
--- a/lab/slopes_tail.go
+++ b/lab/slopes_tail.go
@@ -15,26 +15,26 @@
 	"dillsaddle.example/dillsaddle/proof"
 )
 
-// The load beside which the time between tokens is looked at.
+// Number of background streams, and of the streams whose token gaps are measured.
 const (
 	tailStreams = 150
 	tailProbes  = 8
 )
 
-// tailResult is the time between tokens of some streams, in seconds.
+// tailResult holds quantiles of the time between tokens, in seconds.
 type tailResult struct {
 	p50, p99, p999 float64
-	gcPauseP99     float64 // the 99th hundredth of the collector's pauses
-	entryBytes     float64 // bytes of the entry
+	gcPauseP99     float64 // seconds
+	entryBytes     float64 // resident memory
 }
 
-// printTail tells what garbage collection adds to the time between tokens: the
-// same load with the collector as it runs, and without it.
-func printTail(out io.Writer, programs string, lasting time.Duration) error {
+// printTail prints the effect of garbage collection on the time between tokens: the same
+// load runs with the collector enabled and disabled.
+func printTail(out io.Writer, programs string, duration time.Duration) error {
 	for _, collector := range []string{"100", "off"} {
-		t, err := runTail(programs, collector, lasting)
+		t, err := runTail(programs, collector, duration)
 		if err != nil {
-			return errors.Wrap(err, "tail with GOGC="+collector)
+			return errors.Wrap(err, "measure token gaps with GOGC="+collector)
 		}
 		fmt.Fprintf(out, "tail, GOGC=%s: time between tokens of %d streams beside %d others p50 %.2f, p99 %.2f, p99.9 %.2f ms; collector's pauses p99 %.3f ms; entry %.0f MB\n",
 			collector, tailProbes, tailStreams, 1000*t.p50, 1000*t.p99, 1000*t.p999, 1000*t.gcPauseP99, t.entryBytes/1e6)
@@ -42,19 +42,19 @@
 	return nil
 }
 
-// runTail runs the load with the collector's setting in all processes.
-func runTail(programs, collector string, lasting time.Duration) (*tailResult, error) {
-	before := os.Getenv("GOGC")
+// runTail runs the load with GOGC set for all processes of the fleet.
+func runTail(programs, collector string, duration time.Duration) (*tailResult, error) {
+	previous := os.Getenv("GOGC")
 	if err := os.Setenv("GOGC", collector); err != nil {
 		return nil, err
 	}
 	f, err := proof.Start(programs, pathShape(600))
-	_ = os.Setenv("GOGC", before)
+	_ = os.Setenv("GOGC", previous)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	end := time.Now().Add(lasting)
+	end := time.Now().Add(duration)
 	var wait sync.WaitGroup
 	wait.Go(func() { runStreams(f, tailStreams, end) })
 	gaps := measureGaps(f, end)
@@ -72,7 +72,8 @@
 	}, nil
 }
 
-// measureGaps reads streams one after the other and gives their sorted gaps in seconds.
+// measureGaps reads streams in parallel until end and returns their sorted token gaps in
+// seconds.
 func measureGaps(f *proof.Fleet, end time.Time) []float64 {
 	var mu sync.Mutex
 	var gaps []float64
--- a/lab/soak.go
+++ b/lab/soak.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// soakSeeds plays seeds side by side and reports each as it ends.
+// soakSeeds runs several seeds at once and prints each report when its seed has finished.
 func soakSeeds(out io.Writer, program, folder string, first uint64, seeds, jobs int, opts ...soak.Option) error {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
