--- a/bench/engine.go
+++ b/bench/engine.go
@@ -21,6 +21,7 @@
 	shares         [core.SlotCount]*admission.Shares
 }
 
+// timedReport is a load report and the time at which the engine made it.
 type timedReport struct {
 	at     time.Time
 	report admission.Report
@@ -40,6 +41,7 @@
 	n.engineNames = append(n.engineNames, name)
 }
 
+// failEngine stops an engine; its running requests are lost.
 func (n *simulation) failEngine(e *simulatedEngine) {
 	e.hasFailed = true
 	for _, r := range n.requests {
@@ -51,6 +53,7 @@
 	}
 }
 
+// startRequest submits a placed request to its engine.
 func (n *simulation) startRequest(r *request) {
 	e := n.engines[r.engine]
 	if e.hasFailed {
@@ -72,6 +75,7 @@
 	}
 }
 
+// stepEngine runs one batch step of an engine and schedules its results and the next step.
 func (n *simulation) stepEngine(e *simulatedEngine) {
 	if e.hasFailed || e.batch.IsIdle() {
 		e.isStepping = false
@@ -96,7 +100,7 @@
 // report queues an engine's load report and delivers to the owners those that are at least
 // the report lag old.
 func (n *simulation) report(e *simulatedEngine, took time.Duration) {
-	lag := reportLag + n.c.ReportLag
+	lag := reportLag + n.testCase.ReportLag
 	e.pendingReports = append(e.pendingReports, timedReport{
 		at: n.now,
 		report: admission.Report{
@@ -123,6 +127,8 @@
 // as stalled.
 const stallThresholdSeconds = 0.25
 
+// recordToken records when a request's token was generated, and reports its progress to
+// its box at every tokensPerReport tokens.
 func (n *simulation) recordToken(r *request) {
 	if r == nil {
 		return
@@ -144,6 +150,7 @@
 	}
 }
 
+// finishRequest ends a request and informs its box.
 func (n *simulation) finishRequest(r *request, completed bool) {
 	delete(n.active, r.id)
 	made := 0
--- a/bench/event_queue.go
+++ b/bench/event_queue.go
@@ -38,6 +38,7 @@
 	return last
 }
 
+// schedule runs an action after a virtual time.
 func (n *simulation) schedule(d time.Duration, action func()) {
 	n.queue.lastOrder++
 	heap.Push(&n.queue, event{
--- a/bench/outcome.go
+++ b/bench/outcome.go
@@ -20,7 +20,7 @@
 	Tier          string
 	Requests      int
 	Refused       int
-	Lost          int
+	Lost          int // their engine crashed
 	Completed     int
 	StallMean     float64 // seconds per stream
 	StallP99      float64
@@ -70,6 +70,7 @@
 	return float64(onTime) >= minOnTimeShare*float64(len(r.tokenGaps))
 }
 
+// tierSamples collects the requests' figures of one tier; times are in seconds.
 type tierSamples struct {
 	out             TierOutcome
 	tokenGaps       []float64
@@ -77,10 +78,11 @@
 	stalls          []float64
 }
 
+// outcome evaluates all requests of a replay.
 func (n *simulation) outcome(d Deployment, p Policy) *Outcome {
 	out := &Outcome{
 		Deployment: d.Name,
-		Case:       n.c.Name,
+		Case:       n.testCase.Name,
 		Policy:     p.Name,
 		ByCustomer: make(map[string]float64),
 	}
@@ -101,13 +103,13 @@
 	}
 	slices.SortFunc(order, func(a, b string) int { return rankOf(d, a) - rankOf(d, b) })
 	for _, tier := range order {
-		out.Tiers = append(out.Tiers, tiers[tier].result(n.c.Duration))
+		out.Tiers = append(out.Tiers, tiers[tier].result(n.testCase.Duration))
 	}
 	for i := range out.Tiers {
 		out.Goodput += out.Tiers[i].Goodput
 	}
 	out.Computed = float64(computed) / float64(max(1, prompts))
-	seconds := n.c.Duration.Seconds() * float64(len(n.boxes))
+	seconds := n.testCase.Duration.Seconds() * float64(len(n.boxes))
 	out.ControlBytesPerSecond = float64(n.controlBytes) / seconds
 	out.MessagesPerSecond = float64(n.controlMessages) / seconds
 	return out
@@ -122,6 +124,7 @@
 	return 0
 }
 
+// addRequest adds a request's figures to its tier, and its goodput to its customer.
 func (n *simulation) addRequest(g *tierSamples, r *request, out *Outcome) {
 	g.out.Requests++
 	switch {
@@ -142,10 +145,11 @@
 	}
 	if r.metTargets(n.start) {
 		g.out.tokens += float64(r.seq.Made)
-		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Made) / n.c.Duration.Seconds()
+		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Made) / n.testCase.Duration.Seconds()
 	}
 }
 
+// result computes the tier's quantiles and rates over a duration.
 func (g *tierSamples) result(duration time.Duration) TierOutcome {
 	slices.Sort(g.tokenGaps)
 	slices.Sort(g.firstTokenTimes)
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -4,7 +4,8 @@
 	"dillsaddle.example/dillsaddle/admission"
 )
 
-// Policy is an admission and placement policy to be compared.
+// Policy is an admission and placement policy to be compared; Name heads its column of the
+// table, and Apply changes the admission rules of a box.
 type Policy struct {
 	Name  string
 	Apply func(*admission.Rules, *simulation)
@@ -25,6 +26,7 @@
 	}
 }
 
+// roundRobin sends requests to the endpoints in turn, without regard to their memory.
 func roundRobin(r *admission.Rules, n *simulation) {
 	next := 0
 	r.IgnoreFit = true
@@ -37,6 +39,7 @@
 	}
 }
 
+// leastReported sends a request to the endpoint that last reported the least memory in use.
 func leastReported(r *admission.Rules, n *simulation) {
 	r.IgnoreFit = true
 	r.Choose = func(candidates []string) string {
--- a/bench/run.go
+++ b/bench/run.go
@@ -47,16 +47,16 @@
 	lastTokenAt    time.Time
 	tokenGaps      []float64 // seconds
 	stallSeconds   float64
-	refused        bool
-	lost           bool
-	done           bool
-	reportedTokens int
+	refused        bool // by the box's admission
+	lost           bool // its engine crashed
+	done           bool // the generation completed
+	reportedTokens int  // tokens of which its box was informed
 }
 
 // simulation is the state of one replay.
 type simulation struct {
-	c               Case
-	list            *core.List
+	testCase        Case
+	members         *core.List
 	owners          *core.Owners
 	start           time.Time
 	now             time.Time
@@ -102,19 +102,19 @@
 // drainTime is the time after the last arrival in which admitted requests can finish.
 const drainTime = 30 * time.Second
 
-func newSimulation(c Case, p Policy, boxes int) *simulation {
+func newSimulation(testCase Case, p Policy, boxes int) *simulation {
 	n := &simulation{
-		c:       c,
-		start:   time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC),
-		engines: make(map[string]*simulatedEngine),
-		active:  make(map[string]*request),
-		list:    &core.List{Version: 1},
+		testCase: testCase,
+		start:    time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC),
+		engines:  make(map[string]*simulatedEngine),
+		active:   make(map[string]*request),
+		members:  &core.List{Version: 1},
 	}
 	n.now = n.start
 	for i := range boxes {
-		n.list.Boxes = append(n.list.Boxes, core.Member{Name: fmt.Sprintf("box-%d", i+1)})
+		n.members.Boxes = append(n.members.Boxes, core.Member{Name: fmt.Sprintf("box-%d", i+1)})
 	}
-	n.owners = core.NewOwners(n.list)
+	n.owners = core.NewOwners(n.members)
 	for i := range engineCount {
 		n.addEngine(fmt.Sprintf("engine-%d", i+1))
 	}
@@ -132,21 +132,21 @@
 
 // scheduleFaults schedules the engine failure of the case, if any.
 func (n *simulation) scheduleFaults() {
-	if n.c.EngineFails {
-		n.schedule(n.c.Duration/2, func() { n.failEngine(n.engines[n.engineNames[0]]) })
+	if n.testCase.EngineFails {
+		n.schedule(n.testCase.Duration/2, func() { n.failEngine(n.engines[n.engineNames[0]]) })
 	}
 }
 
 // isCutOff reports whether the partition separates a box from an owner now.
 func (n *simulation) isCutOff(box, owner string) bool {
-	if !n.c.IsPartitioned {
+	if !n.testCase.IsPartitioned {
 		return false
 	}
-	partitionStart := n.start.Add(n.c.Duration / 3)
+	partitionStart := n.start.Add(n.testCase.Duration / 3)
 	if n.now.Before(partitionStart) || n.now.After(partitionStart.Add(partitionTime)) {
 		return false
 	}
-	firstOfSecondHalf := n.list.Boxes[len(n.list.Boxes)/2].Name
+	firstOfSecondHalf := n.members.Boxes[len(n.members.Boxes)/2].Name
 	return (box < firstOfSecondHalf) != (owner < firstOfSecondHalf)
 }
 
@@ -157,14 +157,15 @@
 	n.execute(box, n.boxes[box].Step(n.now, admission.Ticked{}))
 }
 
+// requestLeases sends a box's current demands to the owners of all owner slots.
 func (n *simulation) requestLeases(box int) {
 	m := n.boxes[box]
-	name := n.list.Boxes[box].Name
-	asked := n.now
+	name := n.members.Boxes[box].Name
+	requestedAt := n.now
 	owners := make(map[string]*wire.LeaseRequest)
 	for _, demand := range m.Demands(n.now, true) {
 		for slot := range core.SlotCount {
-			n.ask(box, name, asked, demand, slot, owners)
+			n.ask(box, name, requestedAt, demand, slot, owners)
 		}
 	}
 	for _, ask := range owners {
@@ -172,7 +173,9 @@
 	}
 }
 
-func (n *simulation) ask(box int, name string, asked time.Time, demand admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
+// ask adds a demand to the request for a slot's owner, and schedules the grant and its
+// arrival at the box.
+func (n *simulation) ask(box int, name string, requestedAt time.Time, demand admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
 	owner := n.owners.Of(demand.Endpoint, "", slot)
 	e := n.engines[demand.Endpoint]
 	if e.hasFailed || n.isCutOff(name, owner) {
@@ -200,7 +203,7 @@
 		n.schedule(controlDelay, func() {
 			n.execute(box, n.boxes[box].Step(n.now, admission.LeaseArrived{
 				Slot:         slot,
-				Lease:        core.NewLease(demand.Endpoint, asked, grant.TTL, grant.Tokens, grant.Slots),
+				Lease:        core.NewLease(demand.Endpoint, requestedAt, grant.TTL, grant.Tokens, grant.Slots),
 				HasOthers:    true,
 				Others:       grant.Others,
 				OtherRunning: grant.OtherRunning,
@@ -227,6 +230,7 @@
 	n.submit(r)
 }
 
+// submit passes a request to the admission of its box.
 func (n *simulation) submit(r *request) {
 	a := r.arrival
 	n.execute(a.Box, n.boxes[a.Box].Step(n.now, admission.RequestArrived{Request: admission.Request{
@@ -244,6 +248,7 @@
 	}}))
 }
 
+// execute carries out the commands of a box's admission.
 func (n *simulation) execute(box int, commands []core.Command) {
 	for _, command := range commands {
 		switch c := command.(type) {
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -118,6 +118,7 @@
 	return float64(engines) * atOnce / step.Seconds() / output
 }
 
+// secondMoment estimates a length distribution's second moment by sampling.
 func secondMoment(l standin.LengthDistribution) float64 {
 	r := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
@@ -175,6 +176,7 @@
 	return 0.6
 }
 
+// sampleArrival draws one request; weights are the customers' shares in this case.
 func (d *Deployment) sampleArrival(r *rand.Rand, c Case, weights []float64, now time.Duration, boxes int) Arrival {
 	sum := 0.0
 	for _, w := range weights {
--- a/lab/load.go
+++ b/lab/load.go
@@ -63,6 +63,7 @@
 	tokenGaps       []float64
 }
 
+// load starts streams at exponentially distributed intervals and prints what was observed.
 func load(ctx context.Context, out io.Writer, options *loadOptions) error {
 	if options.rate <= 0 {
 		return errors.New("flag -rate must be above 0")
@@ -86,6 +87,7 @@
 	return results.print(out)
 }
 
+// stream sends one request and records its result.
 func (s *loadResults) stream(ctx context.Context, c *client.Client, options *loadOptions) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(http.MethodPost)
--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -47,6 +47,7 @@
 	{name: "each answer 30 ms late", faults: standin.Faults{DelayMS: 30}},
 }
 
+// lookups measures every latency case with and without hedging.
 func lookups(out io.Writer, programs string, duration time.Duration) error {
 	for _, l := range latencyCases {
 		for _, hedge := range []bool{false, true} {
--- a/lab/plots.go
+++ b/lab/plots.go
@@ -42,7 +42,7 @@
 		between := plot.New()
 		between.Title.Text = d.Name + ": gold, p99 between tokens"
 		between.Y.Label.Text = "ms"
-		if err := draw(d, duration, goodput, between); err != nil {
+		if err := addPlotLines(d, duration, goodput, between); err != nil {
 			return err
 		}
 		for name, p := range map[string]*plot.Plot{"goodput": goodput, "between": between} {
@@ -57,7 +57,8 @@
 	return nil
 }
 
-func draw(d bench.Deployment, duration time.Duration, goodput, between *plot.Plot) error {
+// addPlotLines replays the load levels and adds one line per policy to both plots.
+func addPlotLines(d bench.Deployment, duration time.Duration, goodput, between *plot.Plot) error {
 	var cases []bench.Case
 	for _, factor := range loadFactors {
 		cases = append(cases, bench.Case{
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -39,15 +39,17 @@
 // proofResults collects the checks that were run for each guarantee, and their failures.
 type proofResults struct {
 	mu     sync.Mutex
-	ran    map[model.Promise][]string
+	checks map[model.Promise][]string
 	failed map[model.Promise][]string
 }
 
+// add records a check for some guarantees and prints its result; an empty failure means
+// that it passed.
 func (e *proofResults) add(promises []model.Promise, what, failure string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range promises {
-		e.ran[p] = append(e.ran[p], what)
+		e.checks[p] = append(e.checks[p], what)
 		if failure != "" {
 			e.failed[p] = append(e.failed[p], what+": "+failure)
 		}
@@ -59,9 +61,11 @@
 	fmt.Printf("held: %s\n", what)
 }
 
+// prove runs the model explorations, the recorded traces and the scenarios with real
+// processes.
 func prove(programs, traces string, deep bool) error {
 	e := &proofResults{
-		ran:    make(map[model.Promise][]string),
+		checks: make(map[model.Promise][]string),
 		failed: make(map[model.Promise][]string),
 	}
 	proveModels(e, deep)
@@ -164,17 +168,18 @@
 	return nil
 }
 
+// verdict prints the result for each guarantee and returns an error if one was broken.
 func (e *proofResults) verdict() error {
 	failed := 0
 	for p := model.TokensOnce; p <= model.NeverOlderConfig; p++ {
 		verdict := "held"
-		detail := fmt.Sprintf("%s; %d runs: %s", model.Promises[p], len(e.ran[p]), strings.Join(e.ran[p], "; "))
+		detail := fmt.Sprintf("%s; %d runs: %s", model.Promises[p], len(e.checks[p]), strings.Join(e.checks[p], "; "))
 		switch {
 		case len(e.failed[p]) > 0:
 			verdict = "fell"
 			detail = strings.Join(e.failed[p], "; ")
 			failed++
-		case len(e.ran[p]) == 0:
+		case len(e.checks[p]) == 0:
 			verdict = "not proved"
 			detail = "nothing was run"
 		}
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -27,7 +27,7 @@
 		fitSlope("reading a configuration, by endpoints", "ns", doublings(600), configParseCost),
 		fitSlope("a configuration's memory, by endpoints", "bytes", doublings(600), configMemory),
 		fitSlope("a configuration's packed text, by endpoints", "bytes", doublings(600), func(n int) float64 { return gzipSize(configDocument(targetCustomers, targetModels, n)) }),
-		fitSlope("a list's packed text, by endpoints (470 boxes)", "bytes", doublings(600), listText),
+		fitSlope("a list's packed text, by endpoints (470 boxes)", "bytes", doublings(600), listGzipSize),
 		fitSlope("a claim, by claims held", "ns", doublings(10000), claimCost),
 		fitSlope("a claim's memory, by claims held", "bytes", doublings(10000), claimMemory),
 		fitSlope("an estimate's memory, by customers", "bytes", doublings(50), estimateMemory),
@@ -66,12 +66,12 @@
 	now := epoch
 	for i := 0; m.Waiting() < waiting; i++ {
 		now = now.Add(100 * time.Millisecond)
-		m.Step(now, arrival(i, now))
+		m.Step(now, newArrival(i, now))
 	}
 	return m
 }
 
-func arrival(i int, now time.Time) admission.RequestArrived {
+func newArrival(i int, now time.Time) admission.RequestArrived {
 	return admission.RequestArrived{Request: admission.Request{
 		ID:           fmt.Sprintf("r%d", i),
 		Customer:     fmt.Sprintf("customer-%d", i%targetCustomers),
@@ -94,7 +94,7 @@
 	return meanNanoseconds(func() {
 		i++
 		now = now.Add(time.Millisecond)
-		ev := arrival(i, now)
+		ev := newArrival(i, now)
 		m.Step(now, ev)
 		m.Step(now, admission.RequestWithdrawn{
 			ID:       ev.Request.ID,
@@ -103,6 +103,7 @@
 	})
 }
 
+// grantCost measures a lease grant at an owner that serves a number of boxes.
 func grantCost(boxes int) float64 {
 	ownership := core.NewOwnership("engine", core.DefaultLeaseRules())
 	ownership.Step(epoch, core.HoldTaken{Fresh: true})
@@ -145,6 +146,7 @@
 	return 0
 }
 
+// leaseBytes returns the size of a lease request and of its grants.
 func leaseBytes(demands int) float64 {
 	var request wire.LeaseRequest
 	var grants wire.LeaseGrants
@@ -188,6 +190,7 @@
 
 func ownerCost(endpoints int) float64 { return ownerCostFor(targetBoxes, endpoints) }
 
+// ownerCostFor measures the computation of all endpoints' owners.
 func ownerCostFor(boxes, endpoints int) float64 {
 	l := newList(boxes, endpoints)
 	return meanNanoseconds(func() {
@@ -213,6 +216,7 @@
 	})
 }
 
+// newLoadedClaimOwner returns a claim owner that holds a number of claims.
 func newLoadedClaimOwner(claims int) *core.ClaimOwner {
 	self := core.Box{
 		Name:        "box-000",
@@ -226,12 +230,12 @@
 		At:   epoch,
 	})
 	for i := range claims {
-		owner.Step(epoch, claimAsked(i))
+		owner.Step(epoch, newClaimRequest(i))
 	}
 	return owner
 }
 
-func claimAsked(i int) core.ClaimAsked {
+func newClaimRequest(i int) core.ClaimAsked {
 	return core.ClaimAsked{
 		Key: core.ClaimKey{
 			Customer: "customer-001",
@@ -248,7 +252,7 @@
 	i := claims
 	return meanNanoseconds(func() {
 		i++
-		owner.Step(epoch, claimAsked(i%claims))
+		owner.Step(epoch, newClaimRequest(i%claims))
 	})
 }
 
@@ -289,7 +293,7 @@
 // gzipSize returns the compressed size of a text, which is what the platform sends.
 func gzipSize(text []byte) float64 { return float64(len(compress.AppendGzipBytes(nil, text))) }
 
-func listText(endpoints int) float64 {
+func listGzipSize(endpoints int) float64 {
 	text, err := json.Marshal(newList(targetBoxes, endpoints))
 	if err != nil {
 		return 0
--- a/lab/slopes_path.go
+++ b/lab/slopes_path.go
@@ -68,6 +68,7 @@
 	}, nil
 }
 
+// runStreams keeps a number of streams open until a time and returns how many completed.
 func runStreams(f *proof.Fleet, streams int, until time.Time) int {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -167,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		err = printControlOf(out, f, boxes, duration)
+		err = printControlCost(out, f, boxes, duration)
 		f.Close()
 		if err != nil {
 			return err
@@ -176,7 +177,8 @@
 	return nil
 }
 
-func printControlOf(out io.Writer, f *proof.Fleet, boxes int, duration time.Duration) error {
+// printControlCost prints the control traffic and resource use of boxes over a duration.
+func printControlCost(out io.Writer, f *proof.Fleet, boxes int, duration time.Duration) error {
 	before, calls, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
@@ -192,6 +194,8 @@
 	return err
 }
 
+// readControlMetrics returns the summed metrics of all boxes' processes and the number of
+// calls to the platform.
 func readControlMetrics(f *proof.Fleet, boxes int) (map[string]float64, int, error) {
 	all := make(map[string]float64)
 	for i := range boxes {
