--- a/bench/engine.go
+++ b/bench/engine.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// stallThresholdSeconds is the time between two tokens, in seconds, above which a stream counts
-// as stalled.
+// stallThresholdSeconds is the time between two tokens above which a stream counts as
+// stalled.
 const stallThresholdSeconds = 0.25
 
 // recordToken records when a request's token was generated, and reports its progress to
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -22,7 +22,7 @@
 	Most   int // limit of the output tokens
 }
 
-// Arrival is one request, with the lengths that it turns out to have.
+// Arrival is one request, with its prompt's and output's lengths in tokens.
 type Arrival struct {
 	At       time.Duration
 	Customer *Customer
@@ -44,8 +44,8 @@
 	LoadFactor       float64 // relative to the sustainable rate
 	HasBursts        bool    // the rate varies over time
 	HasNoisyCustomer bool    // one silver customer sends noisyFactor times its share
-	OutputsGrow      bool    // one customer's outputs become ten times as long half way
-	EngineFails      bool    // one engine crashes half way
+	OutputsGrow      bool    // one customer's outputs become ten times as long halfway
+	EngineFails      bool    // one engine crashes halfway
 	IsPartitioned    bool    // half of the boxes can't reach the owners in the other half for partitionTime
 	ReportLag        time.Duration
 	Duration         time.Duration
@@ -103,8 +103,8 @@
 // usableMemoryShare leaves a part of the memory free for variation around the mean.
 const usableMemoryShare = 0.9
 
-// SustainableRate returns the requests per second that a number of engines can serve. The
-// requests run at once on an engine are limited by its slots and by its memory.
+// SustainableRate returns the requests per second that a number of engines can serve. An
+// engine's slots and memory limit the number of requests that it runs at once.
 func (d *Deployment) SustainableRate(engines int, rules standin.BatchRules, slots int) float64 {
 	output, held := 0.0, 0.0
 	for i := range d.Customers {
--- a/lab/load.go
+++ b/lab/load.go
@@ -94,21 +94,21 @@
 	req.SetRequestURI(options.url + "/v1/completions")
 	req.Header.Set("Authorization", "Bearer "+options.key)
 	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"a load's prompt","stream":true,"max_tokens":%d}`, options.model, options.maxTokens))
-	began := time.Now()
+	startedAt := time.Now()
 	err := c.Do(ctx, req, resp)
 	defer func() { _ = resp.CloseBodyStream() }()
 	if err != nil || resp.StatusCode() != http.StatusOK {
 		s.recordEnd(err == nil, false)
 		return
 	}
-	last, completed := began, false
+	last, completed := startedAt, false
 	err = events.Each(ctx, resp, func(e *sse.Event) error {
 		now := time.Now()
 		if string(e.Data) == "[DONE]" {
 			completed = true
 			return nil
 		}
-		s.recordToken(now.Sub(last), last.Equal(began))
+		s.recordToken(now.Sub(last), last.Equal(startedAt))
 		last = now
 		return nil
 	})
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -116,7 +116,7 @@
 		withoutGuard := c.Run(false, core.WithoutGuard(g))
 		failure := ""
 		if withoutGuard.Violation == "" {
-			failure = "no break was found without the guard"
+			failure = "no violation was found with the guard disabled"
 		}
 		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(withoutGuard.Trace)), failure)
 	}
--- a/lab/slope.go
+++ b/lab/slope.go
@@ -62,13 +62,13 @@
 // meanNanoseconds returns the mean duration of a call.
 func meanNanoseconds(call func()) float64 {
 	call()
-	began := time.Now()
+	startedAt := time.Now()
 	n := 0
-	for time.Since(began) < minMeasureTime {
+	for time.Since(startedAt) < minMeasureTime {
 		call()
 		n++
 	}
-	return float64(time.Since(began).Nanoseconds()) / float64(n)
+	return float64(time.Since(startedAt).Nanoseconds()) / float64(n)
 }
 
 // heapBytes returns the heap memory retained by the result of build.
--- a/lab/slopes_fleet.go
+++ b/lab/slopes_fleet.go
@@ -37,7 +37,7 @@
 		m.Put(keys[i], i)
 	}
 	var wait sync.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for t := range threads {
 		wait.Go(func() {
 			for i := range shardLookups {
@@ -46,5 +46,5 @@
 		})
 	}
 	wait.Wait()
-	return float64(time.Since(began).Nanoseconds()) / shardLookups
+	return float64(time.Since(startedAt).Nanoseconds()) / shardLookups
 }
--- a/lab/slopes_path.go
+++ b/lab/slopes_path.go
@@ -50,13 +50,13 @@
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	requests := runStreams(f, streams, began.Add(duration))
+	startedAt := time.Now()
+	requests := runStreams(f, streams, startedAt.Add(duration))
 	after, err := readPathMetrics(f)
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(began).Seconds()
+	took := time.Since(startedAt).Seconds()
 	return &pathCost{
 		tokens:         after["tokens"] - before["tokens"],
 		requests:       float64(requests),
