--- a/bench/engine.go
+++ b/bench/engine.go
@@ -83,7 +83,7 @@
 	}
 	s := e.batch.Step()
 	n.schedule(s.Duration, func() {
-		for _, q := range s.Made {
+		for _, q := range s.Emitted {
 			n.recordToken(n.active[q.ID])
 		}
 		for _, q := range s.Finished {
@@ -141,11 +141,11 @@
 		r.stallSeconds += max(0, gap-stallThresholdSeconds)
 	}
 	r.lastTokenAt = n.now
-	if r.seq.Made-r.reportedTokens >= tokensPerReport {
-		r.reportedTokens = r.seq.Made
+	if r.seq.Emitted-r.reportedTokens >= tokensPerReport {
+		r.reportedTokens = r.seq.Emitted
 		n.boxes[r.arrival.Box].Step(n.now, admission.TokensMade{
 			ID:        r.id,
-			Generated: r.seq.Made,
+			Generated: r.seq.Emitted,
 		})
 	}
 }
@@ -155,7 +155,7 @@
 	delete(n.active, r.id)
 	made := 0
 	if r.seq != nil {
-		made = r.seq.Made
+		made = r.seq.Emitted
 	}
 	n.execute(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
 		ID:        r.id,
--- a/bench/outcome.go
+++ b/bench/outcome.go
@@ -144,8 +144,8 @@
 		g.stalls = append(g.stalls, r.stallSeconds)
 	}
 	if r.metTargets(n.start) {
-		g.out.tokens += float64(r.seq.Made)
-		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Made) / n.testCase.Duration.Seconds()
+		g.out.tokens += float64(r.seq.Emitted)
+		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Emitted) / n.testCase.Duration.Seconds()
 	}
 }
 
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -37,18 +37,18 @@
 	Prompt       int
 	Prefix       uint64
 	OutputLength int // drawn, unknown to callers
-	Made         int
+	Emitted      int
 	Preempted    int
 	arrival      int
 	Computed     int // prompt tokens computed, those after a preemption included
 }
 
-func (s *Sequence) blocks(size int) int { return (s.Prompt + s.Made + size) / size }
+func (s *Sequence) blocks(size int) int { return (s.Prompt + s.Emitted + size) / size }
 
 // Step is what one step of the batch did.
 type Step struct {
 	Duration  time.Duration
-	Made      []*Sequence
+	Emitted   []*Sequence
 	Finished  []*Sequence
 	Preempted []*Sequence
 }
@@ -145,7 +145,7 @@
 		b.waiting = b.waiting[1:]
 		b.used += need
 		b.running = append(b.running, next)
-		missing := max(0, next.Prompt+next.Made-b.cache.hit(next.Prefix, next.Prompt))
+		missing := max(0, next.Prompt+next.Emitted-b.cache.hit(next.Prefix, next.Prompt))
 		next.Computed += missing
 		prefill += missing
 	}
@@ -154,7 +154,7 @@
 
 func (b *Batch) grow(s *Sequence, out *Step) {
 	before := s.blocks(b.Rules.BlockTokens)
-	s.Made++
+	s.Emitted++
 	need := s.blocks(b.Rules.BlockTokens) - before
 	b.used += need
 	for b.used > b.total() {
@@ -164,8 +164,8 @@
 		}
 		b.preempt(victim, out)
 	}
-	out.Made = append(out.Made, s)
-	if s.Made >= s.OutputLength {
+	out.Emitted = append(out.Emitted, s)
+	if s.Emitted >= s.OutputLength {
 		b.finish(s, out)
 	}
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -128,7 +128,7 @@
 	}
 	s := e.batch.Step()
 	e.preempted += len(s.Preempted)
-	for _, q := range s.Made {
+	for _, q := range s.Emitted {
 		e.publish(q)
 	}
 	for _, q := range s.Finished {
@@ -150,7 +150,7 @@
 
 func (e *Engine) publish(q *Sequence) {
 	g := e.generations[q.ID]
-	g.made = q.Made
+	g.made = q.Emitted
 	g.notify()
 }
 
