--- a/lab/fixtures.go
+++ b/lab/fixtures.go
@@ -12,8 +12,8 @@
 const (
 	targetBoxes         = 470
 	targetEndpoints     = 5300
-	targetRequests      = 54000.0
-	targetTokens        = 25e6
+	targetRequests      = 54000.0 // per second
+	targetTokens        = 25e6    // per second
 	targetCustomers     = 410
 	targetModels        = 32
 	targetRegions       = 7
