--- a/bench/engine.go
+++ b/bench/engine.go
@@ -9,52 +9,56 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// engineRun is one engine in virtual time.
-type engineRun struct {
-	name     string
-	batch    *standin.Batch
-	busy     bool
-	dead     bool
-	reported admission.Report
-	reports  []timedReport
-	shares   [core.SlotCount]*admission.Shares
+// simulatedEngine is an engine in virtual time, with the lease ownership and shares of
+// its owner slots.
+type simulatedEngine struct {
+	name           string
+	batch          *standin.Batch
+	isStepping     bool
+	hasFailed      bool
+	visibleReport  admission.Report
+	pendingReports []timedReport
+	shares         [core.SlotCount]*admission.Shares
 }
 
+// timedReport is a load report and the time at which the engine made it.
 type timedReport struct {
 	at     time.Time
 	report admission.Report
 }
 
-func (n *run) addEngine(name string) {
-	e := &engineRun{
+func (n *simulation) addEngine(name string) {
+	e := &simulatedEngine{
 		name:  name,
 		batch: standin.NewBatch(EngineRules()),
 	}
 	for slot := range e.shares {
-		hold := core.NewOwnership(name, core.DefaultLeaseRules())
-		hold.Step(n.now, core.HoldTaken{Fresh: true})
-		e.shares[slot] = admission.NewShares(hold, EngineRules().MemoryTokens, slotCount, targetStep)
+		ownership := core.NewOwnership(name, core.DefaultLeaseRules())
+		ownership.Step(n.now, core.HoldTaken{Fresh: true})
+		e.shares[slot] = admission.NewShares(ownership, EngineRules().MemoryTokens, slotCount, targetStepTime)
 	}
 	n.engines[name] = e
-	n.names = append(n.names, name)
+	n.engineNames = append(n.engineNames, name)
 }
 
-func (n *run) kill(e *engineRun) {
-	e.dead = true
-	for _, r := range n.all {
-		if r.engine != e.name || n.live[r.id] == nil {
+// failEngine stops an engine; its running requests are lost.
+func (n *simulation) failEngine(e *simulatedEngine) {
+	e.hasFailed = true
+	for _, r := range n.requests {
+		if r.engine != e.name || n.active[r.id] == nil {
 			continue
 		}
 		r.lost = true
-		n.leave(r, false)
+		n.finishRequest(r, false)
 	}
 }
 
-func (n *run) startOn(r *request) {
+// startRequest submits a placed request to its engine.
+func (n *simulation) startRequest(r *request) {
 	e := n.engines[r.engine]
-	if e.dead {
+	if e.hasFailed {
 		r.lost = true
-		n.leave(r, false)
+		n.finishRequest(r, false)
 		return
 	}
 	r.seq = &standin.Sequence{
@@ -65,37 +69,39 @@
 		OutputLength: r.arrival.Output,
 	}
 	e.batch.Submit(r.seq)
-	if !e.busy {
-		e.busy = true
-		n.step(e)
+	if !e.isStepping {
+		e.isStepping = true
+		n.stepEngine(e)
 	}
 }
 
-func (n *run) step(e *engineRun) {
-	if e.dead || e.batch.IsIdle() {
-		e.busy = false
+// stepEngine runs one batch step of an engine and schedules its results and the next step.
+func (n *simulation) stepEngine(e *simulatedEngine) {
+	if e.hasFailed || e.batch.IsIdle() {
+		e.isStepping = false
 		return
 	}
 	s := e.batch.Step()
-	n.after(s.Duration, func() {
+	n.schedule(s.Duration, func() {
 		for _, q := range s.Emitted {
-			n.token(n.live[q.ID])
+			n.recordToken(n.active[q.ID])
 		}
 		for _, q := range s.Finished {
-			if r := n.live[q.ID]; r != nil {
+			if r := n.active[q.ID]; r != nil {
 				r.done = true
-				n.leave(r, true)
+				n.finishRequest(r, true)
 			}
 		}
 		n.report(e, s.Duration)
-		n.step(e)
+		n.stepEngine(e)
 	})
 }
 
-// report lets owners see an engine's load later.
-func (n *run) report(e *engineRun, took time.Duration) {
-	lag := reportLag + n.c.Lag
-	e.reports = append(e.reports, timedReport{
+// report queues an engine's load report and delivers to the owners those that are at least
+// the report lag old.
+func (n *simulation) report(e *simulatedEngine, took time.Duration) {
+	lag := reportLag + n.testCase.ReportLag
+	e.pendingReports = append(e.pendingReports, timedReport{
 		at: n.now,
 		report: admission.Report{
 			Batch: e.batch.Running(),
@@ -103,37 +109,40 @@
 			Used:  e.batch.Used(),
 		},
 	})
-	due := 0
-	for due < len(e.reports) && n.now.Sub(e.reports[due].at) >= lag {
-		due++
+	visible := 0
+	for visible < len(e.pendingReports) && n.now.Sub(e.pendingReports[visible].at) >= lag {
+		visible++
 	}
-	if due == 0 {
+	if visible == 0 {
 		return
 	}
-	e.reported = e.reports[due-1].report
-	e.reports = slices.Delete(e.reports, 0, due)
+	e.visibleReport = e.pendingReports[visible-1].report
+	e.pendingReports = slices.Delete(e.pendingReports, 0, visible)
 	for slot := range e.shares {
-		e.shares[slot].Observe(e.reported)
+		e.shares[slot].Observe(e.visibleReport)
 	}
 }
 
-// stallAfter is the silence between tokens that counts as a stall.
-const stallAfter = 0.25
+// stallThresholdSeconds is the time between two tokens above which a stream counts as
+// stalled.
+const stallThresholdSeconds = 0.25
 
-func (n *run) token(r *request) {
+// recordToken records when a request's token was generated, and reports its progress to
+// its box at every tokensPerReport tokens.
+func (n *simulation) recordToken(r *request) {
 	if r == nil {
 		return
 	}
-	if r.first.IsZero() {
-		r.first = n.now
+	if r.firstTokenAt.IsZero() {
+		r.firstTokenAt = n.now
 	} else {
-		gap := n.now.Sub(r.last).Seconds()
-		r.gaps = append(r.gaps, gap)
-		r.stall += max(0, gap-stallAfter)
+		gap := n.now.Sub(r.lastTokenAt).Seconds()
+		r.tokenGaps = append(r.tokenGaps, gap)
+		r.stallSeconds += max(0, gap-stallThresholdSeconds)
 	}
-	r.last = n.now
-	if r.seq.Emitted-r.counted >= reportEvery {
-		r.counted = r.seq.Emitted
+	r.lastTokenAt = n.now
+	if r.seq.Emitted-r.reportedTokens >= tokensPerReport {
+		r.reportedTokens = r.seq.Emitted
 		n.boxes[r.arrival.Box].Step(n.now, admission.TokensMade{
 			ID:        r.id,
 			Generated: r.seq.Emitted,
@@ -141,15 +150,16 @@
 	}
 }
 
-func (n *run) leave(r *request, whole bool) {
-	delete(n.live, r.id)
+// finishRequest ends a request and informs its box.
+func (n *simulation) finishRequest(r *request, completed bool) {
+	delete(n.active, r.id)
 	made := 0
 	if r.seq != nil {
 		made = r.seq.Emitted
 	}
-	n.perform(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
+	n.execute(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
 		ID:        r.id,
 		Generated: made,
-		Whole:     whole,
+		Whole:     completed,
 	}))
 }
--- a/bench/load.go
+++ b/bench/workload.go
@@ -10,19 +10,19 @@
 	"dillsaddle.example/dillsaddle/standin"
 )
 
-// Customer is one customer's part of a load.
+// Customer describes one customer's part of the load.
 type Customer struct {
 	Name   string
 	Class  string
 	Tier   string
 	Rank   int
-	Share  float64 // of all requests
+	Share  float64 // fraction of all requests
 	Prompt standin.LengthDistribution
 	Output standin.LengthDistribution
-	Most   int
+	Most   int // limit of the output tokens
 }
 
-// Arrival is one request of a load.
+// Arrival is one request, with its prompt's and output's lengths in tokens.
 type Arrival struct {
 	At       time.Duration
 	Customer *Customer
@@ -32,27 +32,27 @@
 	Box      int
 }
 
-// Deployment is who calls, and how.
+// Deployment is a named mix of customers.
 type Deployment struct {
 	Name      string
 	Customers []Customer
 }
 
-// Case is one load with one disturbance.
+// Case is a load level with at most one disturbance.
 type Case struct {
-	Name     string
-	Factor   float64 // of what the engines can carry
-	Burst    bool
-	Noisy    bool // one customer of the middle tier sends five times as much
-	Growth   bool // one customer's outputs grow tenfold half way
-	Death    bool // one engine dies half way
-	Cut      bool // half the boxes lose the other half's owners for a while
-	Lag      time.Duration
-	Duration time.Duration
+	Name             string
+	LoadFactor       float64 // relative to the sustainable rate
+	HasBursts        bool    // the rate varies over time
+	HasNoisyCustomer bool    // one silver customer sends noisyFactor times its share
+	OutputsGrow      bool    // one customer's outputs become ten times as long halfway
+	EngineFails      bool    // one engine crashes halfway
+	IsPartitioned    bool    // half of the boxes can't reach the owners in the other half for partitionTime
+	ReportLag        time.Duration
+	Duration         time.Duration
 }
 
-// Buscodigo is the code search router fleet's load in shape: short completions
-// over shared prefixes, and longer summaries.
+// Buscodigo returns a load shaped like the code search deployment's: short completions
+// with shared prefixes, and longer summaries.
 func Buscodigo() Deployment {
 	short := standin.LengthDistribution{Median: 45, Sigma: 0.9, Most: 2000}
 	long := standin.LengthDistribution{Median: 350, Sigma: 1.1, Most: 12000}
@@ -70,8 +70,8 @@
 	}
 }
 
-// Jordan is the climate records assistant's load in shape: answers of middling
-// length, read word by word, and bulk summaries.
+// Jordan returns a load shaped like the climate records assistant's: interactive answers
+// of medium length, and bulk summaries.
 func Jordan() Deployment {
 	answer := standin.LengthDistribution{Median: 220, Sigma: 0.8, Most: 6000}
 	bulk := standin.LengthDistribution{Median: 600, Sigma: 1.0, Most: 16000}
@@ -89,7 +89,7 @@
 	}
 }
 
-// mean is the expected value of drawn lengths, by drawing.
+// mean estimates a length distribution's mean by sampling.
 func mean(l standin.LengthDistribution) float64 {
 	r := rand.New(rand.NewPCG(1, 2))
 	sum := 0
@@ -100,12 +100,12 @@
 	return float64(sum) / draws
 }
 
-// shortBatch leaves a part of the memory for what the mean doesn't show.
-const usableMemory = 0.9
+// usableMemoryShare leaves a part of the memory free for variation around the mean.
+const usableMemoryShare = 0.9
 
-// Rate gives the requests a second that some engines can carry: as many at once
-// as the memory holds on average or the time between tokens allows.
-func (d *Deployment) Rate(engines int, rules standin.BatchRules, slots int) float64 {
+// SustainableRate returns the requests per second that a number of engines can serve. An
+// engine's slots and memory limit the number of requests that it runs at once.
+func (d *Deployment) SustainableRate(engines int, rules standin.BatchRules, slots int) float64 {
 	output, held := 0.0, 0.0
 	for i := range d.Customers {
 		c := &d.Customers[i]
@@ -113,11 +113,12 @@
 		output += c.Share * length
 		held += c.Share * length * (prompt + secondMoment(c.Output)/(2*length))
 	}
-	atOnce := math.Min(float64(slots), usableMemory*float64(rules.MemoryTokens)/(held/output))
+	atOnce := math.Min(float64(slots), usableMemoryShare*float64(rules.MemoryTokens)/(held/output))
 	step := rules.StepBase + time.Duration(atOnce*float64(rules.StepPerSeq))
 	return float64(engines) * atOnce / step.Seconds() / output
 }
 
+// secondMoment estimates a length distribution's second moment by sampling.
 func secondMoment(l standin.LengthDistribution) float64 {
 	r := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
@@ -129,42 +130,43 @@
 	return sum / draws
 }
 
-// noisyCustomer sends noisyTimes as much in the noisy case, and makes outputs
-// ten times as long in the growth case.
+// noisyCustomer is the index of the customer that sends noisyFactor times its share in the
+// noisy case and whose outputs grow in the growth case.
 const (
 	noisyCustomer = 2
-	noisyTimes    = 5
+	noisyFactor   = 5
 )
 
-// Arrivals draws a case's requests.
+// Arrivals generates the requests of a case.
 func (d *Deployment) Arrivals(c Case, rate float64, boxes int, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 7))
 	weights := make([]float64, len(d.Customers))
 	total := 0.0
 	for i := range d.Customers {
 		weights[i] = d.Customers[i].Share
-		if c.Noisy && i == noisyCustomer {
-			weights[i] *= noisyTimes
+		if c.HasNoisyCustomer && i == noisyCustomer {
+			weights[i] *= noisyFactor
 		}
 		total += weights[i]
 	}
 	var all []Arrival
 	now := time.Duration(0)
 	for {
-		current := rate * c.Factor * total
-		if c.Burst {
-			current *= burst(now)
+		current := rate * c.LoadFactor * total
+		if c.HasBursts {
+			current *= burstFactor(now)
 		}
 		now += time.Duration(r.ExpFloat64() / current * float64(time.Second))
 		if now > c.Duration {
 			return all
 		}
-		all = append(all, d.draw(r, c, weights, now, boxes))
+		all = append(all, d.sampleArrival(r, c, weights, now, boxes))
 	}
 }
 
-// burst doubles and halves the rate in turn, with a short spike.
-func burst(now time.Duration) float64 {
+// burstFactor returns the factor of the arrival rate at a time: in every 20 s, 3 for 2 s,
+// 1 for 8 s and 0.6 for the rest.
+func burstFactor(now time.Duration) float64 {
 	switch second := int(now.Seconds()) % 20; {
 	case second < 2:
 		return 3
@@ -174,7 +176,8 @@
 	return 0.6
 }
 
-func (d *Deployment) draw(r *rand.Rand, c Case, weights []float64, now time.Duration, boxes int) Arrival {
+// sampleArrival draws one request; weights are the customers' shares in this case.
+func (d *Deployment) sampleArrival(r *rand.Rand, c Case, weights []float64, now time.Duration, boxes int) Arrival {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -193,24 +196,24 @@
 		Prefix:   uint64(pick*1000 + 1 + r.IntN(12)),
 		Box:      r.IntN(boxes),
 	}
-	if c.Growth && pick == noisyCustomer && now > c.Duration/2 {
+	if c.OutputsGrow && pick == noisyCustomer && now > c.Duration/2 {
 		a.Output = min(a.Output*10, customer.Most)
 	}
 	return a
 }
 
-// Cases are the committed loads.
+// Cases returns the published cases, each with arrivals over a duration.
 func Cases(duration time.Duration) []Case {
 	cases := []Case{
-		{Name: "0.7", Factor: 0.7},
-		{Name: "1.0", Factor: 1.0},
-		{Name: "1.3", Factor: 1.3},
-		{Name: "burst", Factor: 1.0, Burst: true},
-		{Name: "noisy", Factor: 0.7, Noisy: true},
-		{Name: "growth", Factor: 1.0, Growth: true},
-		{Name: "death", Factor: 1.0, Death: true},
-		{Name: "cut", Factor: 1.0, Cut: true},
-		{Name: "lag", Factor: 1.0, Lag: 5 * time.Second},
+		{Name: "0.7", LoadFactor: 0.7},
+		{Name: "1.0", LoadFactor: 1.0},
+		{Name: "1.3", LoadFactor: 1.3},
+		{Name: "burst", LoadFactor: 1.0, HasBursts: true},
+		{Name: "noisy", LoadFactor: 0.7, HasNoisyCustomer: true},
+		{Name: "growth", LoadFactor: 1.0, OutputsGrow: true},
+		{Name: "death", LoadFactor: 1.0, EngineFails: true},
+		{Name: "cut", LoadFactor: 1.0, IsPartitioned: true},
+		{Name: "lag", LoadFactor: 1.0, ReportLag: 5 * time.Second},
 	}
 	for i := range cases {
 		cases[i].Duration = duration
@@ -218,8 +221,8 @@
 	return cases
 }
 
-// Find gives a case by name.
-func Find(cases []Case, name string) (Case, error) {
+// FindCase returns the case with a name.
+func FindCase(cases []Case, name string) (Case, error) {
 	at := slices.IndexFunc(cases, func(c Case) bool { return c.Name == name })
 	if at < 0 {
 		return Case{}, fmt.Errorf("no case is named %q; leave the name out to see all", name)
--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -18,39 +18,40 @@
 func init() {
 	fs := flag.NewFlagSet("lookups", flag.ContinueOnError)
 	programs := fs.String("programs", "bin", "`folder` of the programs")
-	lasting := fs.Duration("lasting", 8*time.Second, "`time` of each load")
+	duration := fs.Duration("lasting", 8*time.Second, "`time` of each load")
 	commands = append(commands, &ffcli.Command{
 		Name:       "lookups",
 		ShortUsage: "dillsaddle-lab lookups [flags]",
 		ShortHelp:  "measure lookups of a service whose servers are late now and then, with hedging and without",
 		FlagSet:    fs,
-		Exec:       func(context.Context, []string) error { return lookups(os.Stdout, *programs, *lasting) },
+		Exec:       func(context.Context, []string) error { return lookups(os.Stdout, *programs, *duration) },
 	})
 }
 
-// The load of lookups.
+// Size of the lookup load.
 const (
 	lookupCallers = 16
 	lookupServers = 3
 )
 
-// lateness is how a service's servers are late.
-type lateness struct {
+// latencyCase is a pattern of late answers from a service's servers.
+type latencyCase struct {
 	name   string
 	faults standin.Faults
 }
 
-var latenesses = []lateness{
+var latencyCases = []latencyCase{
 	{name: "sound"},
 	{name: "each 20th answer 400 ms late", faults: standin.Faults{DelayMS: 400, DelayEvery: 20}},
 	{name: "each 50th answer 1.5 s late", faults: standin.Faults{DelayMS: 1500, DelayEvery: 50}},
 	{name: "each answer 30 ms late", faults: standin.Faults{DelayMS: 30}},
 }
 
-func lookups(out io.Writer, programs string, lasting time.Duration) error {
-	for _, l := range latenesses {
+// lookups measures every latency case with and without hedging.
+func lookups(out io.Writer, programs string, duration time.Duration) error {
+	for _, l := range latencyCases {
 		for _, hedge := range []bool{false, true} {
-			if err := printLookups(out, programs, l, hedge, lasting); err != nil {
+			if err := printLookups(out, programs, l, hedge, duration); err != nil {
 				return err
 			}
 		}
@@ -58,7 +59,7 @@
 	return nil
 }
 
-func printLookups(out io.Writer, programs string, l lateness, hedge bool, lasting time.Duration) error {
+func printLookups(out io.Writer, programs string, l latencyCase, hedge bool, duration time.Duration) error {
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
 	shape.Engines = 1
@@ -72,16 +73,16 @@
 	if err := f.SetServerFaults(l.faults); err != nil {
 		return err
 	}
-	all, err := f.Lookups(lookupCallers, lasting)
+	all, err := f.Lookups(lookupCallers, duration)
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(out, "lookups, %s, hedge %t: %d, %d not answered, p50 %.1f, p95 %.1f, p99 %.1f, p99.9 %.1f ms, %.3f calls a lookup\n",
-		l.name, hedge, len(all.Latencies), all.Failed, lookupTime(all, 0.5), lookupTime(all, 0.95), lookupTime(all, 0.99), lookupTime(all, 0.999), float64(all.Calls)/float64(len(all.Latencies)))
+		l.name, hedge, len(all.Latencies), all.Failed, lookupQuantileMS(all, 0.5), lookupQuantileMS(all, 0.95), lookupQuantileMS(all, 0.99), lookupQuantileMS(all, 0.999), float64(all.Calls)/float64(len(all.Latencies)))
 	return err
 }
 
-// lookupTime gives a quantile in milliseconds.
-func lookupTime(all *proof.Lookups, part float64) float64 {
+// lookupQuantileMS returns a quantile of the lookups' latencies, in milliseconds.
+func lookupQuantileMS(all *proof.Lookups, part float64) float64 {
 	return 1000 * stat.Quantile(part, stat.Empirical, all.Latencies, nil)
 }
--- a/lab/slopes_fleet.go
+++ b/lab/slopes_fleet.go
@@ -9,26 +9,26 @@
 	"dillsaddle.example/dillsaddle/watch"
 )
 
-// peerLimit is how many peers a watch has.
-const peerLimit = 4
+// maxPeers is the maximum number of peers of a watch process.
+const maxPeers = 4
 
 func peerCount(boxes int) float64 {
-	l := listOf(boxes, 0)
+	l := newList(boxes, 0)
 	most := 0
 	for i := range l.Boxes {
-		most = max(most, len(watch.Peers(l, l.Boxes[i].Name, peerLimit)))
+		most = max(most, len(watch.Peers(l, l.Boxes[i].Name, maxPeers)))
 	}
 	return float64(most)
 }
 
-// The sizes of the measurement of the shards.
+// Size of the sharded map's measurement.
 const (
 	shardKeys    = 10000
 	shardLookups = 300000
 )
 
-// shardCost is the time of one lookup while several threads look up: without
-// contention it stays the same as threads are added.
+// shardCost measures a lookup in the sharded map while several goroutines look up keys.
+// Without lock contention it doesn't grow with their number.
 func shardCost(threads int) float64 {
 	m := shard.NewMap[int]()
 	keys := make([]string, shardKeys)
@@ -37,7 +37,7 @@
 		m.Put(keys[i], i)
 	}
 	var wait sync.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for t := range threads {
 		wait.Go(func() {
 			for i := range shardLookups {
@@ -46,5 +46,5 @@
 		})
 	}
 	wait.Wait()
-	return float64(time.Since(began).Nanoseconds()) / shardLookups
+	return float64(time.Since(startedAt).Nanoseconds()) / shardLookups
 }
--- a/lab/slopes_path.go
+++ b/lab/slopes_path.go
@@ -14,19 +14,19 @@
 	"dillsaddle.example/dillsaddle/proof"
 )
 
-// pathLoad is what a run of real streams cost.
-type pathLoad struct {
-	tokens   float64
-	requests float64
-	seconds  float64
-	entry    float64 // core seconds
-	control  float64 // core seconds of scheduler and watch
-	memory   float64 // bytes of the entry
-	gcPart   float64 // of the entry's time
+// pathCost is the resource use of a load of real streams.
+type pathCost struct {
+	tokens         float64
+	requests       float64
+	seconds        float64
+	entrySeconds   float64 // processor time
+	controlSeconds float64 // processor time of scheduler and watch
+	entryBytes     float64 // resident memory
+	gcShare        float64 // fraction of the entry's processor time
 }
 
-// pathShape is a fleet whose engines make tokens faster than one entry passes
-// them on.
+// pathShape returns a fleet whose engines generate tokens faster than one entry process
+// forwards them.
 func pathShape(median float64) proof.Shape {
 	shape := proof.DefaultShape()
 	shape.Boxes = 1
@@ -39,36 +39,37 @@
 	return shape
 }
 
-// runPath keeps a number of streams open for a while.
-func runPath(programs string, median float64, streams int, lasting time.Duration) (*pathLoad, error) {
+// runPath keeps a number of streams open for a duration and returns what they cost.
+func runPath(programs string, median float64, streams int, duration time.Duration) (*pathCost, error) {
 	f, err := proof.Start(programs, pathShape(median))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	before, err := gauges(f)
+	before, err := readPathMetrics(f)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	requests := keepOpen(f, streams, began.Add(lasting))
-	after, err := gauges(f)
+	startedAt := time.Now()
+	requests := runStreams(f, streams, startedAt.Add(duration))
+	after, err := readPathMetrics(f)
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(began).Seconds()
-	return &pathLoad{
-		tokens:   after["tokens"] - before["tokens"],
-		requests: float64(requests),
-		seconds:  took,
-		entry:    after["entry"] - before["entry"],
-		control:  after["control"] - before["control"],
-		memory:   after["memory"],
-		gcPart:   after["gc"],
+	took := time.Since(startedAt).Seconds()
+	return &pathCost{
+		tokens:         after["tokens"] - before["tokens"],
+		requests:       float64(requests),
+		seconds:        took,
+		entrySeconds:   after["entry"] - before["entry"],
+		controlSeconds: after["control"] - before["control"],
+		entryBytes:     after["memory"],
+		gcShare:        after["gc"],
 	}, nil
 }
 
-func keepOpen(f *proof.Fleet, streams int, until time.Time) int {
+// runStreams keeps a number of streams open until a time and returns how many completed.
+func runStreams(f *proof.Fleet, streams int, until time.Time) int {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
@@ -88,8 +89,8 @@
 	return total
 }
 
-// gauges reads the processes' own metrics.
-func gauges(f *proof.Fleet) (map[string]float64, error) {
+// readPathMetrics reads processor time, memory and token counts from a box's processes.
+func readPathMetrics(f *proof.Fleet) (map[string]float64, error) {
 	all := make(map[string]float64)
 	entry, err := f.Metrics(0, "entry")
 	if err != nil {
@@ -99,8 +100,8 @@
 	all["tokens"] = entry.Sum("dillsaddle_tokens_total")
 	all["memory"] = entry.Sum("process_resident_memory_bytes")
 	all["gc"] = entry.Sum("go_gc_cpu_seconds_total") / max(0.001, entry.Sum("process_cpu_seconds_total"))
-	for _, part := range []string{"scheduler", "watch"} {
-		m, err := f.Metrics(0, part)
+	for _, process := range []string{"scheduler", "watch"} {
+		m, err := f.Metrics(0, process)
 		if err != nil {
 			return nil, err
 		}
@@ -109,31 +110,31 @@
 	return all, nil
 }
 
-// printPath tells what a token and a request cost in one entry process: two
-// loads of short and long outputs give the two slopes.
-func printPath(out io.Writer, programs string, lasting time.Duration) error {
-	short, err := runPath(programs, 30, 300, lasting)
+// printPath prints the cost of a token and of a request in an entry process. It solves for
+// both from one load with short outputs and one with long outputs.
+func printPath(out io.Writer, programs string, duration time.Duration) error {
+	short, err := runPath(programs, 30, 300, duration)
 	if err != nil {
-		return errors.Wrap(err, "load of short outputs")
+		return errors.Wrap(err, "run the load with short outputs")
 	}
-	long, err := runPath(programs, 600, 400, lasting)
+	long, err := runPath(programs, 600, 400, duration)
 	if err != nil {
-		return errors.Wrap(err, "load of long outputs")
+		return errors.Wrap(err, "run the load with long outputs")
 	}
-	det := short.tokens*long.requests - long.tokens*short.requests
-	token := (short.entry*long.requests - long.entry*short.requests) / det
-	request := (short.tokens*long.entry - long.tokens*short.entry) / det
-	for name, l := range map[string]*pathLoad{"short": short, "long": long} {
+	determinant := short.tokens*long.requests - long.tokens*short.requests
+	token := (short.entrySeconds*long.requests - long.entrySeconds*short.requests) / determinant
+	request := (short.tokens*long.entrySeconds - long.tokens*short.entrySeconds) / determinant
+	for name, l := range map[string]*pathCost{"short": short, "long": long} {
 		fmt.Fprintf(out, "path, %s outputs: %.0f tokens/s, %.0f requests/s, entry %.2f cores (%.1f us a token, all in), control %.3f cores, entry memory %.0f MB, garbage collection %.1f%% of the entry's time\n",
-			name, l.tokens/l.seconds, l.requests/l.seconds, l.entry/l.seconds, 1e6*l.entry/l.tokens, l.control/l.seconds, l.memory/1e6, 100*l.gcPart)
+			name, l.tokens/l.seconds, l.requests/l.seconds, l.entrySeconds/l.seconds, 1e6*l.entrySeconds/l.tokens, l.controlSeconds/l.seconds, l.entryBytes/1e6, 100*l.gcShare)
 	}
 	fmt.Fprintf(out, "path: %.2f us of a core a token, %.0f us a request; 53,000 tokens/s and 115 requests/s take %.2f cores\n",
 		1e6*token, 1e6*request, 53000*token+115*request)
 	return printRatio(out, programs)
 }
 
-// printRatio compares one stream through an entry with the same engine's read
-// directly, one after the other in one run.
+// printRatio compares the time to the first token through an entry with that of streams
+// read directly from the same engine.
 func printRatio(out io.Writer, programs string) error {
 	f, err := proof.Start(programs, pathShape(20))
 	if err != nil {
@@ -158,8 +159,8 @@
 	return err
 }
 
-// printControl tells what control costs boxes that carry no stream.
-func printControl(out io.Writer, programs string, lasting time.Duration) error {
+// printControl prints the cost of control traffic between idle boxes.
+func printControl(out io.Writer, programs string, duration time.Duration) error {
 	for _, boxes := range []int{1, 2, 4, 8, 16, 24} {
 		shape := proof.DefaultShape()
 		shape.Boxes = boxes
@@ -167,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		err = printControlOf(out, f, boxes, lasting)
+		err = printControlCost(out, f, boxes, duration)
 		f.Close()
 		if err != nil {
 			return err
@@ -176,34 +177,37 @@
 	return nil
 }
 
-func printControlOf(out io.Writer, f *proof.Fleet, boxes int, lasting time.Duration) error {
-	before, calls, err := control(f, boxes)
+// printControlCost prints the control traffic and resource use of boxes over a duration.
+func printControlCost(out io.Writer, f *proof.Fleet, boxes int, duration time.Duration) error {
+	before, calls, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
 	}
-	time.Sleep(lasting)
-	after, callsAfter, err := control(f, boxes)
+	time.Sleep(duration)
+	after, callsAfter, err := readControlMetrics(f, boxes)
 	if err != nil {
 		return err
 	}
-	per := float64(boxes) * lasting.Seconds()
+	boxSeconds := float64(boxes) * duration.Seconds()
 	_, err = fmt.Fprintf(out, "control of %d boxes, 3 endpoints, idle: %.0f bytes/s sent and %.1f messages/s a box, %.2f%% of a core a box for all three processes, %.2f platform calls/s a box, resident memory a box: scheduler and watch %.0f MB\n",
-		boxes, (after["bytes"]-before["bytes"])/per, (after["messages"]-before["messages"])/per, 100*(after["cpu"]-before["cpu"])/per, float64(callsAfter-calls)/per, after["memory"]/float64(boxes)/1e6)
+		boxes, (after["bytes"]-before["bytes"])/boxSeconds, (after["messages"]-before["messages"])/boxSeconds, 100*(after["cpu"]-before["cpu"])/boxSeconds, float64(callsAfter-calls)/boxSeconds, after["memory"]/float64(boxes)/1e6)
 	return err
 }
 
-func control(f *proof.Fleet, boxes int) (map[string]float64, int, error) {
+// readControlMetrics returns the summed metrics of all boxes' processes and the number of
+// calls to the platform.
+func readControlMetrics(f *proof.Fleet, boxes int) (map[string]float64, int, error) {
 	all := make(map[string]float64)
 	for i := range boxes {
-		for _, part := range []string{"entry", "scheduler", "watch"} {
-			m, err := f.Metrics(i, part)
+		for _, process := range []string{"entry", "scheduler", "watch"} {
+			m, err := f.Metrics(i, process)
 			if err != nil {
 				return nil, 0, err
 			}
 			all["bytes"] += m.Sum("dillsaddle_wire_sent_bytes_total")
 			all["messages"] += m.Sum("dillsaddle_wire_sent_messages_total")
 			all["cpu"] += m.Sum("process_cpu_seconds_total")
-			if part != "entry" {
+			if process != "entry" {
 				all["memory"] += m.Sum("process_resident_memory_bytes")
 			}
 		}
