--- a/core/call_test.go
+++ b/core/call_test.go
@@ -137,7 +137,7 @@
 
 	// The text of a refusal inside a stream would make it look complete.
 	It("is cut, and gets no second response, if the endpoint with the copy can't continue", func() {
-		for _, one := range []struct {
+		for _, tt := range []struct {
 			ev     core.Event
 			reason core.Reason
 		}{
@@ -151,32 +151,32 @@
 		} {
 			c := streaming(true)
 			stepAll(c, core.CallBroken{Copy: true})
-			Expect(stepAll(c, one.ev)).To(Equal(cut(one.reason)), "%T", one.ev)
+			Expect(stepAll(c, tt.ev)).To(Equal(cut(tt.reason)), "%T", tt.ev)
 		}
 	})
 })
 
 var _ = Describe("a resumable stream", func() {
-	begun := []core.Event{core.CallPlaced{}, core.CallProgressed{}}
+	startEvents := []core.Event{core.CallPlaced{}, core.CallProgressed{}}
 
 	It("is sent again before its first event, and resumed in another run after it", func() {
 		Expect(stepAll(resumableCall(2), core.CallPlaced{}, core.CallBroken{})).To(Equal([]core.Command{core.PlaceCall{}}))
-		Expect(stepAll(resumableCall(2), append(begun, core.CallBroken{})...)).To(Equal([]core.Command{core.ResumeCall{}}))
+		Expect(stepAll(resumableCall(2), append(startEvents, core.CallBroken{})...)).To(Equal([]core.Command{core.ResumeCall{}}))
 	})
 
 	It("is resumed at no more endpoints than its route permits", func() {
-		Expect(stepAll(resumableCall(2), append(begun, core.CallBroken{}, core.CallBroken{})...)).To(Equal([]core.Command{core.CutAnswer{Reason: core.ReasonBroken}}))
-		Expect(stepAll(resumableCall(1), append(begun, core.CallBroken{})...)).To(Equal([]core.Command{core.CutAnswer{Reason: core.ReasonBroken}}))
+		Expect(stepAll(resumableCall(2), append(startEvents, core.CallBroken{}, core.CallBroken{})...)).To(Equal([]core.Command{core.CutAnswer{Reason: core.ReasonBroken}}))
+		Expect(stepAll(resumableCall(1), append(startEvents, core.CallBroken{})...)).To(Equal([]core.Command{core.CutAnswer{Reason: core.ReasonBroken}}))
 	})
 
 	It("continues from its copy, or is resumed if the copy is unreachable", func() {
 		broken := core.CallBroken{Copy: true}
-		Expect(stepAll(resumableCall(2), append(begun, broken)...)).To(Equal([]core.Command{core.ContinueCall{}}))
-		Expect(stepAll(resumableCall(2), append(begun, broken, core.CallUnsent{})...)).To(Equal([]core.Command{core.ResumeCall{}}))
-		Expect(stepAll(resumableCall(2), append(begun, broken, core.CallRefused{})...)).To(Equal([]core.Command{core.ResumeCall{}}))
+		Expect(stepAll(resumableCall(2), append(startEvents, broken)...)).To(Equal([]core.Command{core.ContinueCall{}}))
+		Expect(stepAll(resumableCall(2), append(startEvents, broken, core.CallUnsent{})...)).To(Equal([]core.Command{core.ResumeCall{}}))
+		Expect(stepAll(resumableCall(2), append(startEvents, broken, core.CallRefused{})...)).To(Equal([]core.Command{core.ResumeCall{}}))
 	})
 
 	It("is cut if no endpoint is available to resume it", func() {
-		Expect(stepAll(resumableCall(2), append(begun, core.CallBroken{}, core.CallUnplaced{})...)).To(Equal([]core.Command{core.CutAnswer{Reason: core.ReasonBroken}}))
+		Expect(stepAll(resumableCall(2), append(startEvents, core.CallBroken{}, core.CallUnplaced{})...)).To(Equal([]core.Command{core.CutAnswer{Reason: core.ReasonBroken}}))
 	})
 })
--- a/core/claim_start_test.go
+++ b/core/claim_start_test.go
@@ -58,18 +58,18 @@
 	}
 }
 
-func (o *owners) sendHandover(now time.Time, asker string, wanted core.RequestHandover) {
-	from := o.owners[wanted.From]
-	if from == nil {
+func (o *owners) sendHandover(now time.Time, requester string, wanted core.RequestHandover) {
+	sender := o.owners[wanted.From]
+	if sender == nil {
 		return
 	}
 	asked := core.HandoverAsked{
-		From:        o.owners[asker].Self(),
+		From:        o.owners[requester].Self(),
 		ListVersion: wanted.ListVersion,
 	}
-	for _, command := range from.Step(now, asked) {
+	for _, command := range sender.Step(now, asked) {
 		if sent, ok := command.(core.SendHandover); ok {
-			o.owners[asker].Step(now, core.HandoverArrived{Handover: sent.Handover})
+			o.owners[requester].Step(now, core.HandoverArrived{Handover: sent.Handover})
 		}
 	}
 }
--- a/core/evacuation_test.go
+++ b/core/evacuation_test.go
@@ -14,12 +14,12 @@
 
 var evacuationStart = time.Unix(1_800_000_000, 0)
 
-func newRun(id string, rank int, worth float64, copying time.Duration) core.EvacuatedRun {
+func newRun(id string, rank int, value float64, copyTime time.Duration) core.EvacuatedRun {
 	return core.EvacuatedRun{
 		ID:       id,
 		Rank:     rank,
-		Value:    worth,
-		CopyTime: copying,
+		Value:    value,
+		CopyTime: copyTime,
 	}
 }
 
@@ -100,7 +100,7 @@
 		plans := make([]*core.Evacuation, boxCount)
 		wakes := make([]time.Time, boxCount)
 		owner := make(map[string]int)
-		copying := make(map[string]time.Duration)
+		copyTime := make(map[string]time.Duration)
 		moved := make(map[string]int)
 		moveEnds := make(map[string]time.Time) // of the moves in progress
 		overlaps := 0
@@ -124,7 +124,7 @@
 					overlaps++
 				}
 				moved[id]++
-				moveEnds[id] = now.Add(copying[id])
+				moveEnds[id] = now.Add(copyTime[id])
 			}
 		}
 		for b := range plans {
@@ -136,7 +136,7 @@
 				id := fmt.Sprintf("%d-%d", b, i)
 				r := newRun(id, rapid.IntRange(0, 1).Draw(t, "rank"), rapid.Float64Range(0, 9).Draw(t, "value"), time.Duration(rapid.IntRange(1, 300).Draw(t, "ms"))*time.Millisecond)
 				owner[id] = b
-				copying[id] = r.CopyTime
+				copyTime[id] = r.CopyTime
 				own = append(own, r)
 			}
 			step(b, core.RunsAdded{Runs: own, Own: true})
--- a/core/fence.go
+++ b/core/fence.go
@@ -89,11 +89,11 @@
 // Permitted reports whether an order may be sent now. If the endpoint doesn't check
 // fencing tokens, an owner whose list was not confirmed recently must not send, and
 // a new owner waits until the previous one has stopped for that reason.
-func (o *OrderPermission) Permitted(now time.Time, checks bool) bool {
+func (o *OrderPermission) Permitted(now time.Time, checksFences bool) bool {
 	if !o.isOwner {
 		return false
 	}
-	if checks {
+	if checksFences {
 		return true
 	}
 	if now.Sub(o.confirmedAt) > o.rules.Fresh {
--- a/core/peer_discovery_test.go
+++ b/core/peer_discovery_test.go
@@ -11,14 +11,14 @@
 
 var _ = Describe("peer discovery of a starting box", func() {
 	start := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	var s *core.PeerDiscovery
-	var expected bool // whether there are other boxes
-	BeforeEach(func() { expected = true })
-	BeforeEach(func() { s = core.NewPeerDiscovery(start, core.DefaultPeerDiscoveryRules()) })
+	var discovery *core.PeerDiscovery
+	var expectsPeers bool // whether there are other boxes
+	BeforeEach(func() { expectsPeers = true })
+	BeforeEach(func() { discovery = core.NewPeerDiscovery(start, core.DefaultPeerDiscoveryRules()) })
 	// after returns when discovery is complete, with four observations per second, or 0.
-	after := func(known func(time.Duration) int) time.Duration {
+	completesAfter := func(known func(time.Duration) int) time.Duration {
 		for age := time.Duration(0); age < 10*time.Second; age += 250 * time.Millisecond {
-			if s.Observe(start.Add(age), known(age), expected) {
+			if discovery.Observe(start.Add(age), known(age), expectsPeers) {
 				return age
 			}
 		}
@@ -26,12 +26,12 @@
 	}
 
 	It("completes after a second if there are no other boxes", func() {
-		expected = false
-		Expect(after(func(time.Duration) int { return 0 })).To(Equal(time.Second))
+		expectsPeers = false
+		Expect(completesAfter(func(time.Duration) int { return 0 })).To(Equal(time.Second))
 	})
 
 	It("waits for the first peer, up to the maximum time", func() {
-		Expect(after(func(time.Duration) int { return 0 })).To(Equal(5 * time.Second))
+		Expect(completesAfter(func(time.Duration) int { return 0 })).To(Equal(5 * time.Second))
 	})
 
 	It("completes once few peers are new", func() {
@@ -39,16 +39,16 @@
 		known := func(age time.Duration) int {
 			return min(300, 8<<min(8, age/(500*time.Millisecond)))
 		}
-		Expect(after(known)).To(Equal(3500 * time.Millisecond))
+		Expect(completesAfter(known)).To(Equal(3500 * time.Millisecond))
 	})
 
 	It("completes after the maximum time even if the number of peers keeps growing", func() {
 		known := func(age time.Duration) int { return 1 << (age / (500 * time.Millisecond)) }
-		Expect(after(known)).To(Equal(5 * time.Second))
+		Expect(completesAfter(known)).To(Equal(5 * time.Second))
 	})
 
 	It("stays complete when boxes join later", func() {
-		after(func(time.Duration) int { return 3 })
-		Expect(s.Observe(start.Add(20*time.Second), 400, true)).To(BeTrue())
+		completesAfter(func(time.Duration) int { return 3 })
+		Expect(discovery.Observe(start.Add(20*time.Second), 400, true)).To(BeTrue())
 	})
 })
--- a/core/roster.go
+++ b/core/roster.go
@@ -56,12 +56,12 @@
 // alive until a gossip message to it goes unanswered; silence alone says little, because
 // records of distant boxes arrive rarely in a large fleet.
 type Roster struct {
-	rules     RosterRules
-	self      Peer
-	members   map[string]*rosterEntry
-	names     []string // names of the members, sorted
-	nextIndex int      // index in names of the member last sent in rotation
-	contacted bool     // whether any box has been in contact since the start
+	rules         RosterRules
+	self          Peer
+	members       map[string]*rosterEntry
+	names         []string // names of the members, sorted
+	rotationIndex int      // index in names of the member last sent in rotation
+	contacted     bool     // whether any box has been in contact since the start
 }
 
 // rosterEntry is a member with the time at which it was last heard of.
--- a/core/roster_fleet_test.go
+++ b/core/roster_fleet_test.go
@@ -15,13 +15,13 @@
 
 // simulatedBox is a box of a simulated fleet that gossips as real boxes do.
 type simulatedBox struct {
-	self      core.Peer
-	roster    *core.Roster
-	alive     []string
-	lostPeers int // how often another box ceased to be alive in its view
-	down      bool
-	turn      int
-	stranger  int // index of its current gossip partner outside its group
+	self        core.Peer
+	roster      *core.Roster
+	alive       []string
+	lostPeers   int // how often another box ceased to be alive in its view
+	down        bool
+	turn        int
+	outsidePeer int // index of its current gossip partner outside its group
 }
 
 // simulatedFleet runs gossip in virtual time.
@@ -72,13 +72,13 @@
 	b.roster.DropSilent(f.now)
 	alive := b.roster.Alive(f.now)
 	b.observe(alive)
-	if f.rounds%16 == 0 || f.boxes[b.stranger].down {
-		b.stranger = f.random.IntN(3)
+	if f.rounds%16 == 0 || f.boxes[b.outsidePeer].down {
+		b.outsidePeer = f.random.IntN(3)
 		if len(alive) > 0 && f.random.IntN(8) > 0 {
-			b.stranger = f.index[alive[f.random.IntN(len(alive))].Box]
+			b.outsidePeer = f.index[alive[f.random.IntN(len(alive))].Box]
 		}
 	}
-	partners := []int{b.stranger}
+	partners := []int{b.outsidePeer}
 	for _, name := range core.GroupOf(b.self, alive, 10*len(f.boxes)).Members {
 		partners = append(partners, f.index[name])
 	}
@@ -89,10 +89,10 @@
 	case other.down:
 		b.roster.RecordNoAnswer(f.now, other.self.Address)
 	default:
-		sent, answer := b.roster.Sample(f.now), other.roster.Sample(f.now)
+		sent, reply := b.roster.Sample(f.now), other.roster.Sample(f.now)
 		other.roster.Merge(f.now, sent)
 		other.roster.RecordContact(f.now, b.self)
-		b.roster.Merge(f.now, answer)
+		b.roster.Merge(f.now, reply)
 		b.roster.RecordContact(f.now, other.self)
 	}
 }
--- a/core/roster_sample.go
+++ b/core/roster_sample.go
@@ -14,8 +14,8 @@
 	}
 	chosen := r.nextChanged()
 	for count := min(max(len(chosen)+r.rules.MinRotated, r.rules.Sample), len(r.names)); len(chosen) < count; {
-		r.nextIndex = (r.nextIndex + 1) % len(r.names)
-		e := r.members[r.names[r.nextIndex]]
+		r.rotationIndex = (r.rotationIndex + 1) % len(r.names)
+		e := r.members[r.names[r.rotationIndex]]
 		if !slices.Contains(chosen, e) {
 			chosen = append(chosen, e)
 		}
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -9,7 +9,7 @@
 type takeoverState struct {
 	replacedLists []ReplacedList
 	handovers     map[string]handoverStatus // by name of the box that handed over
-	peers         map[string]peerLife       // by box name
+	peers         map[string]peerProcess    // by box name
 	historyKnown  bool                      // replacedLists and recordsLostAt are complete
 	newFleet      bool                      // the first box list was younger than BootSlack
 	recordsLostAt time.Time                 // older records of this owner are lost; zero if none are
@@ -21,8 +21,8 @@
 	recordsLostAt time.Time // older records of that box are lost; zero if none are
 }
 
-// peerLife is the newest known process of another box.
-type peerLife struct {
+// peerProcess is the newest known process of another box.
+type peerProcess struct {
 	incarnation Incarnation
 	restarted   bool // an earlier process of the box was known
 	firstSeen   time.Time
@@ -32,7 +32,7 @@
 func newTakeoverState() takeoverState {
 	return takeoverState{
 		handovers: make(map[string]handoverStatus),
-		peers:     make(map[string]peerLife),
+		peers:     make(map[string]peerProcess),
 	}
 }
 
@@ -149,14 +149,14 @@
 func (o *ClaimOwner) recordPeer(now time.Time, other Box) bool {
 	peer, seen := o.takeover.peers[other.Name]
 	if !seen {
-		o.takeover.peers[other.Name] = peerLife{
+		o.takeover.peers[other.Name] = peerProcess{
 			incarnation: other.Incarnation,
 			firstSeen:   now,
 		}
 		return false
 	}
 	if other.Incarnation > peer.incarnation {
-		peer = peerLife{
+		peer = peerProcess{
 			incarnation: other.Incarnation,
 			restarted:   true,
 			firstSeen:   now,
@@ -244,10 +244,10 @@
 // gains keys only from boxes that are gone; a new box gains keys from all.
 func (o *ClaimOwner) addPredecessors(replaced *ReplacedList, owners, targets map[string]bool) {
 	self := replaced.List.Member(o.self.Name)
-	newcomer := self == nil || self.Leaving
+	isNew := self == nil || self.Leaving
 	for i := range replaced.List.Boxes {
 		name := replaced.List.Boxes[i].Name
-		if o.takeover.handovers[name].version < replaced.Next && (newcomer || !owners[name]) {
+		if o.takeover.handovers[name].version < replaced.Next && (isNew || !owners[name]) {
 			targets[name] = true
 		}
 	}
