--- a/core/claim_event.go
+++ b/core/claim_event.go
@@ -63,7 +63,8 @@
 	ClaimOwner Box           // the box and process that answers
 }
 
-// ListWanted asks the shell to fetch a newer box list.
+// ListWanted reports that a message referred to a newer box list. A shell that polls the
+// list anyway may ignore it.
 type ListWanted struct {
 	CommandBase
 	Version uint64
--- a/core/claim_rules.go
+++ b/core/claim_rules.go
@@ -10,8 +10,8 @@
 // updates: a claim owner that is cut off stops granting within Fresh, and its last
 // grant expires within GrantTTL, both before its successor grants anything.
 type ClaimRules struct {
-	// Guard is how long keys without a creation time that have no record are
-	// answered "unknown" after records were lost. Later they count as new.
+	// Guard is how long after a loss of records a key without creation time and without
+	// a record is answered "unknown". After that such a key counts as new.
 	Guard time.Duration
 	// Fresh is the maximum age of the box list's confirmation for granting claims.
 	Fresh time.Duration
@@ -21,7 +21,7 @@
 	// version 7) that is older than that, or older than a loss of records, is always
 	// answered "unknown".
 	Retention time.Duration
-	// BootSlack is the maximum age of a box list at which the fleet counts as new.
+	// BootSlack is the maximum age at which a fleet counts as new.
 	BootSlack time.Duration
 	// Skew is the maximum clock error of a key's creator.
 	Skew time.Duration
--- a/core/clone.go
+++ b/core/clone.go
@@ -12,8 +12,8 @@
 	copied := *o
 	copied.records = make(map[ClaimKey]*ClaimRecord, len(o.records))
 	for key, r := range o.records {
-		one := *r
-		copied.records[key] = &one
+		recordCopy := *r
+		copied.records[key] = &recordCopy
 	}
 	copied.takeover.replacedLists = slices.Clone(o.takeover.replacedLists)
 	copied.takeover.handovers = maps.Clone(o.takeover.handovers)
--- a/core/drain.go
+++ b/core/drain.go
@@ -51,8 +51,8 @@
 // Drain decides when a process with a planned stop may exit.
 type Drain struct {
 	State  DrainState
-	work   WorkChanged
-	since  time.Time
+	work   WorkChanged // work as last reported
+	since  time.Time   // time of the first stop request
 	guards Guards
 }
 
--- a/core/evacuation.go
+++ b/core/evacuation.go
@@ -32,7 +32,7 @@
 	CopyTime time.Duration // copy time of its memory over an idle link
 }
 
-// RunsAdded reports runs at the engine, of this box (Own) or of another one.
+// RunsAdded reports runs at the leaving engine; Own is set if they are this box's runs.
 type RunsAdded struct {
 	EventBase
 	Runs []EvacuatedRun
@@ -158,7 +158,8 @@
 	return v.currentSince.Add(2*v.current.CopyTime + v.rules.Slack)
 }
 
-// nextRun returns the run to move next: by rank, then by value per second of copying.
+// nextRun returns the run to move next: the one of the lowest rank, and among these the
+// one with the highest value per second of copying.
 func (v *Evacuation) nextRun() *plannedRun {
 	var best *plannedRun
 	for _, r := range v.runs {
--- a/core/evacuation_test.go
+++ b/core/evacuation_test.go
@@ -102,7 +102,7 @@
 		owner := make(map[string]int)
 		copyTime := make(map[string]time.Duration)
 		moved := make(map[string]int)
-		moveEnds := make(map[string]time.Time) // of the moves in progress
+		moveEnds := make(map[string]time.Time) // end times of the moves in progress
 		overlaps := 0
 		now := evacuationStart
 		var step func(box int, ev core.Event)
--- a/core/failure_detector.go
+++ b/core/failure_detector.go
@@ -22,19 +22,19 @@
 	}
 }
 
-// HeartbeatReceived is the event that a box answered a heartbeat.
+// HeartbeatReceived reports that a box answered a heartbeat.
 type HeartbeatReceived struct {
 	EventBase
 	Box string
 }
 
-// HeartbeatExpected is the event that heartbeats of a box are expected from now on.
+// HeartbeatExpected reports that heartbeats of a box are expected from now on.
 type HeartbeatExpected struct {
 	EventBase
 	Box string
 }
 
-// SuspectsReported is the event that a peer reported the boxes that it suspects itself.
+// SuspectsReported reports the boxes that a peer suspects by its own observation.
 type SuspectsReported struct {
 	EventBase
 	From  string
--- a/core/fence.go
+++ b/core/fence.go
@@ -9,9 +9,9 @@
 // endpoint that checks it refuses orders with a lower token than the highest it
 // has seen.
 type Fence struct {
-	Config      uint64      `json:"config"`
-	List        uint64      `json:"list"`
-	Incarnation Incarnation `json:"incarnation"`
+	Config      uint64      `json:"config"`      // version of the owner's configuration
+	List        uint64      `json:"list"`        // version of the owner's box list
+	Incarnation Incarnation `json:"incarnation"` // process of the owner
 }
 
 // Compare orders two tokens by list version, configuration version and incarnation.
@@ -87,8 +87,8 @@
 }
 
 // Permitted reports whether an order may be sent now. If the endpoint doesn't check
-// fencing tokens, an owner whose list was not confirmed recently must not send, and
-// a new owner waits until the previous one has stopped for that reason.
+// fencing tokens (checksFences), an owner whose list was not confirmed recently must not
+// send, and a new owner waits until the previous one has stopped for that reason.
 func (o *OrderPermission) Permitted(now time.Time, checksFences bool) bool {
 	if !o.isOwner {
 		return false
--- a/core/generation.go
+++ b/core/generation.go
@@ -89,9 +89,9 @@
 	ResumeDelay  time.Duration // pause before a resume
 }
 
-// Generation produces one caller's stream from the generation of one engine. It
-// forwards each token once and in order, retries before the first token, and
-// resumes an interrupted stream only from the same generation.
+// Generation is the state of one caller's stream, which forwards the tokens of one
+// engine's generation. It forwards each token once and in order, retries before the
+// first token, and resumes an interrupted stream only from the same generation.
 type Generation struct {
 	State             GenerationState
 	Repeatable        bool
@@ -188,8 +188,8 @@
 	return g.retryPlacement()
 }
 
-// unstartedOutcome returns the outcome when no attempt is running. An earlier
-// attempt that was abandoned may have run.
+// unstartedOutcome returns the outcome of a request that no endpoint is running now. An
+// earlier, abandoned attempt may have run.
 func (g *Generation) unstartedOutcome() Outcome {
 	if g.MayHaveRun && g.guards.enabled(GuardBytesSent) {
 		return Unknown
--- a/core/generation_event.go
+++ b/core/generation_event.go
@@ -29,7 +29,7 @@
 	Attempt int
 	Origin  Origin
 	Offset  uint64
-	Final   bool
+	Final   bool // the frame is the end of the generation, not a token
 }
 
 // LinkLost reports that the connection of an attempt broke or timed out.
--- a/core/generation_loss.go
+++ b/core/generation_loss.go
@@ -4,6 +4,8 @@
 	"time"
 )
 
+// handleLinkLost retries an attempt that has no token yet, and resumes a stream unless it
+// has been interrupted for longer than ResumeWindow without a new token.
 func (g *Generation) handleLinkLost(now time.Time, attempt int) []Command {
 	if attempt != g.Attempt {
 		return nil
@@ -30,6 +32,8 @@
 	return g.resumeAfter(g.rules.ResumeDelay)
 }
 
+// handleLossBeforeToken places the request again if no byte of it was sent, or if it is
+// repeatable and attempts remain. Otherwise it ends the stream.
 func (g *Generation) handleLossBeforeToken() []Command {
 	if !g.BytesSent {
 		return g.retryPlacement()
@@ -72,6 +76,7 @@
 	return g.end(Ran, EndLost)
 }
 
+// cancelForCaller cancels the generation and ends the stream.
 func (g *Generation) cancelForCaller() []Command {
 	if g.State == GenerationWaiting {
 		return g.end(g.unstartedOutcome(), EndCancelled)
@@ -83,6 +88,8 @@
 	return append([]Command{CancelAttempt{Origin: g.Origin}}, g.end(outcome, EndCancelled)...)
 }
 
+// releaseForCaller ends the stream but lets its generation run on, so that the caller can
+// resume it. A generation that hasn't streamed yet is cancelled.
 func (g *Generation) releaseForCaller(code EndCode) []Command {
 	if g.State != GenerationStreaming && g.State != GenerationResuming {
 		return g.cancelForCaller()
--- a/core/group.go
+++ b/core/group.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// minGroupSize is the size of a group whose boxes have enough engines of their own:
-	// small enough that each box can broadcast its placements to all others, large enough
-	// to even out their shares of the traffic.
+	// minGroupSize is the group size in a fleet with enough engines: small enough that
+	// each box can broadcast its placements to all others of its group, large enough to
+	// even out their shares of the traffic.
 	minGroupSize = 12
 	// maxGroupSize bounds the connections within a group.
 	maxGroupSize = 48
-	// minGroupEngines is how many engines a group should have. With fewer, removing
-	// several at once may leave one group without any.
+	// minGroupEngines is the number of engines that a group should at least have. With
+	// fewer, removing several at once may leave one group without any.
 	minGroupEngines = 16
 	// singleGroupBoxes is the fleet size up to which all boxes form one group, whatever
 	// their zones and engines.
--- a/core/lease.go
+++ b/core/lease.go
@@ -142,7 +142,8 @@
 	}
 }
 
-// clear permits full grants once the predecessor's last leases have expired.
+// clear records that the predecessor is gone and schedules full grants for the time at
+// which its last leases have expired.
 func (o *Ownership) clear(now time.Time) {
 	if o.predecessorGone || o.State == LeaseFull {
 		return
@@ -208,8 +209,8 @@
 // request for it, so that a delayed answer doesn't extend it.
 type Lease struct {
 	Endpoint string
-	Tokens   int
-	Slots    int
+	Tokens   int       // share of the endpoint's memory
+	Slots    int       // share of the endpoint's batch slots
 	Until    time.Time // when it expires
 	guards   Guards
 }
--- a/core/limits.go
+++ b/core/limits.go
@@ -9,7 +9,7 @@
 // LimitRules configure how reported endpoint limits are merged and when they expire.
 type LimitRules struct {
 	Retention  time.Duration // how long a limit holds after the newest answer that any box received
-	SettleTime time.Duration // how long after a limit answers without one are ignored: they may predate it
+	SettleTime time.Duration // time after a reported limit in which answers without one are ignored: they may predate it
 	MinChange  float64       // relative change of a limit that is broadcast at once
 }
 
--- a/core/member.go
+++ b/core/member.go
@@ -23,9 +23,9 @@
 	Name      string         `json:"name"`
 	Zone      string         `json:"zone,omitzero"`
 	Region    string         `json:"region,omitzero"`
-	Entry     netip.AddrPort `json:"entry,omitzero"`
-	Scheduler netip.AddrPort `json:"scheduler,omitzero"`
-	Watch     netip.AddrPort `json:"watch,omitzero"`
+	Entry     netip.AddrPort `json:"entry,omitzero"`     // address for callers' requests
+	Scheduler netip.AddrPort `json:"scheduler,omitzero"` // address for claims, handovers and leases
+	Watch     netip.AddrPort `json:"watch,omitzero"`     // address for heartbeats and versions
 	Leaving   bool           `json:"leaving,omitempty"`
 }
 
@@ -38,7 +38,7 @@
 // List is one version of the platform's list of boxes, live and leaving, and endpoints.
 type List struct {
 	Version   uint64           `json:"version"`
-	Age       time.Duration    `json:"age"`
+	Age       time.Duration    `json:"age"` // age of the fleet, according to the platform
 	Boxes     []Member         `json:"boxes"`
 	Endpoints []EndpointStatus `json:"endpoints,omitempty"`
 }
--- a/core/owner.go
+++ b/core/owner.go
@@ -8,9 +8,9 @@
 // Owners determines the owners of endpoints under one box list. It groups the boxes
 // by region once per list, since an endpoint's owners are chosen from its region.
 type Owners struct {
-	all      []*Member
-	byRegion map[string][]*Member
-	regionOf map[string]string // by zone
+	all      []*Member            // boxes that aren't leaving
+	byRegion map[string][]*Member // boxes that aren't leaving, by region
+	regionOf map[string]string    // region by zone
 }
 
 // NewOwners groups a list's boxes by region, without the leaving ones.
--- a/core/peer_discovery.go
+++ b/core/peer_discovery.go
@@ -6,7 +6,7 @@
 type PeerDiscoveryRules struct {
 	MinWait   time.Duration // minimum time since the start
 	MaxWait   time.Duration // time since the start after which the list counts as complete
-	Window    time.Duration // time over which growth is measured
+	Window    time.Duration // time over which the growth is computed
 	MaxGrowth float64       // maximum fraction of known peers that were added in a window
 }
 
@@ -45,9 +45,9 @@
 	}
 }
 
-// Observe records the number of other boxes known and reports whether discovery is
-// complete. The flag expected is set if there are other boxes, so that a box that
-// knows none of them yet doesn't take itself for the only one.
+// Observe records the number of known other boxes and reports whether discovery is
+// complete. If other boxes are expected, a box that knows none yet doesn't consider itself
+// the only one before MaxWait.
 func (d *PeerDiscovery) Observe(now time.Time, known int, expected bool) bool {
 	if d.complete {
 		return true
--- a/core/peer_discovery_test.go
+++ b/core/peer_discovery_test.go
@@ -15,7 +15,8 @@
 	var expectsPeers bool // whether there are other boxes
 	BeforeEach(func() { expectsPeers = true })
 	BeforeEach(func() { discovery = core.NewPeerDiscovery(start, core.DefaultPeerDiscoveryRules()) })
-	// after returns when discovery is complete, with four observations per second, or 0.
+	// completesAfter returns the time until discovery is complete, or 0 if it isn't within
+	// ten seconds. The number of peers is observed four times per second.
 	completesAfter := func(known func(time.Duration) int) time.Duration {
 		for age := time.Duration(0); age < 10*time.Second; age += 250 * time.Millisecond {
 			if discovery.Observe(start.Add(age), known(age), expectsPeers) {
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -14,7 +14,7 @@
 	Retention      time.Duration // how long crashes are remembered after the last one
 	MaxRecords     int           // maximum number of requests with recorded crashes
 	MaxCleared     int           // maximum number of requests remembered as cleared
-	ClearedFor     time.Duration // how long after a successful run crashes aren't held against a request
+	ClearedFor     time.Duration // time after a successful run in which crashes don't count against the request
 }
 
 // DefaultQuarantineRules returns the rules used in production. The threshold allows for
--- a/core/quarantine_gossip.go
+++ b/core/quarantine_gossip.go
@@ -74,8 +74,7 @@
 	return r.toRecord(now, request), true
 }
 
-// These constants bound the records in one message. A record of three crashes takes about
-// 130 bytes, one of a single crash 75.
+// These constants bound the records in one message and how often each is sent.
 const (
 	// maxRepeatedRecords bounds the new records of requests with several crashes or with a
 	// successful run. Each is sent repeatedRecordSends times, enough to reach a thousand
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	crashingRequest = core.NewDigest([]byte("deadly"))
+	crashingRequest = core.NewDigest([]byte("crashing"))
 	testStart       = time.Unix(1000, 0)
 )
 
@@ -36,7 +36,7 @@
 	BeforeEach(func() { q = core.NewQuarantine(rules) })
 	crash := func(at time.Duration, endpoint string) { q.Crashed(atOffset(at), crashingRequest, endpoint) }
 
-	It("holds a request after crashes of three endpoints, not after three reports of one", func() {
+	It("quarantines a request after crashes of three endpoints, not after three reports of one", func() {
 		for range 3 {
 			crash(0, "e-1")
 		}
@@ -69,7 +69,7 @@
 		Expect(isQuarantined(q, atOffset(3*time.Second))).To(BeTrue(), "new crashes count")
 	})
 
-	It("releases a request after its duration, and holds it again after one more crash", func() {
+	It("releases a request after its duration, and quarantines it again after one more crash", func() {
 		crash(0, "e-1")
 		crash(0, "e-2")
 		crash(0, "e-3")
@@ -109,11 +109,11 @@
 		Expect(isQuarantined(other, atOffset(2*time.Second))).To(BeFalse())
 	})
 
-	It("keeps sending records of held requests, and others only while they are new", func() {
+	It("keeps sending records of quarantined requests, and others only while they are new", func() {
 		for i := range 3 {
 			crash(time.Duration(i)*time.Second, fmt.Sprintf("e-%d", i))
 		}
-		q.Crashed(atOffset(3*time.Second), core.NewDigest([]byte("one end")), "e-2")
+		q.Crashed(atOffset(3*time.Second), core.NewDigest([]byte("single crash")), "e-2")
 		Expect(q.Sample(atOffset(3 * time.Second))).To(HaveLen(2))
 		for range 20 {
 			q.Sample(atOffset(4 * time.Second))
@@ -133,7 +133,7 @@
 		crash(2*time.Second, "e-3")
 		Expect(isQuarantined(q, atOffset(2*time.Second))).To(BeTrue())
 		updates, _ := q.Merge(atOffset(3*time.Second), []core.CrashRecord{{
-			Request: core.NewDigest([]byte("forgotten")),
+			Request: core.NewDigest([]byte("evicted")),
 			Crashes: []core.Crash{{
 				Endpoint: "e-1",
 				Age:      3 * time.Second,
@@ -159,8 +159,8 @@
 	})
 })
 
-// Boxes that exchange records in any order and repeatedly agree in the end, whatever crashes
-// and successful runs there were.
+// TestQuarantinesConverge checks that boxes which exchange records in any order and
+// repeatedly agree in the end, whatever crashes and successful runs there were.
 func TestQuarantinesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 4
--- a/core/rate_limiter.go
+++ b/core/rate_limiter.go
@@ -4,9 +4,9 @@
 
 // RateLimiterRules configure how a rate is divided into units and enforced.
 type RateLimiterRules struct {
-	UnitInterval        time.Duration // approximate time after which a unit may be used again
+	UnitInterval        time.Duration // approximate interval between two uses of a unit
 	MaxUnits            int           // maximum number of units, to keep dividing them cheap
-	ReservationLifetime time.Duration // after which an unused reservation expires
+	ReservationLifetime time.Duration // age at which an unused reservation expires
 }
 
 // DefaultRateLimiterRules returns rules for endpoints that enforce their limits over
--- a/core/roster.go
+++ b/core/roster.go
@@ -95,8 +95,8 @@
 }
 
 // Merge merges records of other boxes received by gossip.
-func (r *Roster) Merge(now time.Time, members []Peer) {
-	for _, m := range members {
+func (r *Roster) Merge(now time.Time, peers []Peer) {
+	for _, m := range peers {
 		r.mergePeer(now, m, false)
 	}
 }
--- a/core/roster_fleet_test.go
+++ b/core/roster_fleet_test.go
@@ -17,8 +17,8 @@
 type simulatedBox struct {
 	self        core.Peer
 	roster      *core.Roster
-	alive       []string
-	lostPeers   int // how often another box ceased to be alive in its view
+	alive       []string // boxes that were alive in its view at its last turn
+	lostPeers   int      // how often another box ceased to be alive in its view
 	down        bool
 	turn        int
 	outsidePeer int // index of its current gossip partner outside its group
@@ -29,7 +29,7 @@
 	random *rand.Rand
 	now    time.Time
 	boxes  []*simulatedBox
-	index  map[string]int
+	index  map[string]int // index in boxes by name
 	rounds int
 }
 
--- a/core/roster_sample.go
+++ b/core/roster_sample.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sample returns the records for one message to another box: changed ones, those sent least
-// often first, and then others in rotation.
+// Sample returns the records for one message to another box: all of them in a small fleet,
+// else the changed ones, those sent least often first, and then others in rotation.
 func (r *Roster) Sample(now time.Time) []Peer {
 	if len(r.names) <= r.rules.Sample {
 		return r.All(now)
--- a/core/send_budget.go
+++ b/core/send_budget.go
@@ -5,7 +5,7 @@
 // SendBudgetRules configure how sends to an endpoint are counted.
 type SendBudgetRules struct {
 	Window              time.Duration // sliding window of the budget
-	ReservationLifetime time.Duration // after which an unused reservation expires
+	ReservationLifetime time.Duration // age at which an unused reservation expires
 }
 
 // DefaultSendBudgetRules returns rules for budgets per second. The window is a little
--- a/core/share_allocator.go
+++ b/core/share_allocator.go
@@ -11,8 +11,8 @@
 	JoinDelay       time.Duration // how long after its start a box has no share
 	SilentRetention time.Duration // how long a silent box keeps its share
 	LeftRetention   time.Duration // how long a box that announced its exit keeps its share
-	UnawareWindow   time.Duration // a box suspected within this time after this box's start may not know of it
-	ContestRanks    int           // how many boxes ranked next for a unit are checked for being unaware of this one
+	UnawareWindow   time.Duration // time after this box's start in which a box that becomes suspect may not know of it
+	ContestRanks    int           // number of boxes ranked next for a unit that must not be unaware of this one
 }
 
 // DefaultShareRules returns the rules for boxes that hear of each other within seconds.
--- a/core/source_selector.go
+++ b/core/source_selector.go
@@ -24,7 +24,7 @@
 	Busy                  time.Duration // backoff after a source reported that it is busy
 	Failed                time.Duration // backoff after a failure, doubled for each further one in a row
 	MaxBackoff            time.Duration // bounds the doubled backoff
-	AdvertisementLifetime time.Duration // after which an advertisement that isn't repeated expires
+	AdvertisementLifetime time.Duration // age at which an advertisement expires unless it is repeated
 }
 
 // DefaultSourceRules returns the rules used in production. The Busy backoff is about half
--- a/core/source_selector_test.go
+++ b/core/source_selector_test.go
@@ -75,8 +75,8 @@
 	})
 })
 
-// After any sequence of events, a box that is behind asks a source again within the maximum
-// backoff, as long as the source repeats its advertisement.
+// TestSourceSelectorKeepsAdvertisements checks that a box with older views asks a source
+// that repeats its advertisement within the maximum backoff, whatever events came before.
 func TestSourceSelectorKeepsAdvertisements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := core.DefaultSourceRules()
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// takeoverState is what a claim owner knows about the previous owners of its keys.
+// takeoverState holds what a claim owner knows about the previous owners of its keys.
 type takeoverState struct {
 	replacedLists []ReplacedList
 	handovers     map[string]handoverStatus // by name of the box that handed over
 	peers         map[string]peerProcess    // by box name
 	historyKnown  bool                      // replacedLists and recordsLostAt are complete
-	newFleet      bool                      // the first box list was younger than BootSlack
+	newFleet      bool                      // the fleet was younger than BootSlack at the first box list
 	recordsLostAt time.Time                 // older records of this owner are lost; zero if none are
 }
 
-// handoverStatus is what a box has handed over.
+// handoverStatus describes the handovers that arrived from one box.
 type handoverStatus struct {
 	version       uint64    // list version of its newest handover
 	recordsLostAt time.Time // older records of that box are lost; zero if none are
 }
 
-// peerProcess is the newest known process of another box.
+// peerProcess describes the newest known process of another box.
 type peerProcess struct {
 	incarnation Incarnation
 	restarted   bool // an earlier process of the box was known
@@ -40,9 +40,9 @@
 type priorGrants int
 
 const (
-	priorGrantsExcluded priorGrants = iota
-	priorGrantsPending
-	priorGrantsPossible
+	priorGrantsExcluded priorGrants = iota // no previous owner can have granted the key
+	priorGrantsPending                     // a previous owner has yet to hand over
+	priorGrantsPossible                    // a previous owner may have granted the key
 )
 
 func (o *ClaimOwner) handleListAdopted(now time.Time, e ListAdopted) []Command {
@@ -95,8 +95,8 @@
 	return now.Sub(lossTime) <= o.rules.Guard
 }
 
-// checkPriorGrants determines whether a previous owner may have granted the key: it
-// didn't if each one has handed over its records or can't have granted this key.
+// checkPriorGrants determines whether any previous owner may have granted the key. An
+// owner that has handed over all its records, or can't have granted this key, is excluded.
 func (o *ClaimOwner) checkPriorGrants(now time.Time, e *ClaimAsked) priorGrants {
 	if !o.guards.enabled(GuardClaimTakeover) {
 		return priorGrantsExcluded
@@ -174,9 +174,9 @@
 // finalHandover is the version of a handover that covers all later lists.
 const finalHandover = ^uint64(0)
 
-// mergeHistory updates historyKnown. The history is known once a box that knows it
-// has handed over. In a new fleet no box does; there, it is enough that all boxes
-// have handed over, since each reports whether it knew an earlier process of this box.
+// mergeHistory updates historyKnown: the history is known once a box that knows it has
+// handed over. In a new fleet no box does. There it is enough that all boxes have handed
+// over, since each of them reports whether it knew an earlier process of this box.
 func (o *ClaimOwner) mergeHistory(in Handover) {
 	peer := o.takeover.peers[in.From.Name]
 	peer.handedOver = true
--- a/core/transfer_limiter.go
+++ b/core/transfer_limiter.go
@@ -8,7 +8,7 @@
 // TransferRules configure the transfers of snapshots that one box sends.
 type TransferRules struct {
 	MaxConcurrent int           // maximum number of concurrent transfers
-	IdleTimeout   time.Duration // after which a receiver that requests no further part counts as gone
+	IdleTimeout   time.Duration // time without a request for the next part until a receiver counts as gone
 }
 
 // DefaultTransferRules returns the rules used in production. With few concurrent transfers
--- a/core/version.go
+++ b/core/version.go
@@ -36,7 +36,7 @@
 type VersionOffered struct {
 	EventBase
 	Version  uint64
-	Accepted bool
+	Accepted bool // the document is valid
 	Digest   uint64
 }
 
@@ -83,10 +83,10 @@
 // wins on every box, in whichever order they arrive.
 type Versions struct {
 	State            VersionState
-	Active           uint64
-	Digest           uint64
-	HighestAnnounced uint64
-	Rejected         uint64
+	Active           uint64 // active version; 0 if none
+	Digest           uint64 // digest of the active document
+	HighestAnnounced uint64 // highest version that a peer has active
+	Rejected         uint64 // highest version rejected as invalid
 	guards           Guards
 }
 
