--- a/core/roster_sample.go
+++ b/core/roster_sample.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Sample returns the records for one message to another box: changed ones, those sent least
-// often first, and then others in rotation.
+// Sample returns the records for one message to another box: all of them in a small fleet,
+// else the changed ones, those sent least often first, and then others in rotation.
 func (r *Roster) Sample(now time.Time) []Peer {
 	if len(r.names) <= r.rules.Sample {
 		return r.All(now)
 	}
 	chosen := r.nextChanged()
 	for count := min(max(len(chosen)+r.rules.MinRotated, r.rules.Sample), len(r.names)); len(chosen) < count; {
-		r.nextIndex = (r.nextIndex + 1) % len(r.names)
-		e := r.members[r.names[r.nextIndex]]
+		r.rotationIndex = (r.rotationIndex + 1) % len(r.names)
+		e := r.members[r.names[r.rotationIndex]]
 		if !slices.Contains(chosen, e) {
 			chosen = append(chosen, e)
 		}
