--- a/admission/balancer.go
+++ b/admission/balancer.go
@@ -106,10 +106,10 @@
 }
 
 // SetGroupEngines sets the engines that are assigned to the box's group and preferred by it.
-func (s *Balancer) SetGroupEngines(groupEngines map[string]bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.groupEngines = groupEngines
+func (b *Balancer) SetGroupEngines(groupEngines map[string]bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.groupEngines = groupEngines
 }
 
 // Requirements is what a request needs of an endpoint. Fields about tokens are 0 for
@@ -126,14 +126,14 @@
 }
 
 // Pick returns the endpoint with the lowest score, or false if there is none to choose.
-func (s *Balancer) Pick(now time.Time, endpoints []routing.Endpoint, w Requirements) (routing.Endpoint, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (b *Balancer) Pick(now time.Time, endpoints []routing.Endpoint, req Requirements) (routing.Endpoint, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	best := -1
 	least := math.Inf(1)
-	choices := s.choices(now, endpoints, w)
+	choices := b.choices(now, endpoints, req)
 	for i, e := range choices {
-		score := s.score(now, e, w)
+		score := b.score(now, e, req)
 		if score < least {
 			best = i
 			least = score
@@ -147,124 +147,124 @@
 
 // choices returns a random sample of the endpoints that may take the request. All boxes
 // have the same reports, so without sampling they would all choose the same endpoint.
-func (s *Balancer) choices(now time.Time, endpoints []routing.Endpoint, w Requirements) []routing.Endpoint {
+func (b *Balancer) choices(now time.Time, endpoints []routing.Endpoint, req Requirements) []routing.Endpoint {
 	var own, outside []int
 	for i := range endpoints {
 		id := endpoints[i].ID
-		if w.Exclude[id] || (w.MaxMemoryUse > 0 && s.memoryUse(now, s.load(id), w) > w.MaxMemoryUse) {
+		if req.Exclude[id] || (req.MaxMemoryUse > 0 && b.memoryUse(now, b.load(id), req) > req.MaxMemoryUse) {
 			continue
 		}
-		if s.groupEngines == nil || s.groupEngines[id] {
+		if b.groupEngines == nil || b.groupEngines[id] {
 			own = append(own, i)
 		} else {
 			outside = append(outside, i)
 		}
 	}
 	var chosen []routing.Endpoint
-	most := maxChoices
+	limit := maxChoices
 	switch {
-	case w.Shared && now.Sub(s.remotePlacementAt) > blindAfter:
-		most = blindChoices
-	case w.Memory > 0 && len(outside) == 0:
-		most = fullViewChoices
+	case req.Shared && now.Sub(b.remotePlacementAt) > blindAfter:
+		limit = blindChoices
+	case req.Memory > 0 && len(outside) == 0:
+		limit = fullViewChoices
 	}
-	for _, i := range append(s.sample(own, most), s.sample(outside, outsideGroupChoices)...) {
+	for _, i := range append(b.sample(own, limit), b.sample(outside, outsideGroupChoices)...) {
 		chosen = append(chosen, endpoints[i])
 	}
 	return chosen
 }
 
 // sample draws at most a number of elements at random; it reorders its argument.
-func (s *Balancer) sample(all []int, most int) []int {
-	n := min(len(all), most)
+func (b *Balancer) sample(all []int, limit int) []int {
+	n := min(len(all), limit)
 	for i := range n {
-		j := i + int(s.random()*float64(len(all)-i))
+		j := i + int(b.random()*float64(len(all)-i))
 		all[i], all[j] = all[j], all[i]
 	}
 	return all[:n:n]
 }
 
 // score returns the cost of sending a request to an endpoint; the lowest is best.
-func (s *Balancer) score(now time.Time, e routing.Endpoint, w Requirements) float64 {
-	l := s.load(e.ID)
+func (b *Balancer) score(now time.Time, e routing.Endpoint, req Requirements) float64 {
+	l := b.load(e.ID)
 	slots := float64(max(e.Slots, 1))
 	load := float64(l.running)
 	if now.Sub(l.loadReportedAt) < loadReportTTL {
 		load = math.Max(load, float64(l.reportedRequests+l.startedSince))
 	}
 	score := load / slots
-	if w.Memory > 0 {
-		full := s.memoryUse(now, l, w)
-		score += full + overcommitCost*math.Max(0, full-1) + scoreNoise*s.random()
-		if w.MovableTokens > 0 {
-			score += unmovableCost * math.Max(0, full-float64(w.MovableTokens)/float64(w.Memory))
+	if req.Memory > 0 {
+		full := b.memoryUse(now, l, req)
+		score += full + overcommitCost*math.Max(0, full-1) + scoreNoise*b.random()
+		if req.MovableTokens > 0 {
+			score += unmovableCost * math.Max(0, full-float64(req.MovableTokens)/float64(req.Memory))
 		}
-		ahead := l.backlog(now, s.prefillRate)
-		if s.isOutsideGroup(e.ID) {
+		ahead := l.backlog(now, b.prefillRate)
+		if b.isOutsideGroup(e.ID) {
 			score += outsideGroupCost
-			ahead += s.unreportedPromptTokens(now, l)
+			ahead += b.unreportedPromptTokens(now, l)
 		}
-		score += prefillDelayCost * ahead / s.prefillRate
+		score += prefillDelayCost * ahead / b.prefillRate
 	}
-	if e.Zone != w.zone(s) {
-		score += w.crossZoneCost()
+	if e.Zone != req.zone(b) {
+		score += req.crossZoneCost()
 	}
 	if e.ColdAt(now) {
 		score += coldCost
 	}
 	score += failureCost * l.failureScore(now)
-	if now.Before(l.avoidUntil) || l.isSuspect(now, w) {
+	if now.Before(l.avoidUntil) || l.isSuspect(now, req) {
 		score += failureCost
 	}
-	return score + s.random()/(4*slots)
+	return score + b.random()/(4*slots)
 }
 
 // isOutsideGroup reports whether an endpoint is not assigned to the box's group.
-func (s *Balancer) isOutsideGroup(id string) bool {
-	return s.groupEngines != nil && !s.groupEngines[id]
+func (b *Balancer) isOutsideGroup(id string) bool {
+	return b.groupEngines != nil && !b.groupEngines[id]
 }
 
 // crossZoneCost returns the cost of an endpoint outside the preferred zone.
-func (w Requirements) crossZoneCost() float64 {
-	if w.Memory > 0 {
+func (req Requirements) crossZoneCost() float64 {
+	if req.Memory > 0 {
 		return crossZoneCost
 	}
 	return callCrossZoneCost
 }
 
 // zone returns the preferred availability zone.
-func (w Requirements) zone(s *Balancer) string {
-	if w.Zone != "" {
-		return w.Zone
+func (req Requirements) zone(s *Balancer) string {
+	if req.Zone != "" {
+		return req.Zone
 	}
 	return s.zone
 }
 
 // memoryUse estimates the fraction of an engine's memory that is in use with this request:
 // the last report, the changes since, and the further growth of the running generations.
-func (s *Balancer) memoryUse(now time.Time, l *endpointLoad, w Requirements) float64 {
-	total := float64(max(w.Memory, 1))
+func (b *Balancer) memoryUse(now time.Time, l *endpointLoad, req Requirements) float64 {
+	total := float64(max(req.Memory, 1))
 	if now.Sub(l.reportAt) > memoryReportTTL {
 		// Other boxes' placements count as well: an engine that has just joined looks
 		// empty to all boxes until its first report arrives.
 		used := max(l.tokens+l.copyTokens, l.tokensSince(now.Add(-memoryReportTTL)))
-		return float64(used+w.Tokens) / total
+		return float64(used+req.Tokens) / total
 	}
 	if l.report.Total > 0 {
 		total = float64(l.report.Total)
 	}
 	used := float64(l.report.Used)
-	used += float64(l.report.Running) * s.output / 2
-	used += float64(l.report.Waiting) * (s.prompt + s.output)
+	used += float64(l.report.Running) * b.output / 2
+	used += float64(l.report.Waiting) * (b.prompt + b.output)
 	for _, c := range l.recentChanges {
 		used += float64(c.tokens)
 	}
-	return (math.Max(used, 0) + float64(w.Tokens)) / total
+	return (math.Max(used, 0) + float64(req.Tokens)) / total
 }
 
 // isSuspect reports whether an endpoint has pending requests of this box and has sent
 // nothing for much longer than its average latency.
-func (l *endpointLoad) isSuspect(now time.Time, w Requirements) bool {
+func (l *endpointLoad) isSuspect(now time.Time, req Requirements) bool {
 	if len(l.pending) == 0 {
 		return false
 	}
@@ -274,7 +274,7 @@
 	}
 	limit := time.Duration(suspectLatencyFactor * l.latency * float64(time.Second))
 	least := minCallSuspectTime
-	if w.Memory > 0 {
+	if req.Memory > 0 {
 		least = minEngineSuspectTime
 	}
 	return now.Sub(since) > max(limit, least)
@@ -289,11 +289,11 @@
 }
 
 // load returns the load of an endpoint, creating it if needed. The caller holds mu.
-func (s *Balancer) load(id string) *endpointLoad {
-	l := s.loads[id]
+func (b *Balancer) load(id string) *endpointLoad {
+	l := b.loads[id]
 	if l == nil {
 		l = &endpointLoad{}
-		s.loads[id] = l
+		b.loads[id] = l
 	}
 	return l
 }
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -28,17 +28,17 @@
 	waiting /= max(1, len(m.endpointNames))
 	demands := make([]EndpointDemand, 0, len(m.endpoints))
 	for _, name := range slices.Sorted(maps.Keys(m.endpoints)) {
-		p := m.endpoints[name]
-		if !(eager && waiting > 0) && !p.needsRenewal(now) {
+		state := m.endpoints[name]
+		if !(eager && waiting > 0) && !state.needsRenewal(now) {
 			continue
 		}
-		p.recomputeOwn(m.profile)
+		state.recomputeOwn(m.profile)
 		demands = append(demands, EndpointDemand{
 			Endpoint:      name,
-			ReportingSlot: p.reportingSlot(now),
+			ReportingSlot: state.reportingSlot(now),
 			Demand: Demand{
-				Profile: p.own,
-				Running: len(p.running),
+				Profile: state.own,
+				Running: len(state.running),
 				Waiting: waiting,
 				Rank:    rank,
 			},
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -92,21 +92,21 @@
 func (m *Model) startRun(now time.Time, r *Request, name string, forced bool) core.Command {
 	m.waiting.remove(r.ID, r.Customer)
 	m.waiting.addServed(r.Customer, float64(r.PromptTokens)/8, r.Weight)
-	p := m.endpoints[name]
+	state := m.endpoints[name]
 	placed := &running{
 		request:  *r,
 		endpoint: name,
 	}
 	placed.profile = m.profile(placed)
 	m.running[r.ID] = placed
-	p.add(placed)
-	p.lastSentAt = now
-	p.prefixes.add(r.Prefix)
+	state.add(placed)
+	state.lastSentAt = now
+	state.prefixes.add(r.Prefix)
 	m.drainRate.countStart(now)
 	return PlaceRequest{
 		ID:       r.ID,
 		Endpoint: name,
-		Until:    p.capacity(now).until,
+		Until:    state.capacity(now).until,
 		Waited:   now.Sub(r.ArrivedAt),
 		Forced:   forced,
 	}
@@ -127,24 +127,24 @@
 	least := candidate{load: math.Inf(1)}
 	var usable []string
 	for _, name := range m.endpointNames {
-		p := m.endpoints[name]
-		space := p.capacity(now)
+		state := m.endpoints[name]
+		space := state.capacity(now)
 		if space.tokens == 0 || name == r.Avoid && len(m.endpointNames) > 1 {
 			continue
 		}
 		usable = append(usable, name)
 		c := candidate{
 			name:  name,
-			load:  p.load(space),
-			score: p.affinity(r.Prefix),
+			load:  state.load(space),
+			score: state.affinity(r.Prefix),
 		}
 		if c.load < least.load {
 			least = c
 		}
-		if !p.fits(space, &with, z, reserved) {
+		if !state.fits(space, &with, z, reserved) {
 			continue
 		}
-		if after := p.promptDelay(now); after > 0 {
+		if after := state.promptDelay(now); after > 0 {
 			m.noteDelay(after)
 			continue
 		}
--- a/admission/endpoint_load.go
+++ b/admission/endpoint_load.go
@@ -44,51 +44,51 @@
 
 // AddPrompt counts a prompt that this box or another one sent to an engine. It returns the
 // prompt tokens to be prefilled there, including this prompt.
-func (s *Balancer) AddPrompt(now time.Time, id string, prompt int) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
-	l.queuedTokens = l.backlog(now, s.prefillRate) + float64(prompt)
+func (b *Balancer) AddPrompt(now time.Time, id string, prompt int) float64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
+	l.queuedTokens = l.backlog(now, b.prefillRate) + float64(prompt)
 	l.queuedAt = now
-	s.flow.add(now, float64(prompt))
+	b.flow.add(now, float64(prompt))
 	return l.queuedTokens
 }
 
 // AddRemotePrompt counts a prompt that another box sent to an engine, and the memory that
 // its run will hold.
-func (s *Balancer) AddRemotePrompt(now time.Time, id string, prompt int) {
-	s.AddPrompt(now, id, prompt)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.load(id).addChange(now, prompt+int(s.output), prompt)
-	s.remotePlacementAt = now
+func (b *Balancer) AddRemotePrompt(now time.Time, id string, prompt int) {
+	b.AddPrompt(now, id, prompt)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.load(id).addChange(now, prompt+int(b.output), prompt)
+	b.remotePlacementAt = now
 }
 
 // AddRemoteCopy counts the copy of a run's memory that another box sends to an engine.
-func (s *Balancer) AddRemoteCopy(now time.Time, id string, tokens int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.load(id).addChange(now, tokens, tokens)
+func (b *Balancer) AddRemoteCopy(now time.Time, id string, tokens int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.load(id).addChange(now, tokens, tokens)
 }
 
 // ObservePrefill records how long an engine took to prefill its queued tokens, ending with
 // a prompt of this box.
-func (s *Balancer) ObservePrefill(queuedTokens float64, took time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (b *Balancer) ObservePrefill(queuedTokens float64, took time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if took <= 0 || queuedTokens <= 0 {
 		return
 	}
-	s.prefillRate += learningWeight * (queuedTokens/took.Seconds() - s.prefillRate)
+	b.prefillRate += learningWeight * (queuedTokens/took.Seconds() - b.prefillRate)
 }
 
 // BeginSend counts a request sent to an endpoint: the memory that it holds at its expected
 // end, and the tokens that other boxes are notified of. The latter are 0 for services that
 // are not model engines.
-func (s *Balancer) BeginSend(now time.Time, id string, tokens, announced int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) BeginSend(now time.Time, id string, tokens, announced int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	l.running++
 	l.startedSince++
 	l.tokens += tokens
@@ -100,11 +100,11 @@
 // RunEnded counts the memory freed by a run of this box or another one. It finds the run by
 // its announced tokens; held is the memory that it held at its end. Without this, engines
 // look full until their next report.
-func (s *Balancer) RunEnded(now time.Time, id string, announced, held int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.released.add(now, float64(held))
-	l := s.load(id)
+func (b *Balancer) RunEnded(now time.Time, id string, announced, held int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.released.add(now, float64(held))
+	l := b.load(id)
 	l.dropBefore(now.Add(-memoryReportTTL))
 	index := slices.IndexFunc(l.recentChanges, func(c memoryChange) bool { return c.announced == announced && c.tokens > 0 })
 	if index >= 0 {
@@ -114,24 +114,24 @@
 	// The report includes the run and, in memoryUse, its expected growth.
 	l.recentChanges = append(l.recentChanges, memoryChange{
 		at:        now,
-		tokens:    -held - int(s.output/2),
+		tokens:    -held - int(b.output/2),
 		announced: announced,
 	})
 }
 
 // RecordActivity records that data was received from an endpoint.
-func (s *Balancer) RecordActivity(now time.Time, id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.load(id).activeAt = now
+func (b *Balancer) RecordActivity(now time.Time, id string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.load(id).activeAt = now
 }
 
 // ActiveSince reports whether an endpoint sent anything after a time, to this box or to a
 // box that forwarded its report.
-func (s *Balancer) ActiveSince(at time.Time, id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) ActiveSince(at time.Time, id string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	return l.activeAt.After(at) || l.loadReportedAt.After(at) || l.reportAt.After(at)
 }
 
@@ -164,10 +164,10 @@
 }
 
 // EndSend ends a request that was sent at a time and counted by BeginSend.
-func (s *Balancer) EndSend(now time.Time, id string, sentAt time.Time, tokens int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) EndSend(now time.Time, id string, sentAt time.Time, tokens int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	if i := slices.Index(l.pending, sentAt); i >= 0 {
 		l.pending = slices.Delete(l.pending, i, i+1)
 	}
@@ -177,29 +177,29 @@
 
 // Copy counts a copy of a run's memory that this box sends to an endpoint. A negative
 // number of tokens ends the copy.
-func (s *Balancer) Copy(now time.Time, id string, tokens int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) Copy(now time.Time, id string, tokens int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	l.copyTokens += tokens
 	l.addChange(now, tokens, 0)
 }
 
 // ObserveLoad records the number of requests that an endpoint reported with a response.
-func (s *Balancer) ObserveLoad(now time.Time, id string, requests int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) ObserveLoad(now time.Time, id string, requests int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	l.reportedRequests = requests
 	l.startedSince = 0
 	l.loadReportedAt = now
 }
 
 // Memory records an engine's memory report and when it was made.
-func (s *Balancer) Memory(at time.Time, r routing.Report) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(r.Endpoint)
+func (b *Balancer) Memory(at time.Time, r routing.Report) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(r.Endpoint)
 	if !at.After(l.reportAt) {
 		return
 	}
@@ -209,22 +209,22 @@
 }
 
 // ObserveLengths records the lengths of a completed generation, in tokens.
-func (s *Balancer) ObserveLengths(prompt, output int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.prompt == 0 {
-		s.prompt = float64(prompt)
-		s.output = float64(output)
+func (b *Balancer) ObserveLengths(prompt, output int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.prompt == 0 {
+		b.prompt = float64(prompt)
+		b.output = float64(output)
 	}
-	s.prompt += learningWeight * (float64(prompt) - s.prompt)
-	s.output += learningWeight * (float64(output) - s.output)
+	b.prompt += learningWeight * (float64(prompt) - b.prompt)
+	b.output += learningWeight * (float64(output) - b.output)
 }
 
 // Succeeded records a successful response of an endpoint and its latency.
-func (s *Balancer) Succeeded(now time.Time, id string, took time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) Succeeded(now time.Time, id string, took time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	l.activeAt = now
 	l.latency += latencyWeight * (took.Seconds() - l.latency)
 	l.failures = l.failureScore(now) / 2
@@ -233,10 +233,10 @@
 }
 
 // Failed records a failure of an endpoint. An unresponsive one is avoided for a while.
-func (s *Balancer) Failed(now time.Time, id string, unresponsive bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(id)
+func (b *Balancer) Failed(now time.Time, id string, unresponsive bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(id)
 	l.failures = math.Min(1, l.failureScore(now)+failureStep)
 	l.failedAt = now
 	if unresponsive {
@@ -245,10 +245,10 @@
 }
 
 // Forget drops the load of an endpoint that no longer exists.
-func (s *Balancer) Forget(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if l := s.loads[id]; l != nil && l.running <= 0 && l.copyTokens <= 0 {
-		delete(s.loads, id)
+func (b *Balancer) Forget(id string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if l := b.loads[id]; l != nil && l.running <= 0 && l.copyTokens <= 0 {
+		delete(b.loads, id)
 	}
 }
--- a/admission/endpoint_state.go
+++ b/admission/endpoint_state.go
@@ -46,31 +46,31 @@
 	until  time.Time // when the first of the leases expires
 }
 
-func (p *endpointState) capacity(now time.Time) capacity {
-	var r capacity
-	for i := range p.leases {
-		l := &p.leases[i]
+func (e *endpointState) capacity(now time.Time) capacity {
+	var c capacity
+	for i := range e.leases {
+		l := &e.leases[i]
 		if !l.Usable(now) {
 			continue
 		}
-		r.tokens += float64(l.Tokens)
-		r.slots += l.Slots
-		r.growth += p.growths[i]
-		if r.until.IsZero() || l.Until.Before(r.until) {
-			r.until = l.Until
+		c.tokens += float64(l.Tokens)
+		c.slots += l.Slots
+		c.growth += e.growths[i]
+		if c.until.IsZero() || l.Until.Before(c.until) {
+			c.until = l.Until
 		}
 	}
-	return r
+	return c
 }
 
 // needsRenewal reports whether a lease is close enough to its expiry to be renewed.
-func (p *endpointState) needsRenewal(now time.Time) bool {
+func (e *endpointState) needsRenewal(now time.Time) bool {
 	margin := renewMarginIdle
-	if len(p.running) > 0 {
+	if len(e.running) > 0 {
 		margin = renewMarginInUse
 	}
-	for slot := range p.leases {
-		if p.leases[slot].Until.Sub(now) < margin {
+	for slot := range e.leases {
+		if e.leases[slot].Until.Sub(now) < margin {
 			return true
 		}
 	}
@@ -79,9 +79,9 @@
 
 // reportingSlot returns the first slot with a usable lease; its owner is asked for the
 // usage of the other boxes.
-func (p *endpointState) reportingSlot(now time.Time) int {
-	for slot := range p.leases {
-		if p.leases[slot].Usable(now) {
+func (e *endpointState) reportingSlot(now time.Time) int {
+	for slot := range e.leases {
+		if e.leases[slot].Usable(now) {
 			return slot
 		}
 	}
@@ -89,25 +89,25 @@
 }
 
 // load returns the planned peak memory as a fraction of the leased memory.
-func (p *endpointState) load(r capacity) float64 {
-	if r.tokens == 0 {
+func (e *endpointState) load(c capacity) float64 {
+	if c.tokens == 0 {
 		return 1
 	}
-	total := p.own
-	total.Add(&p.others)
-	return total.Peak(0) / r.tokens
+	total := e.own
+	total.Add(&e.others)
+	return total.Peak(0) / c.tokens
 }
 
 // plannedPeak returns the peak memory of all boxes, including the given profile, at z
 // standard deviations.
-func (p *endpointState) plannedPeak(with *Profile, z float64) float64 {
-	sum := p.own
-	sum.Add(&p.others)
+func (e *endpointState) plannedPeak(with *Profile, z float64) float64 {
+	sum := e.own
+	sum.Add(&e.others)
 	sum.Add(with)
 	return sum.Peak(z)
 }
 
-func (p *endpointState) runningCount() int { return len(p.running) + p.othersRunning }
+func (e *endpointState) runningCount() int { return len(e.running) + e.othersRunning }
 
 const (
 	// promptIntervalSteps is the minimum interval between two prompts that a box sends to
@@ -119,69 +119,69 @@
 )
 
 // promptDelay returns how long the next prompt must wait.
-func (p *endpointState) promptDelay(now time.Time) time.Duration {
-	step := p.step
+func (e *endpointState) promptDelay(now time.Time) time.Duration {
+	step := e.step
 	if step <= 0 {
 		step = defaultStep
 	}
-	return p.lastSentAt.Add(promptIntervalSteps * step).Sub(now)
+	return e.lastSentAt.Add(promptIntervalSteps * step).Sub(now)
 }
 
 // fits reports whether a request can start now: whether the endpoint has a free batch
 // slot and enough memory, without the fraction reserved for more urgent ranks.
-func (p *endpointState) fits(r capacity, with *Profile, z, reserved float64) bool {
-	slots := int(float64(r.slots) * (1 - reserved))
-	if p.runningCount() >= max(1, slots) {
+func (e *endpointState) fits(c capacity, with *Profile, z, reserved float64) bool {
+	slots := int(float64(c.slots) * (1 - reserved))
+	if e.runningCount() >= max(1, slots) {
 		return false
 	}
-	before := p.plannedPeak(&Profile{}, z)
-	after := p.plannedPeak(with, z)
-	if after > r.tokens*(1-reserved) {
+	before := e.plannedPeak(&Profile{}, z)
+	after := e.plannedPeak(with, z)
+	if after > c.tokens*(1-reserved) {
 		return false
 	}
-	return after-before <= r.growth || len(p.running) == 0 && r.growth > 0
+	return after-before <= c.growth || len(e.running) == 0 && c.growth > 0
 }
 
-func (p *endpointState) add(r *running) {
-	before := p.plannedPeak(&Profile{}, 0)
-	p.running = append(p.running, r)
-	p.own.Add(&r.profile)
-	p.useGrowth(max(1, p.plannedPeak(&Profile{}, 0)-before))
+func (e *endpointState) add(r *running) {
+	before := e.plannedPeak(&Profile{}, 0)
+	e.running = append(e.running, r)
+	e.own.Add(&r.profile)
+	e.useGrowth(max(1, e.plannedPeak(&Profile{}, 0)-before))
 }
 
 // useGrowth subtracts tokens from the growth allowance of the leases, in slot order.
-func (p *endpointState) useGrowth(amount float64) {
-	for i := range p.growths {
-		used := min(amount, max(0, p.growths[i]))
-		p.growths[i] -= used
+func (e *endpointState) useGrowth(amount float64) {
+	for i := range e.growths {
+		used := min(amount, max(0, e.growths[i]))
+		e.growths[i] -= used
 		amount -= used
 	}
 }
 
-func (p *endpointState) remove(r *running) {
-	if at := slices.Index(p.running, r); at >= 0 {
-		p.running = slices.Delete(p.running, at, at+1)
+func (e *endpointState) remove(r *running) {
+	if at := slices.Index(e.running, r); at >= 0 {
+		e.running = slices.Delete(e.running, at, at+1)
 	}
-	p.own.Sub(&r.profile)
+	e.own.Sub(&r.profile)
 }
 
 // recomputeOwn updates the profiles of this box's generations to their current lengths.
-func (p *endpointState) recomputeOwn(profile func(*running) Profile) {
-	p.own = Profile{}
-	for _, r := range p.running {
+func (e *endpointState) recomputeOwn(profile func(*running) Profile) {
+	e.own = Profile{}
+	for _, r := range e.running {
 		r.profile = profile(r)
-		p.own.Add(&r.profile)
+		e.own.Add(&r.profile)
 	}
 }
 
 // affinity scores how well an endpoint suits a prompt prefix. Endpoints that probably have
 // the prefix in their cache come first; the others are ordered by rendezvous hashing.
-func (p *endpointState) affinity(prefix uint64) uint64 {
+func (e *endpointState) affinity(prefix uint64) uint64 {
 	if prefix == 0 {
 		return 0
 	}
-	score := core.RendezvousScore(strconv.FormatUint(prefix, 16), p.name) >> 1
-	if p.prefixes.held[prefix] {
+	score := core.RendezvousScore(strconv.FormatUint(prefix, 16), e.name) >> 1
+	if e.prefixes.held[prefix] {
 		score |= 1 << 63
 	}
 	return score
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -17,37 +17,37 @@
 }
 
 // Estimate returns the expected state of an endpoint if the request is sent there now.
-func (s *Balancer) Estimate(now time.Time, e routing.Endpoint, w Requirements) Estimate {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l := s.load(e.ID)
+func (b *Balancer) Estimate(now time.Time, e routing.Endpoint, req Requirements) Estimate {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	l := b.load(e.ID)
 	out := Estimate{
-		MemoryUse:    s.memoryUse(now, l, w),
-		PrefillDelay: time.Duration(l.backlog(now, s.prefillRate) / s.prefillRate * float64(time.Second)),
+		MemoryUse:    b.memoryUse(now, l, req),
+		PrefillDelay: time.Duration(l.backlog(now, b.prefillRate) / b.prefillRate * float64(time.Second)),
 	}
 	if age := now.Sub(l.reportAt); age <= memoryReportTTL {
 		out.ReportAge = age
 	}
-	out.UntilFirstEvent = s.timeToFirstEvent(now, l, w)
-	if !s.remotePlacementAt.IsZero() {
-		out.RemotePlacementAge = now.Sub(s.remotePlacementAt)
+	out.UntilFirstEvent = b.timeToFirstEvent(now, l, req)
+	if !b.remotePlacementAt.IsZero() {
+		out.RemotePlacementAge = now.Sub(b.remotePlacementAt)
 	}
 	return out
 }
 
 // timeToFirstEvent estimates the time until the first event of a response: until enough
 // runs have ended to make room, and until the queued prompts and this one are prefilled.
-func (s *Balancer) timeToFirstEvent(now time.Time, l *endpointLoad, w Requirements) time.Duration {
-	seconds := (l.backlog(now, s.prefillRate) + float64(w.Prompt)) / s.prefillRate
-	if over := s.memoryUse(now, l, w) - 1; over > 0 {
-		seconds += over * float64(max(w.Memory, 1)) / s.freedPerSecond(now)
+func (b *Balancer) timeToFirstEvent(now time.Time, l *endpointLoad, req Requirements) time.Duration {
+	seconds := (l.backlog(now, b.prefillRate) + float64(req.Prompt)) / b.prefillRate
+	if over := b.memoryUse(now, l, req) - 1; over > 0 {
+		seconds += over * float64(max(req.Memory, 1)) / b.freedPerSecond(now)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
 // freedPerSecond returns the tokens of memory that ending runs free per engine and second.
-func (s *Balancer) freedPerSecond(now time.Time) float64 {
-	perEngine := s.released.perSecond(now) / float64(max(len(s.groupEngines), 1))
+func (b *Balancer) freedPerSecond(now time.Time) float64 {
+	perEngine := b.released.perSecond(now) / float64(max(len(b.groupEngines), 1))
 	return math.Max(perEngine, minFreedPerSecond)
 }
 
--- a/admission/fleet_simulation_test.go
+++ b/admission/fleet_simulation_test.go
@@ -147,14 +147,14 @@
 var simStart = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 // simulate runs the simulation with a seed.
-func (l fleetConfig) simulate(seed uint64) fleetResult {
+func (c fleetConfig) simulate(seed uint64) fleetResult {
 	f := &simFleet{
-		fleetConfig: l,
+		fleetConfig: c,
 		random:      rand.New(rand.NewPCG(seed, 1)),
 		engines:     make(map[string]*simEngine),
 	}
-	for i := range l.Zones * l.Boxes {
-		zone := i % l.Zones
+	for i := range c.Zones * c.Boxes {
+		zone := i % c.Zones
 		b := &simBox{
 			zone:     zone,
 			balancer: admission.NewBalancer(zoneName(zone), f.random.Float64),
@@ -163,14 +163,14 @@
 		f.boxes = append(f.boxes, b)
 		f.schedule(time.Duration(f.random.Float64()*float64(simGossipInterval)), func() { f.gossip(b) })
 	}
-	for i := range l.Zones * l.Engines {
-		f.join(i % l.Zones)
+	for i := range c.Zones * c.Engines {
+		f.join(i % c.Zones)
 	}
-	for zone := range l.Zones {
+	for zone := range c.Zones {
 		f.arrive(zone)
 	}
-	f.schedule(l.LeaveInterval, f.leave)
-	for f.now < l.Duration {
+	f.schedule(c.LeaveInterval, f.leave)
+	for f.now < c.Duration {
 		next := heap.Pop(&f.events).(simEvent)
 		f.now = next.at
 		next.action()
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -40,8 +40,8 @@
 // unreportedPromptTokens estimates the prompt tokens that the boxes of another group have
 // sent to one of their engines since its last report. This box is not notified of them, so
 // it assumes the same rate as in its own group.
-func (s *Balancer) unreportedPromptTokens(now time.Time, l *endpointLoad) float64 {
+func (b *Balancer) unreportedPromptTokens(now time.Time, l *endpointLoad) float64 {
 	age := min(now.Sub(l.reportAt), maxUnreportedAge)
-	perEngine := s.flow.perSecond(now) / float64(max(len(s.groupEngines), 1))
+	perEngine := b.flow.perSecond(now) / float64(max(len(b.groupEngines), 1))
 	return unreportedFraction * perEngine * age.Seconds()
 }
--- a/admission/model.go
+++ b/admission/model.go
@@ -95,26 +95,26 @@
 			m.endpoints[name] = newEndpointState(name)
 		}
 	}
-	for name, p := range m.endpoints {
-		if !slices.Contains(m.endpointNames, name) && len(p.running) == 0 {
+	for name, state := range m.endpoints {
+		if !slices.Contains(m.endpointNames, name) && len(state.running) == 0 {
 			delete(m.endpoints, name)
 		}
 	}
 }
 
 func (m *Model) handleLease(e LeaseArrived) {
-	p := m.endpoints[e.Lease.Endpoint]
-	if p == nil {
+	state := m.endpoints[e.Lease.Endpoint]
+	if state == nil {
 		return
 	}
-	p.leases[e.Slot] = e.Lease
-	p.growths[e.Slot] = float64(e.Growth)
+	state.leases[e.Slot] = e.Lease
+	state.growths[e.Slot] = float64(e.Growth)
 	if e.HasOthers {
-		p.others = e.Others
+		state.others = e.Others
 	}
-	p.othersRunning = e.OtherRunning
-	p.step = e.Step
-	p.recomputeOwn(m.profile)
+	state.othersRunning = e.OtherRunning
+	state.step = e.Step
+	state.recomputeOwn(m.profile)
 }
 
 // profile returns the memory profile of a running generation at its current length.
@@ -156,16 +156,16 @@
 		m.estimator.ObserveEnd(r.request.key(), e.Generated)
 	}
 	delete(m.running, e.ID)
-	if p := m.endpoints[r.endpoint]; p != nil {
-		p.remove(r)
+	if state := m.endpoints[r.endpoint]; state != nil {
+		state.remove(r)
 	}
 }
 
 func (m *Model) handleTakeover(e GenerationTakenOver) {
-	p := m.endpoints[e.Endpoint]
-	if p == nil {
-		p = newEndpointState(e.Endpoint)
-		m.endpoints[e.Endpoint] = p
+	state := m.endpoints[e.Endpoint]
+	if state == nil {
+		state = newEndpointState(e.Endpoint)
+		m.endpoints[e.Endpoint] = state
 	}
 	r := &running{
 		request:   e.Request,
@@ -174,19 +174,19 @@
 	}
 	r.profile = m.profile(r)
 	m.running[e.Request.ID] = r
-	p.add(r)
+	state.add(r)
 }
 
 func (m *Model) handlePrefix(e PrefixCached) {
-	p := m.endpoints[e.Endpoint]
-	if p == nil {
+	state := m.endpoints[e.Endpoint]
+	if state == nil {
 		return
 	}
 	if e.Dropped {
-		p.prefixes.remove(e.Prefix)
+		state.prefixes.remove(e.Prefix)
 		return
 	}
-	p.prefixes.add(e.Prefix)
+	state.prefixes.add(e.Prefix)
 }
 
 func (m *Model) handleArrival(now time.Time, r Request) []core.Command {
@@ -293,9 +293,9 @@
 func (m *Model) meanLoad(now time.Time) float64 {
 	sum, n := 0.0, 0
 	for _, name := range m.endpointNames {
-		p := m.endpoints[name]
-		if r := p.capacity(now); r.tokens > 0 {
-			sum += p.load(r)
+		state := m.endpoints[name]
+		if c := state.capacity(now); c.tokens > 0 {
+			sum += state.load(c)
 			n++
 		}
 	}
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -94,8 +94,8 @@
 			arrive(m, request(fmt.Sprint("r", i), "a", 0, start.Add(time.Duration(i)*100*time.Millisecond)))
 		}
 		Expect(m.Running()).To(BeNumerically(">", 2))
-		wishes := m.Demands(start.Add(time.Minute), true)
-		Expect(wishes[0].Profile.Peak(0)).To(BeNumerically("<=", 5000))
+		demands := m.Demands(start.Add(time.Minute), true)
+		Expect(demands[0].Profile.Peak(0)).To(BeNumerically("<=", 5000))
 	})
 
 	It("places the more urgent rank first, regardless of arrival", func() {
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -8,10 +8,10 @@
 // Guards against engines of other zones being overloaded because their recent placements
 // are unknown to this zone's boxes.
 var _ = Describe("placements of many boxes in several zones", func() {
-	simulate := func(l fleetConfig) fleetResult {
+	simulate := func(c fleetConfig) fleetResult {
 		var all fleetResult
 		for seed := range uint64(2) {
-			r := l.simulate(seed)
+			r := c.simulate(seed)
 			all.Prompts += r.Prompts
 			all.Late += r.Late
 			all.CrossZone += r.CrossZone
@@ -26,9 +26,9 @@
 	})
 
 	It("use other zones' engines where one zone has a higher load", func() {
-		l := newLargeFleet()
-		l.HotZoneFactor = 1.7
-		r := simulate(l)
+		c := newLargeFleet()
+		c.HotZoneFactor = 1.7
+		r := simulate(c)
 		Expect(r.CrossZone).To(BeNumerically(">", r.Prompts/100))
 		Expect(r.lateFraction()).To(BeNumerically("<", 0.015))
 	})
--- a/admission/profile.go
+++ b/admission/profile.go
@@ -80,8 +80,8 @@
 	mean = make([]float32, 0, HorizonCount)
 	deviation = make([]float32, 0, HorizonCount)
 	for i := range p.Mean {
-		mean = append(mean, roundUpToShort(p.Mean[i]))
-		deviation = append(deviation, roundUpToShort(math.Sqrt(p.Variance[i])))
+		mean = append(mean, roundUpToHalfPrecision(p.Mean[i]))
+		deviation = append(deviation, roundUpToHalfPrecision(math.Sqrt(p.Variance[i])))
 	}
 	return trimZeros(mean), trimZeros(deviation)
 }
@@ -89,7 +89,7 @@
 // droppedBits is the number of mantissa bits that a float16 has less than a float32.
 const droppedBits = 13
 
-func roundUpToShort(v float64) float32 {
+func roundUpToHalfPrecision(v float64) float32 {
 	bits := math.Float32bits(float32(v))
 	if bits&(1<<droppedBits-1) != 0 {
 		bits = bits&^(1<<droppedBits-1) + 1<<droppedBits
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -71,12 +71,12 @@
 func (s *Shares) Boxes() int { return len(s.boxes) }
 
 // Grant records a box's demand and returns what the box is granted.
-func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
+func (s *Shares) Grant(now time.Time, box string, d Demand) Grant {
 	slotTokens := s.Capacity / core.SlotCount
 	tokens, ttl := s.ownership.Grantable(now, slotTokens)
 	s.dropExpired(now, ttl)
 	own := &share{
-		demand: w,
+		demand: d,
 		seenAt: now,
 	}
 	s.setShare(box, own)
@@ -85,7 +85,7 @@
 	}
 	others, running := s.others(box)
 	total := others
-	total.Add(&w.Profile)
+	total.Add(&d.Profile)
 	unexplained := max(0, float64(s.reportedTokens)-total.Mean[0])
 	planned := total.Peak(normalQuantile(ownerOverflowRisk)) + unexplained
 	free := float64(tokens) - planned/core.SlotCount - float64(s.promisedGrowth(box))
@@ -156,16 +156,16 @@
 	if free <= 0 {
 		return 0
 	}
-	w := s.boxes[box].demand
+	d := s.boxes[box].demand
 	evenPart := free / float64(len(s.boxes))
 	left := free
 	for _, name := range s.boxNames {
 		other := s.boxes[name]
-		if name != box && other.demand.Waiting > 0 && other.demand.Rank < w.Rank {
+		if name != box && other.demand.Waiting > 0 && other.demand.Rank < d.Rank {
 			left -= evenPart
 		}
 	}
-	return int(max(evenPart, min(left, demandFactor*float64(w.Waiting))))
+	return int(max(evenPart, min(left, demandFactor*float64(d.Waiting))))
 }
 
 // usableSlots returns the batch size at which the time between tokens meets the target.
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -68,14 +68,14 @@
 	} else {
 		p.recordSuccess()
 		p.gateway.balancer.Succeeded(time.Now(), p.endpoint.ID, time.Since(p.placedAt))
-		p.gateway.usualAnswer.learn(p.route.Name, time.Since(p.placedAt))
+		p.gateway.usualAnswerTimes.updateAverages(p.route.Name, time.Since(p.placedAt))
 	}
 	return core.CallAnswered{Failed: failed}
 }
 
 // release returns the connection to the pool if the exchange was complete on both sides,
 // and closes it otherwise.
-func (a *answer) release(p *proxiedRequest, whole bool) {
+func (a *answer) release(p *proxiedRequest, isComplete bool) {
 	stopped := a.stopAfterFunc()
 	bodySent := true
 	if a.writeResult != nil {
@@ -86,7 +86,7 @@
 			bodySent = false
 		}
 	}
-	if !whole || !stopped || !bodySent || a.head.Close || a.endpointConn.reader.Buffered() > 0 {
+	if !isComplete || !stopped || !bodySent || a.head.Close || a.endpointConn.reader.Buffered() > 0 {
 		_ = a.endpointConn.Close()
 		return
 	}
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -76,8 +76,8 @@
 		return
 	}
 	activeSince := func(at time.Time) bool { return p.gateway.balancer.ActiveSince(at, r.endpoint.ID) }
-	if presence, crashed := p.gateway.presences.Crashed(r.endpoint.ID, r.endpoint.Address, activeSince); crashed {
-		p.recordCrash(r, presence)
+	if portState, crashed := p.gateway.crashProber.Crashed(r.endpoint.ID, r.endpoint.Address, activeSince); crashed {
+		p.recordCrash(r, portState)
 	}
 }
 
@@ -91,11 +91,11 @@
 	return listed && !e.Leaving
 }
 
-func (p *proxiedRequest) recordCrash(r run, presence engine.PortState) {
+func (p *proxiedRequest) recordCrash(r run, portState engine.PortState) {
 	p.gateway.counters.crashes.Inc()
 	p.logAsync("endpoint crashed during a request",
 		zap.String("endpoint", r.endpoint.ID),
-		zap.String("port", string(presence)),
+		zap.String("port", string(portState)),
 		zap.Stringer("content", p.contentDigest),
 		zap.String("customer", p.customerName()),
 		zap.Duration("after", time.Since(r.sentAt)),
--- a/gateway/endpoint_conn.go
+++ b/gateway/endpoint_conn.go
@@ -57,19 +57,19 @@
 }
 
 // Write writes to the connection and counts the bytes written.
-func (l *endpointConn) Write(p []byte) (int, error) {
-	n, err := l.Conn.Write(p)
-	l.writtenBytes += n
+func (conn *endpointConn) Write(p []byte) (int, error) {
+	n, err := conn.Conn.Write(p)
+	conn.writtenBytes += n
 	return n, err
 }
 
 // isUsable reports whether an idle connection is still open and has nothing to read:
 // unread bytes belong to no request.
-func (l *endpointConn) isUsable() bool {
-	if l.reader.Buffered() > 0 {
+func (conn *endpointConn) isUsable() bool {
+	if conn.reader.Buffered() > 0 {
 		return false
 	}
-	t, ok := l.Conn.(*net.TCPConn)
+	t, ok := conn.Conn.(*net.TCPConn)
 	if !ok {
 		return true
 	}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithDeadline(p.request.Context(), p.currentDeadline())
 	defer cancel()
-	l, err := p.gateway.pool.get(ctx, now, p.endpoint, maxIdle, p.chooseConnectTimeout(copyName))
+	conn, err := p.gateway.pool.get(ctx, now, p.endpoint, maxIdle, p.chooseConnectTimeout(copyName))
 	if err != nil {
 		p.gateway.sendGate.release(p.endpoint)
 		p.gateway.balancer.Failed(time.Now(), p.endpoint.ID, true)
@@ -57,15 +57,15 @@
 		return core.CallUnsent{}
 	}
 	if !p.gateway.sendGate.send(time.Now(), p.service, p.endpoint) {
-		_ = l.Close()
+		_ = conn.Close()
 		p.logDecision("send limit of the endpoint reached; request not sent", zap.String("endpoint", p.endpoint.ID))
 		return core.CallUnsent{}
 	}
 	p.announceRun(now, copyName != "")
-	p.gateway.balancer.BeginSend(now, p.endpoint.ID, p.requirements(nil).Tokens, p.reportedTokens)
-	p.overdueTimer = p.startOverdueTimer(l)
+	p.gateway.balancer.BeginSend(now, p.endpoint.ID, p.requirements(nil).Tokens, p.announcedTokens)
+	p.overdueTimer = p.startOverdueTimer(conn)
 	defer p.overdueTimer.stop()
-	ev := p.exchange(l, copyName)
+	ev := p.exchange(conn, copyName)
 	if _, isStream := ev.(streamStarted); isStream {
 		return p.stream(now)
 	}
@@ -93,13 +93,13 @@
 type streamStarted struct{ core.EventBase }
 
 // exchange writes the request to a connection and reads the answer, of a stream its head.
-func (p *proxiedRequest) exchange(l *endpointConn, copyName string) core.Event {
-	a := &answer{endpointConn: l}
+func (p *proxiedRequest) exchange(conn *endpointConn, copyName string) core.Event {
+	a := &answer{endpointConn: conn}
 	p.answer = a
-	_ = l.SetDeadline(p.currentDeadline())
-	a.stopAfterFunc = context.AfterFunc(p.request.Context(), func() { _ = l.Close() })
+	_ = conn.SetDeadline(p.currentDeadline())
+	a.stopAfterFunc = context.AfterFunc(p.request.Context(), func() { _ = conn.Close() })
 	writeErr := p.writeRequest(a, copyName)
-	if writeErr != nil && l.writtenBytes == 0 {
+	if writeErr != nil && conn.writtenBytes == 0 {
 		a.close()
 		return p.failed("writing the request failed before its first byte", writeErr, core.CallUnsent{})
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -46,12 +46,12 @@
 	log                *zap.Logger
 	counters           *counters
 	mu                 sync.Mutex                          // guards budgets, streams and evacuations
-	usualAnswer        durationAverages                    // time to a whole answer or a first event, by route
+	usualAnswerTimes   durationAverages                    // time to a whole answer or a first event, by route
 	eventIntervals     durationAverages                    // time between events, by service
 	budgets            map[string]*core.SharedBudget       // retry budgets, by service
 	streams            map[string]map[*proxiedRequest]bool // running streams, by endpoint ID
 	evacuations        map[string]*evacuation              // by the leaving endpoint's ID
-	presences          *engine.CrashProber
+	crashProber        *engine.CrashProber
 	quarantine         *fleet.Quarantine
 	checkSuspension    func()
 	bufferedBytes      atomic.Int64
@@ -132,24 +132,24 @@
 // New returns a gateway for a box in an availability zone.
 func New(zone string, protocol Protocol, view func() *fleet.View, rules Rules, options ...Option) *Gateway {
 	g := &Gateway{
-		rules:          rules,
-		protocol:       protocol,
-		view:           view,
-		boxes:          func() int { return 1 },
-		onPlaced:       func(fleet.Placement) {},
-		onEvacuating:   func(fleet.Evacuating) {},
-		onLeaving:      func(string) {},
-		balancer:       admission.NewBalancer(zone, rand.Float64),
-		sendGate:       newSendGate(rules.Cold, fleet.NewLimits(zap.NewNop())),
-		log:            zap.NewNop(),
-		counters:       newCounters(),
-		usualAnswer:    newDurationAverages(),
-		eventIntervals: newDurationAverages(),
-		budgets:        make(map[string]*core.SharedBudget),
-		streams:        make(map[string]map[*proxiedRequest]bool),
+		rules:            rules,
+		protocol:         protocol,
+		view:             view,
+		boxes:            func() int { return 1 },
+		onPlaced:         func(fleet.Placement) {},
+		onEvacuating:     func(fleet.Evacuating) {},
+		onLeaving:        func(string) {},
+		balancer:         admission.NewBalancer(zone, rand.Float64),
+		sendGate:         newSendGate(rules.Cold, fleet.NewLimits(zap.NewNop())),
+		log:              zap.NewNop(),
+		counters:         newCounters(),
+		usualAnswerTimes: newDurationAverages(),
+		eventIntervals:   newDurationAverages(),
+		budgets:          make(map[string]*core.SharedBudget),
+		streams:          make(map[string]map[*proxiedRequest]bool),
 
 		evacuations:     make(map[string]*evacuation),
-		presences:       engine.NewCrashProber(),
+		crashProber:     engine.NewCrashProber(),
 		quarantine:      fleet.NewQuarantine(zap.NewNop()),
 		checkSuspension: func() {},
 	}
--- a/gateway/overdue_timer.go
+++ b/gateway/overdue_timer.go
@@ -31,7 +31,7 @@
 	return durationAverages{averages: make(map[string]time.Duration)}
 }
 
-func (a *durationAverages) learn(name string, took time.Duration) {
+func (a *durationAverages) updateAverages(name string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	usual, known := a.averages[name]
@@ -63,16 +63,16 @@
 
 // startOverdueTimer starts the timer for a send. It never fires if the route's usual time is
 // unknown or too little time is left for another send.
-func (p *proxiedRequest) startOverdueTimer(l *endpointConn) *overdueTimer {
+func (p *proxiedRequest) startOverdueTimer(conn *endpointConn) *overdueTimer {
 	o := &overdueTimer{
 		proxiedRequest:    p,
 		run:               p.currentRun(),
-		endpointConn:      l,
+		endpointConn:      conn,
 		mayRetryElsewhere: !p.headSent && p.call.MayRunAgain(),
 	}
-	usualAnswer := p.gateway.usualAnswer.mean(p.route.Name)
-	after := max(time.Duration(overdueFactor*float64(usualAnswer)), time.Duration(minOverduePart*float64(p.route.LatencyTarget)))
-	if usualAnswer > 0 && time.Until(p.currentDeadline()) > after+usualAnswer {
+	usualAnswerTimes := p.gateway.usualAnswerTimes.mean(p.route.Name)
+	after := max(time.Duration(overdueFactor*float64(usualAnswerTimes)), time.Duration(minOverduePart*float64(p.route.LatencyTarget)))
+	if usualAnswerTimes > 0 && time.Until(p.currentDeadline()) > after+usualAnswerTimes {
 		o.timer = time.AfterFunc(after, func() { o.onOverdue(after) })
 	}
 	return o
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -9,32 +9,32 @@
 // announceRun notifies the group of a run that begins at an engine, with the size of its
 // prompt or, if it continues from a copy, of the memory that the engine holds already.
 func (p *proxiedRequest) announceRun(now time.Time, copied bool) {
-	p.reportedTokens = 0
+	p.announcedTokens = 0
 	if p.service.Engine == nil {
 		return
 	}
-	p.reportedTokens = p.inbound.PromptTokens
+	p.announcedTokens = p.inbound.PromptTokens
 	if copied {
-		p.reportedTokens = p.heldTokens()
+		p.announcedTokens = p.heldTokens()
 	} else {
-		p.queuedTokens = p.gateway.balancer.AddPrompt(now, p.endpoint.ID, p.reportedTokens)
+		p.queuedTokens = p.gateway.balancer.AddPrompt(now, p.endpoint.ID, p.announcedTokens)
 	}
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint: p.endpoint.ID,
-		Tokens:   p.reportedTokens,
+		Tokens:   p.announcedTokens,
 		Copy:     copied,
 	})
 }
 
 // announceRunEnd notifies the group that the run at an engine ended and frees its memory.
 func (p *proxiedRequest) announceRunEnd(endpoint string) {
-	if p.reportedTokens == 0 {
+	if p.announcedTokens == 0 {
 		return
 	}
-	p.gateway.balancer.RunEnded(time.Now(), endpoint, p.reportedTokens, p.heldTokens())
+	p.gateway.balancer.RunEnded(time.Now(), endpoint, p.announcedTokens, p.heldTokens())
 	p.gateway.onPlaced(fleet.Placement{
 		Endpoint:   endpoint,
-		Tokens:     p.reportedTokens,
+		Tokens:     p.announcedTokens,
 		RunEnded:   true,
 		HeldTokens: p.heldTokens(),
 	})
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -47,16 +47,16 @@
 // endpoint may be closing a connection that was idle for longer.
 func (p *Pool) get(ctx context.Context, now time.Time, e routing.Endpoint, idle, timeout time.Duration) (*endpointConn, error) {
 	for {
-		l := p.popIdle(e.ID)
-		if l == nil {
+		conn := p.popIdle(e.ID)
+		if conn == nil {
 			break
 		}
-		if now.After(l.expiresAt) || now.Sub(l.idle) > idle || !l.isUsable() {
-			_ = l.Close()
+		if now.After(conn.expiresAt) || now.Sub(conn.idle) > idle || !conn.isUsable() {
+			_ = conn.Close()
 			continue
 		}
-		l.writtenBytes = 0
-		return l, nil
+		conn.writtenBytes = 0
+		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -76,28 +76,28 @@
 	if len(all) == 0 {
 		return nil
 	}
-	l := all[len(all)-1]
+	conn := all[len(all)-1]
 	p.conns[id] = all[:len(all)-1]
-	return l
+	return conn
 }
 
 // put returns a connection to the pool after a complete exchange. lifetime is the endpoint's
 // Keep-Alive timeout, or 0 without one.
-func (p *Pool) put(now time.Time, id string, l *endpointConn, lifetime time.Duration) {
+func (p *Pool) put(now time.Time, id string, conn *endpointConn, lifetime time.Duration) {
 	if lifetime <= 0 || lifetime > maxIdleTime {
 		lifetime = maxIdleTime
 	}
-	l.idle = now
-	l.expiresAt = now.Add(lifetime - min(closeMargin, lifetime/2))
-	l.isNew = false
-	_ = l.SetDeadline(time.Time{})
+	conn.idle = now
+	conn.expiresAt = now.Add(lifetime - min(closeMargin, lifetime/2))
+	conn.isNew = false
+	_ = conn.SetDeadline(time.Time{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.conns[id]) >= maxIdlePerEndpoint {
-		_ = l.Close()
+		_ = conn.Close()
 		return
 	}
-	p.conns[id] = append(p.conns[id], l)
+	p.conns[id] = append(p.conns[id], conn)
 }
 
 // Sweep closes expired connections and those to endpoints for which keep returns false.
@@ -106,12 +106,12 @@
 	defer p.mu.Unlock()
 	for id, all := range p.conns {
 		kept := all[:0]
-		for _, l := range all {
-			if now.After(l.expiresAt) || !keep(id) {
-				_ = l.Close()
+		for _, conn := range all {
+			if now.After(conn.expiresAt) || !keep(id) {
+				_ = conn.Close()
 				continue
 			}
-			kept = append(kept, l)
+			kept = append(kept, conn)
 		}
 		p.conns[id] = kept
 		if len(kept) == 0 {
--- a/gateway/proxied_request.go
+++ b/gateway/proxied_request.go
@@ -44,7 +44,7 @@
 	sharedEvents   atomic.Int64 // the same, for use by other goroutines
 
 	queuedTokens      float64       // prompt tokens queued at the engine before the first event, own ones included
-	reportedTokens    int           // the current run's tokens as announced to other boxes; 0 for calls
+	announcedTokens   int           // the current run's tokens as announced to other boxes; 0 for calls
 	firstEventDelay   time.Duration // from start to the first event
 	longestPause      time.Duration // between two events
 	longestPauseAfter string        // ID of the event before that pause
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -19,6 +19,6 @@
 		return false
 	}
 	events := p.expectedOutput() / max(engine.EventTokens, 1)
-	duration := p.gateway.usualAnswer.mean(p.route.Name) + time.Duration(events)*p.gateway.eventIntervals.mean(p.service.Name)
+	duration := p.gateway.usualAnswerTimes.mean(p.route.Name) + time.Duration(events)*p.gateway.eventIntervals.mean(p.service.Name)
 	return p.start.Add(duration).After(*stopAt)
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -135,7 +135,7 @@
 		p.runFirstEventAt = now
 	}
 	if p.events == 0 {
-		p.gateway.usualAnswer.learn(p.route.Name, now.Sub(p.placedAt))
+		p.gateway.usualAnswerTimes.updateAverages(p.route.Name, now.Sub(p.placedAt))
 		p.firstEventDelay = now.Sub(p.start)
 		p.firstEventAt = now
 		p.gateway.balancer.ObservePrefill(p.queuedTokens, now.Sub(p.placedAt))
@@ -146,10 +146,10 @@
 	p.lastEventAt = now
 }
 
-// learn updates the averages of event intervals and output lengths after a complete stream.
-func (p *proxiedRequest) learn() {
+// updateAverages updates the averages of event intervals and output lengths after a complete stream.
+func (p *proxiedRequest) updateAverages() {
 	if p.events > 1 {
-		p.gateway.eventIntervals.learn(p.service.Name, p.lastEventAt.Sub(p.firstEventAt)/time.Duration(p.events-1))
+		p.gateway.eventIntervals.updateAverages(p.service.Name, p.lastEventAt.Sub(p.firstEventAt)/time.Duration(p.events-1))
 	}
 	if engine := p.service.Engine; engine != nil && p.inbound.PromptTokens > 0 {
 		p.gateway.balancer.ObserveLengths(p.inbound.PromptTokens, p.events*max(engine.EventTokens, 1))
@@ -164,7 +164,7 @@
 	}
 	a.release(p, true)
 	p.gateway.balancer.Succeeded(time.Now(), p.endpoint.ID, p.firstEventDelay)
-	p.learn()
+	p.updateAverages()
 	p.recordSuccess()
 	p.gateway.counters.observeStream(p.route.Name, p.firstEventDelay, p.longestPause)
 	p.recordEnd("streamed", a.head.StatusCode,
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -27,58 +27,58 @@
 	proxiedRequest *proxiedRequest
 	engine         routing.Endpoint
 	endpointConn   *endpointConn
-	after          time.Duration
+	stallTime      time.Duration
 	timer          *time.Timer
 }
 
 // startWatchdog starts a watchdog for a stream with a backup copy; without one the watchdog
 // never fires, since the stream could not continue.
-func (p *proxiedRequest) startWatchdog(l *endpointConn) *watchdog {
-	d := &watchdog{
+func (p *proxiedRequest) startWatchdog(conn *endpointConn) *watchdog {
+	w := &watchdog{
 		proxiedRequest: p,
 		engine:         p.endpoint,
-		endpointConn:   l,
-		after:          max(stallFactor*p.route.PauseTarget, minStallTime),
+		endpointConn:   conn,
+		stallTime:      max(stallFactor*p.route.PauseTarget, minStallTime),
 	}
 	if p.backup.ID != "" && p.route.PauseTarget > 0 {
-		d.timer = time.AfterFunc(d.after, d.onStall)
+		w.timer = time.AfterFunc(w.stallTime, w.onStall)
 	}
-	return d
+	return w
 }
 
 // reset restarts the timer after an event.
-func (d *watchdog) reset() {
-	if d.timer != nil {
-		d.timer.Reset(d.after)
+func (w *watchdog) reset() {
+	if w.timer != nil {
+		w.timer.Reset(w.stallTime)
 	}
 }
 
-func (d *watchdog) stop() {
-	if d.timer != nil {
-		d.timer.Stop()
+func (w *watchdog) stop() {
+	if w.timer != nil {
+		w.timer.Stop()
 	}
 }
 
-func (d *watchdog) onStall() {
-	p := d.proxiedRequest
-	if !p.gateway.sendGate.allowLoadQuery(time.Now(), d.engine) {
-		d.timer.Reset(d.after)
+func (w *watchdog) onStall() {
+	p := w.proxiedRequest
+	if !p.gateway.sendGate.allowLoadQuery(time.Now(), w.engine) {
+		w.timer.Reset(w.stallTime)
 		return
 	}
 	ctx, cancel := context.WithTimeout(p.request.Context(), pingTimeout)
 	defer cancel()
 	pingedAt := time.Now()
-	err := p.gateway.mover.Ping(ctx, d.engine)
+	err := p.gateway.mover.Ping(ctx, w.engine)
 	if err == nil || p.request.Context().Err() != nil {
-		d.timer.Reset(d.after)
+		w.timer.Reset(w.stallTime)
 		return
 	}
 	p.logAsync("engine did not answer a ping; its stream's connection is closed",
-		zap.String("endpoint", d.engine.ID),
-		zap.Duration("silent_for", d.after),
+		zap.String("endpoint", w.engine.ID),
+		zap.Duration("silent_for", w.stallTime),
 		zap.Duration("asked_for", time.Since(pingedAt)),
 		zap.Error(err),
 	)
-	p.gateway.balancer.Failed(time.Now(), d.engine.ID, true)
-	_ = d.endpointConn.Close()
+	p.gateway.balancer.Failed(time.Now(), w.engine.ID, true)
+	_ = w.endpointConn.Close()
 }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -19,24 +19,24 @@
 
 // NewAllowedRegions returns the allowed regions for a route and a customer, which may be nil.
 func NewAllowedRegions(regions Regions, r *Route, c *Customer) AllowedRegions {
-	h := AllowedRegions{
+	a := AllowedRegions{
 		regions: regions,
 		route:   r.AllowedRegions,
 	}
 	if c != nil {
-		h.customer = c.AllowedRegions
+		a.customer = c.AllowedRegions
 	}
-	return h
+	return a
 }
 
 // IsRestricted reports whether the route or the customer restricts the regions.
-func (h AllowedRegions) IsRestricted() bool { return len(h.route) > 0 || len(h.customer) > 0 }
+func (a AllowedRegions) IsRestricted() bool { return len(a.route) > 0 || len(a.customer) > 0 }
 
 // AllowsZone reports whether a zone's endpoints may get the request. A zone without a known
 // region is allowed only if there is no restriction.
-func (h AllowedRegions) AllowsZone(zone string) bool {
-	region := h.regions.ofZone[zone]
-	for _, regionNames := range [][]string{h.route, h.customer} {
+func (a AllowedRegions) AllowsZone(zone string) bool {
+	region := a.regions.ofZone[zone]
+	for _, regionNames := range [][]string{a.route, a.customer} {
 		if len(regionNames) > 0 && !slices.Contains(regionNames, region) {
 			return false
 		}
--- a/shard/map.go
+++ b/shard/map.go
@@ -35,39 +35,39 @@
 
 // Get returns the value of a key and whether it exists.
 func (m *Map[V]) Get(key string) (V, bool) {
-	p := m.shard(key)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	v, ok := p.values[key]
+	s := m.shard(key)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v, ok := s.values[key]
 	return v, ok
 }
 
 // Put sets the value of a key.
 func (m *Map[V]) Put(key string, v V) {
-	p := m.shard(key)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.values[key] = v
+	s := m.shard(key)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.values[key] = v
 }
 
 // Delete removes a key.
 func (m *Map[V]) Delete(key string) {
-	p := m.shard(key)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.values, key)
+	s := m.shard(key)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.values, key)
 }
 
 // GetOrCreate returns the value of a key. If it is missing, build is called under the
 // shard's lock to create it.
 func (m *Map[V]) GetOrCreate(key string, build func() V) V {
-	p := m.shard(key)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	v, ok := p.values[key]
+	s := m.shard(key)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v, ok := s.values[key]
 	if !ok {
 		v = build()
-		p.values[key] = v
+		s.values[key] = v
 	}
 	return v
 }
@@ -81,11 +81,11 @@
 	}
 }
 
-func (p *shard[V]) snapshot() map[string]V {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all := make(map[string]V, len(p.values))
-	for key, v := range p.values {
+func (s *shard[V]) snapshot() map[string]V {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := make(map[string]V, len(s.values))
+	for key, v := range s.values {
 		all[key] = v
 	}
 	return all
