--- a/admission/balancer.go
+++ b/admission/balancer.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// loadReportTTL is how long the load in an endpoint's response header is used. Without
-	// it, only the requests of this box are known.
+	// loadReportTTL is how long the load in an endpoint's response header is used. After
+	// that, only the requests of this box are counted.
 	loadReportTTL = 2 * time.Second
 	// memoryReportTTL is how long an engine's memory report is used.
 	memoryReportTTL = 5 * time.Second
@@ -91,7 +91,8 @@
 	released          flow                     // tokens of memory freed by the group's runs
 }
 
-// reportLag is the age of an engine's report when it is received.
+// reportLag is how long a change of an engine's memory may take to show in its reports.
+// Changes up to that long before a report are counted in addition to it.
 const reportLag = 500 * time.Millisecond
 
 // NewBalancer returns a balancer for a box in an availability zone. Random returns uniform
@@ -174,7 +175,7 @@
 	return chosen
 }
 
-// sample draws at most a number of elements at random; it reorders its argument.
+// sample draws at most limit elements at random; it reorders all.
 func (b *Balancer) sample(all []int, limit int) []int {
 	n := min(len(all), limit)
 	for i := range n {
--- a/admission/balancer_test.go
+++ b/admission/balancer_test.go
@@ -27,12 +27,12 @@
 		}
 		return out
 	}
-	want := admission.Requirements{
+	req := admission.Requirements{
 		Tokens: 1000,
 		Memory: 10_000,
 	}
-	pick := func(all []routing.Endpoint, w admission.Requirements) string {
-		e, ok := s.Pick(now, all, w)
+	pick := func(all []routing.Endpoint, changed admission.Requirements) string {
+		e, ok := s.Pick(now, all, changed)
 		if !ok {
 			return ""
 		}
@@ -42,7 +42,7 @@
 	It("distributes requests evenly over equal endpoints", func() {
 		counts := make(map[string]int)
 		for range 40 {
-			id := pick(engines(4), want)
+			id := pick(engines(4), req)
 			s.BeginSend(now, id, 1000, 0)
 			s.AddPrompt(now, id, 500)
 			counts[id]++
@@ -54,7 +54,7 @@
 
 	It("compares all engines only if other boxes report their placements", func() {
 		all := engines(20)
-		shared := want
+		shared := req
 		shared.Shared = true
 		balancer := admission.NewBalancer("z", rand.New(rand.NewPCG(1, 2)).Float64)
 		emptiest := func() int {
@@ -94,7 +94,7 @@
 		balancer.SetGroupEngines(own)
 		n := 0
 		for range 100 {
-			if e, _ := balancer.Pick(now, all, want); e.ID == "e0" {
+			if e, _ := balancer.Pick(now, all, req); e.ID == "e0" {
 				n++
 			}
 		}
@@ -108,17 +108,17 @@
 			Used:     9800,
 			Total:    10_000,
 		})
-		Expect(pick(engines(2), want)).To(Equal("e1"))
+		Expect(pick(engines(2), req)).To(Equal("e1"))
 	})
 
 	It("avoids an engine with queued prompts of other boxes", func() {
 		s.AddPrompt(now, "e0", 20_000)
-		Expect(pick(engines(2), want)).To(Equal("e1"))
+		Expect(pick(engines(2), req)).To(Equal("e1"))
 	})
 
 	It("counts the memory of other boxes' prompts until the engine's next report", func() {
-		w := want
-		w.MaxMemoryUse = 0.5
+		changed := req
+		changed.MaxMemoryUse = 0.5
 		for _, id := range []string{"e0", "e1"} {
 			s.Memory(now, routing.Report{
 				Endpoint: id,
@@ -128,58 +128,58 @@
 		for range 5 {
 			s.AddRemotePrompt(now, "e0", 1000)
 		}
-		Expect(pick(engines(1), w)).To(BeEmpty())
-		Expect(pick(engines(2), w)).To(Equal("e1"))
+		Expect(pick(engines(1), changed)).To(BeEmpty())
+		Expect(pick(engines(2), changed)).To(Equal("e1"))
 		s.Memory(now.Add(time.Second), routing.Report{
 			Endpoint: "e0",
 			Used:     0,
 			Total:    10_000,
 		})
-		Expect(pick(engines(1), w)).To(Equal("e0"))
+		Expect(pick(engines(1), changed)).To(Equal("e0"))
 	})
 
 	It("counts the memory of other boxes' copies until the engine's next report", func() {
 		for range 3 {
 			s.AddRemoteCopy(now, "e0", 2000)
 		}
-		w := want
-		w.MaxMemoryUse = 0.5
+		changed := req
+		changed.MaxMemoryUse = 0.5
 		s.Memory(now, routing.Report{
 			Endpoint: "e0",
 			Total:    10_000,
 		})
-		Expect(pick(engines(1), w)).To(BeEmpty())
+		Expect(pick(engines(1), changed)).To(BeEmpty())
 		s.Memory(now.Add(time.Second), routing.Report{
 			Endpoint: "e0",
 			Total:    10_000,
 		})
-		Expect(pick(engines(1), w)).To(Equal("e0"))
+		Expect(pick(engines(1), changed)).To(Equal("e0"))
 	})
 
 	It("doesn't pick an engine whose memory use would exceed the limit", func() {
-		w := want
-		w.MaxMemoryUse = 0.5
+		changed := req
+		changed.MaxMemoryUse = 0.5
 		s.Memory(now, routing.Report{
 			Endpoint: "e0",
 			Used:     4500,
 			Total:    10_000,
 		})
-		Expect(pick(engines(1), w)).To(BeEmpty())
+		Expect(pick(engines(1), changed)).To(BeEmpty())
 	})
 
 	It("avoids an unresponsive endpoint unless it is the only one", func() {
 		s.Failed(now, "e0", true)
-		Expect(pick(engines(2), want)).To(Equal("e1"))
-		Expect(pick(engines(1), want)).To(Equal("e0"))
+		Expect(pick(engines(2), req)).To(Equal("e1"))
+		Expect(pick(engines(1), req)).To(Equal("e0"))
 		later := now.Add(time.Minute)
-		e, _ := s.Pick(later, engines(2)[:1], want)
+		e, _ := s.Pick(later, engines(2)[:1], req)
 		Expect(e.ID).To(Equal("e0"))
 	})
 
 	It("doesn't pick excluded endpoints", func() {
-		w := want
-		w.Exclude = map[string]bool{"e0": true}
-		Expect(pick(engines(1), w)).To(BeEmpty())
+		changed := req
+		changed.Exclude = map[string]bool{"e0": true}
+		Expect(pick(engines(1), changed)).To(BeEmpty())
 	})
 
 	It("prefers its own zone among equal endpoints", func() {
@@ -198,15 +198,15 @@
 			Zone:  "z",
 			Slots: 8,
 		}
-		want := admission.Requirements{
+		req := admission.Requirements{
 			Tokens: 1000,
 			Memory: 10_000,
 		}
-		Expect(s.Estimate(now, e, want).MemoryUse).To(BeNumerically("~", 0.1, 0.001))
+		Expect(s.Estimate(now, e, req).MemoryUse).To(BeNumerically("~", 0.1, 0.001))
 		for range 5 {
 			s.AddRemotePrompt(now, e.ID, 1000)
 		}
-		Expect(s.Estimate(now, e, want).MemoryUse).To(BeNumerically("~", 0.6, 0.001))
-		Expect(s.Estimate(now.Add(6*time.Second), e, want).MemoryUse).To(BeNumerically("~", 0.1, 0.001), "after the placements have expired")
+		Expect(s.Estimate(now, e, req).MemoryUse).To(BeNumerically("~", 0.6, 0.001))
+		Expect(s.Estimate(now.Add(6*time.Second), e, req).MemoryUse).To(BeNumerically("~", 0.1, 0.001), "after the placements have expired")
 	})
 })
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -13,8 +13,8 @@
 	Demand
 }
 
-// A lease is renewed when its remaining time falls below these margins. While requests
-// wait, it is renewed at each turn.
+// A lease is renewed when its remaining time falls below these margins, which Demands ignores
+// if it is eager and requests wait.
 const (
 	renewMarginInUse = 2 * time.Second
 	renewMarginIdle  = time.Second
@@ -51,8 +51,8 @@
 // tokens of the requests of that rank.
 func (m *Model) waitingDemand() (tokens, rank int) {
 	rank = m.waiting.bestRank()
-	for _, line := range m.waiting.byCustomer {
-		for _, r := range line {
+	for _, requests := range m.waiting.byCustomer {
+		for _, r := range requests {
 			if r.Rank == rank {
 				tokens += r.PromptTokens + int(m.estimator.Curve(r.key()).Remaining(0, r.MaxTokens))
 			}
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -91,6 +91,7 @@
 // startRun removes a request from the queue and counts it as running on an endpoint.
 func (m *Model) startRun(now time.Time, r *Request, name string, forced bool) core.Command {
 	m.waiting.remove(r.ID, r.Customer)
+	// A prompt token is cheaper than a generated one and counts as an eighth of it.
 	m.waiting.addServed(r.Customer, float64(r.PromptTokens)/8, r.Weight)
 	state := m.endpoints[name]
 	placed := &running{
--- a/admission/endpoint_load.go
+++ b/admission/endpoint_load.go
@@ -82,9 +82,9 @@
 	b.prefillRate += learningWeight * (queuedTokens/took.Seconds() - b.prefillRate)
 }
 
-// BeginSend counts a request sent to an endpoint: the memory that it holds at its expected
-// end, and the tokens that other boxes are notified of. The latter are 0 for services that
-// are not model engines.
+// BeginSend counts a request sent to an endpoint: tokens is the memory that it holds at its
+// expected end, announced the number of tokens that other boxes are notified of. Both are 0
+// for services that are not model engines.
 func (b *Balancer) BeginSend(now time.Time, id string, tokens, announced int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,7 +195,7 @@
 	l.loadReportedAt = now
 }
 
-// Memory records an engine's memory report and when it was made.
+// Memory records an engine's memory report and when it was made, unless a newer one is known.
 func (b *Balancer) Memory(at time.Time, r routing.Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/endpoint_state.go
+++ b/admission/endpoint_state.go
@@ -38,11 +38,11 @@
 	}
 }
 
-// capacity is the sum of the usable leases of an endpoint.
+// capacity is the sum of the usable leases on an endpoint.
 type capacity struct {
 	tokens float64
 	slots  int
-	growth float64
+	growth float64   // tokens that may still be added under the leases
 	until  time.Time // when the first of the leases expires
 }
 
@@ -77,8 +77,8 @@
 	return false
 }
 
-// reportingSlot returns the first slot with a usable lease; its owner is asked for the
-// usage of the other boxes.
+// reportingSlot returns the first slot with a usable lease, or 0 if there is none. Its owner
+// is asked for the usage of the other boxes.
 func (e *endpointState) reportingSlot(now time.Time) int {
 	for slot := range e.leases {
 		if e.leases[slot].Usable(now) {
--- a/admission/lengths.go
+++ b/admission/lengths.go
@@ -114,7 +114,7 @@
 }
 
 // Beyond returns the probability that a generation of the given length produces at least
-// more further tokens.
+// more further tokens. It is 0.5 for a length that is practically never reached.
 func (c *Curve) Beyond(generated, more float64) float64 {
 	survivalNow := c.survivalAt(generated)
 	if survivalNow < 1e-9 {
--- a/admission/model.go
+++ b/admission/model.go
@@ -78,8 +78,8 @@
 // WaitingByTier returns the number of waiting requests of each tier.
 func (m *Model) WaitingByTier() map[string]int {
 	count := make(map[string]int)
-	for _, line := range m.waiting.byCustomer {
-		for _, r := range line {
+	for _, requests := range m.waiting.byCustomer {
+		for _, r := range requests {
 			count[r.Tier]++
 		}
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -51,23 +51,23 @@
 
 // push inserts a request at its position in its customer's queue.
 func (q *queue) push(r *Request) {
-	line := q.byCustomer[r.Customer]
-	if len(line) == 0 {
+	requests := q.byCustomer[r.Customer]
+	if len(requests) == 0 {
 		q.served[r.Customer] = max(q.served[r.Customer], q.leastServed(r.Rank)-returnCredit)
 	}
-	at := len(line)
-	for at > 0 && line[at-1].order > r.order {
+	at := len(requests)
+	for at > 0 && requests[at-1].order > r.order {
 		at--
 	}
-	q.byCustomer[r.Customer] = slices.Insert(line, at, r)
+	q.byCustomer[r.Customer] = slices.Insert(requests, at, r)
 	q.length++
 }
 
 // leastServed returns the lowest served count of the customers that wait at a rank.
 func (q *queue) leastServed(rank int) float64 {
 	least, found := 0.0, false
-	for customer, line := range q.byCustomer {
-		if len(line) == 0 || line[0].Rank != rank {
+	for customer, requests := range q.byCustomer {
+		if len(requests) == 0 || requests[0].Rank != rank {
 			continue
 		}
 		if !found || q.served[customer] < least {
@@ -80,8 +80,8 @@
 // heads returns the first request of each customer, sorted.
 func (q *queue) heads() []*Request {
 	heads := make([]*Request, 0, len(q.byCustomer))
-	for _, line := range q.byCustomer {
-		heads = append(heads, line[0])
+	for _, requests := range q.byCustomer {
+		heads = append(heads, requests[0])
 	}
 	slices.SortFunc(heads, func(a, b *Request) int {
 		return cmp.Or(
@@ -96,19 +96,19 @@
 
 // remove removes a request and returns it, or nil if it isn't waiting.
 func (q *queue) remove(id, customer string) *Request {
-	line := q.byCustomer[customer]
-	at := slices.IndexFunc(line, func(r *Request) bool { return r.ID == id })
+	requests := q.byCustomer[customer]
+	at := slices.IndexFunc(requests, func(r *Request) bool { return r.ID == id })
 	if at < 0 {
 		return nil
 	}
-	r := line[at]
-	line = slices.Delete(line, at, at+1)
+	r := requests[at]
+	requests = slices.Delete(requests, at, at+1)
 	q.length--
-	if len(line) == 0 {
+	if len(requests) == 0 {
 		delete(q.byCustomer, customer)
 		return r
 	}
-	q.byCustomer[customer] = line
+	q.byCustomer[customer] = requests
 	return r
 }
 
@@ -120,8 +120,8 @@
 // ahead returns the number of waiting requests up to and including an order.
 func (q *queue) ahead(order float64) int {
 	n := 0
-	for _, line := range q.byCustomer {
-		for _, r := range line {
+	for _, requests := range q.byCustomer {
+		for _, r := range requests {
 			if r.order > order {
 				break
 			}
@@ -137,8 +137,8 @@
 // bestRank returns the most urgent rank that has waiting requests.
 func (q *queue) bestRank() int {
 	minRank, found := 0, false
-	for _, line := range q.byCustomer {
-		for _, r := range line {
+	for _, requests := range q.byCustomer {
+		for _, r := range requests {
 			if !found || r.Rank < minRank {
 				minRank, found = r.Rank, true
 			}
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -12,10 +12,10 @@
 	MaxWait          time.Duration                     // longest time in the queue
 	MaxWaiting       func(customer string) int         // most waiting requests of a customer
 	Program          func(tier string) *policy.Program // policy program of a tier; nil for none
-	Reserve          float64                           // fraction of the capacity reserved from each lower rank
+	Reserve          float64                           // fraction of the capacity kept free for each more urgent rank
 	BoundedLoad      float64                           // highest load of a preferred endpoint, relative to the mean
 	Aging            time.Duration                     // waiting time after which a request gains one rank; 0 for never
-	MaxHeads         int                               // most customers' heads tried in one dispatch
+	MaxHeads         int                               // maximum number of customers whose first requests are tried before a dispatch ends
 	ReserveMaxLength bool                              // plan each request with its maximum length
 	KnownLength      func(id string) int               // output length of a request, for benchmarks; nil if unknown
 	Choose           func(candidates []string) string  // replaces the choice of an endpoint, for benchmarks
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -189,8 +189,8 @@
 	s.reportedTokens = r.Used
 }
 
-// unknownUsageFraction is the fraction of the capacity from which on memory that no box
-// accounts for is attributed to another owner.
+// unknownUsageFraction is the fraction of the capacity above which memory in use that no
+// known box accounts for counts as unknown usage.
 const unknownUsageFraction = 0.1
 
 // HasUnknownUsage reports whether the endpoint uses clearly more memory than the known boxes
