--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -73,8 +73,8 @@
 	return core.CallAnswered{Failed: failed}
 }
 
-// release returns the connection to the pool if the exchange was complete on both sides,
-// and closes it otherwise.
+// release returns the connection to the pool if isComplete is set, for an answer read to its
+// end, and the request was sent whole. Otherwise it closes the connection.
 func (a *answer) release(p *proxiedRequest, isComplete bool) {
 	stopped := a.stopAfterFunc()
 	bodySent := true
--- a/gateway/backup.go
+++ b/gateway/backup.go
@@ -55,7 +55,7 @@
 }
 
 // backupsEnabled reports whether new streams get backup copies, because a stream broke off
-// without notice lately.
+// without notice within backupPeriod.
 func (g *Gateway) backupsEnabled(now time.Time) bool {
 	at := g.unannouncedBreakAt.Load()
 	return at != nil && now.Sub(*at) < backupPeriod
--- a/gateway/choose_endpoint.go
+++ b/gateway/choose_endpoint.go
@@ -22,7 +22,7 @@
 	// noConfigRetryAfter is the Retry-After while this box has no configuration, which
 	// lasts as long as an outage of the store does.
 	noConfigRetryAfter = 2 * time.Second
-	// retryJitter is the part by which times from jitter vary in both directions, so that
+	// retryJitter is the fraction by which jitter varies times in both directions, so that
 	// callers refused together do not return together.
 	retryJitter = 0.25
 )
@@ -103,8 +103,8 @@
 	return req
 }
 
-// shortNotice is the time for copies off a leaving engine within the shortest notice, which
-// is 1.5 s.
+// shortNotice is the time for copies off an engine that leaves with the shortest notice,
+// which is 1.5 s.
 const shortNotice = 1300 * time.Millisecond
 
 // movableTokens returns how many tokens of runs can be copied off an engine within a short
@@ -230,8 +230,8 @@
 	return p.customer.Name
 }
 
-// missedTarget reports whether the answer missed its route's target: with its first event
-// or, for a call, its end, or with a pause between events.
+// missedTarget reports whether the answer missed a target of its route: the latency target
+// with its first event or, for a call, its end, or the pause target between two events.
 func (p *proxiedRequest) missedTarget() bool {
 	took := p.firstEventDelay
 	if p.events == 0 {
--- a/gateway/cold_limiter.go
+++ b/gateway/cold_limiter.go
@@ -13,19 +13,19 @@
 const shareTTL = 2 * time.Second
 
 // coldLimiter keeps this box's sends to cold endpoints within its share of what each takes
-// from all boxes together. Without it every box would send to a cold endpoint as if it
-// were idle.
+// from all boxes together. Without it, all boxes would send their next requests to a cold
+// endpoint, since it looks idle.
 type coldLimiter struct {
 	mu        sync.Mutex
 	allowance routing.ColdAllowance
-	share     func(endpoint string, sends int) int
-	endpoints map[string]*coldEndpoint // by endpoint ID
+	share     func(endpoint string, sends int) int // returns how many of an endpoint's sends are this box's
+	endpoints map[string]*coldEndpoint             // by endpoint ID
 }
 
 // coldEndpoint is this box's budget of sends to one cold endpoint.
 type coldEndpoint struct {
 	budget         *core.SendBudget
-	share          int // the sends that are this box's, out of those of all boxes
+	share          int // how many sends this box may make within the budget's window
 	shareUpdatedAt time.Time
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// limited returns the state of an endpoint that is cold, or nil for one without a bound.
+// limited returns the state of a cold endpoint, or nil if it is warm or has no send limit.
 func (c *coldLimiter) limited(now time.Time, s *routing.Service, e routing.Endpoint) *coldEndpoint {
 	if !e.ColdAt(now) {
 		return nil
@@ -87,7 +87,7 @@
 	}
 }
 
-// send spends a send on a request that goes out now and reports whether it may.
+// send spends a send on a request that goes out now and reports whether it may go out.
 func (c *coldLimiter) send(now time.Time, s *routing.Service, e routing.Endpoint) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -40,8 +40,8 @@
 		Expect(s.Runs()).To(HaveLen(3))
 	})
 
-	// A half-closed connection can't be told from a closed one at first, and the runs of
-	// a caller that left must stop quickly.
+	// The box can't distinguish a half-closed connection from a closed one at first, and the
+	// runs of a caller that left must stop quickly.
 	It("that is half-closed after the request is treated as closed", func() {
 		s.WorkTime = 5 * time.Second
 		Expect(c.Send(emulator.RequestText("h1", "body"))).To(Succeed())
--- a/gateway/continuation.go
+++ b/gateway/continuation.go
@@ -12,11 +12,11 @@
 // handoverTimeout is how long a stream whose run was stopped waits for the run's copy.
 const handoverTimeout = 1500 * time.Millisecond
 
-// handover is the place where the run of a stream continues.
+// handover is where the run of a stream continues, and the copy from which it does.
 type handover struct {
 	target routing.Endpoint
-	done   chan struct{}
-	copy   string // the copy's name, set before done is closed; empty if the move failed
+	done   chan struct{} // closed when the move has ended
+	copy   string        // the copy's name, set before done is closed; empty if the move failed
 }
 
 // setHandover registers a handover for the stream's reader to wait for. It returns false if
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -46,7 +46,7 @@
 }
 
 // awaitEndpointCheck checks whether the endpoint crashed and waits for the result, up to
-// engine.EndPatience.
+// engine.CrashProbeWait.
 func (p *proxiedRequest) awaitEndpointCheck() {
 	select {
 	case <-p.startEndpointCheck():
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -69,7 +69,7 @@
 	It("that make every endpoint fall silent are quarantined once three did", func() {
 		for n := range 3 {
 			keepServing(emulator.ModelService, 3)
-			Expect(stream(fmt.Sprintf("well-%d", n), "another prompt").IsComplete).To(BeTrue())
+			Expect(stream(fmt.Sprintf("healthy-%d", n), "another prompt").IsComplete).To(BeTrue())
 		}
 		for n := range 3 {
 			for _, s := range serving {
@@ -80,7 +80,7 @@
 			go func() {
 				defer close(done)
 				b.caller.Do(ctx, emulator.Call{
-					ID:       fmt.Sprintf("dark-%d", n),
+					ID:       fmt.Sprintf("silent-%d", n),
 					Method:   http.MethodPost,
 					Path:     emulator.StreamPath,
 					Body:     deadly,
@@ -88,16 +88,16 @@
 				})
 			}()
 			Eventually(b.deployment.Stopped).Should(HaveLen(n + 1))
-			Eventually(func() int { return b.crashCount(fmt.Sprintf("dark-%d", n)) }).Should(Equal(1))
+			Eventually(func() int { return b.crashCount(fmt.Sprintf("silent-%d", n)) }).Should(Equal(1))
 			cancel()
 			<-done
 			keepServing(emulator.ModelService, 3)
 		}
-		Expect(stream("dark-4", deadly).Status).To(Equal(http.StatusServiceUnavailable))
+		Expect(stream("silent-4", deadly).Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(b.deployment.Stopped()).To(HaveLen(3))
 	})
 
-	It("are quarantined without those of another path or body", func() {
+	It("are quarantined, but requests with another path or body are not", func() {
 		for n := range 4 {
 			keepServing(emulator.ModelService, 3)
 			stream(fmt.Sprintf("r%d", n), deadly)
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -16,11 +16,11 @@
 const evacuationTTL = 20 * time.Second
 
 // evacuation carries out the plan that moves streams off one leaving engine. The boxes of a
-// group take turns with their moves: copies that all share the engine's link at once would
-// all be too slow for its notice.
+// group take turns with their moves: if all copies shared the engine's link at once, none
+// would finish within its notice.
 type evacuation struct {
 	gateway  *Gateway
-	endpoint string
+	endpoint string // ID of the leaving engine
 	mu       sync.Mutex
 	plan     *core.Evacuation
 	ownRuns  map[string]*proxiedRequest // this box's runs waiting for or in their turn, by request ID
--- a/gateway/event_order.go
+++ b/gateway/event_order.go
@@ -5,7 +5,7 @@
 // eventPosition is an event's position relative to the events passed on before.
 type eventPosition int
 
-// The event is the next one, was passed on before, or comes after missing events.
+// The event is the next one, a repeated one, or one after missing events.
 const (
 	inOrder eventPosition = iota
 	duplicate
@@ -17,7 +17,7 @@
 type eventOrder struct {
 	last        int64
 	step        int64
-	any         bool // an ID was seen
+	any         bool // whether last is set
 	isAfterSeam bool // the next event is the first one from the copy
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -31,8 +31,8 @@
 // errOnlyStrayAnswers reports that a connection returned no answer to the current request.
 var errOnlyStrayAnswers = errors.New("too many answers to other requests on the connection")
 
-// send sends the request to the chosen endpoint and reads the answer or, of a stream, passes
-// it on up to its end. A non-empty copyName continues the run from that copy.
+// send sends the request to the chosen endpoint and reads the answer; a stream is passed on up
+// to its end. A non-empty copyName continues the run from that copy.
 func (p *proxiedRequest) send(copyName string) core.Event {
 	now := time.Now()
 	p.runFirstEventAt = time.Time{}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,7 +25,7 @@
 	Retry        core.BudgetRules
 	MemoryBytes  int64                 // the box's memory
 	FirstProcess bool                  // no process ran on the box before, so its retry budget is unspent
-	Cold         routing.ColdAllowance // the sends that cold endpoints take
+	Cold         routing.ColdAllowance // how far sends to cold endpoints may exceed the declared rate
 	Regions      routing.Regions
 }
 
@@ -74,8 +74,8 @@
 	return func(g *Gateway) { g.boxes = boxes }
 }
 
-// WithRateShare sets the function that returns how many of an endpoint's units, which are
-// rate shares or a cold endpoint's sends, are this box's.
+// WithRateShare sets the function that returns how many of an endpoint's units this box may
+// use. The units are equal shares of a rate limit or, at a cold endpoint, sends.
 func WithRateShare(share func(endpoint string, units int) int) Option {
 	return func(g *Gateway) {
 		g.sendGate.cold.share = share
@@ -93,14 +93,14 @@
 	return func(g *Gateway) { g.mover = m }
 }
 
-// WithRetryBorrowing sets the function that requests sends from other boxes' retry budgets when a
-// stream needs one and this box's part is spent. ReceiveTransfer adds what they grant.
+// WithRetryBorrowing sets the function that requests sends from other boxes' retry budgets
+// when a stream needs one and this box's part is spent. ReceiveTransfer adds what they grant.
 func WithRetryBorrowing(borrowRetries func(ctx context.Context, service string)) Option {
 	return func(g *Gateway) { g.borrowRetries = borrowRetries }
 }
 
-// WithOnPlaced sets the function that is called with each placement that other boxes need to
-// know of.
+// WithOnPlaced sets the function that is called with each placement that other boxes are
+// notified of.
 func WithOnPlaced(onPlaced func(fleet.Placement)) Option {
 	return func(g *Gateway) { g.onPlaced = onPlaced }
 }
@@ -124,7 +124,7 @@
 }
 
 // WithSuspensionCheck sets the function that checks whether the machine was suspended and,
-// if so, calls Suspended. It is called before each decision that depends on ages.
+// if so, calls HandleSuspension. It is called before each decision that depends on ages.
 func WithSuspensionCheck(checkSuspension func()) Option {
 	return func(g *Gateway) { g.checkSuspension = checkSuspension }
 }
@@ -198,7 +198,7 @@
 }
 
 // SetGroupEngines sets the engines that the box's group prefers.
-func (g *Gateway) SetGroupEngines(share map[string]bool) { g.balancer.SetGroupEngines(share) }
+func (g *Gateway) SetGroupEngines(engines map[string]bool) { g.balancer.SetGroupEngines(engines) }
 
 // HandleReport handles an engine's load report, made at the given time.
 func (g *Gateway) HandleReport(at time.Time, r routing.Report) { g.balancer.Memory(at, r) }
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -212,7 +212,7 @@
 		h.target, h.copy = p.fallbackCopy(source, target, moved, earlier)
 	}
 	if errors.Is(err, errSourceThrottled) {
-		h.copy = earlier.Copy // the run continues at its engine until that ends
+		h.copy = earlier.Copy // the run was not stopped; its stream continues from here when it breaks off
 	}
 	p.logAsync("moved",
 		zap.String("endpoint", source.ID),
--- a/gateway/rate_limiter.go
+++ b/gateway/rate_limiter.go
@@ -19,14 +19,14 @@
 type rateLimiter struct {
 	mu        sync.Mutex
 	announced *fleet.Limits
-	share     func(endpoint string, units int) int
-	endpoints map[string]*limitedEndpoint // by endpoint ID
+	share     func(endpoint string, units int) int // returns how many of an endpoint's units are this box's
+	endpoints map[string]*limitedEndpoint          // by endpoint ID
 }
 
 // limitedEndpoint is this box's share of the rate limit of one endpoint.
 type limitedEndpoint struct {
 	limiter        *core.RateLimiter
-	perSecond      float64
+	perSecond      float64       // the rate limit for all boxes together
 	share          int           // how many of the shares that the limit is split into are this box's
 	shareInterval  time.Duration // each share allows one send in this time
 	shareUpdatedAt time.Time
@@ -98,7 +98,8 @@
 	}
 }
 
-// send spends a send, reserved before if held is set, and reports whether it may be made.
+// send spends a send and reports whether it may be made. The send was reserved before if
+// reserved is set.
 func (l *rateLimiter) send(now time.Time, endpoint string, reserved bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -84,7 +84,8 @@
 	return available
 }
 
-// TransferOut transfers part of this box's retry budget to another box.
+// TransferOut transfers up to the requested number of sends from this box's retry budget to
+// another box, and returns how many.
 func (g *Gateway) TransferOut(now time.Time, service string, sends int) int {
 	keep := g.sendsToKeep(service)
 	transferred := 0
--- a/gateway/send_gate.go
+++ b/gateway/send_gate.go
@@ -66,8 +66,8 @@
 	g.limits.release(e.ID)
 }
 
-// send spends a reserved send on a request that goes out now and reports whether it may.
-// Otherwise the reservation is released.
+// send spends a reserved send on a request that goes out now and reports whether it may go
+// out. Otherwise the reservation is released.
 func (g *sendGate) send(now time.Time, s *routing.Service, e routing.Endpoint) bool {
 	if g.isBackingOff(now, e) {
 		g.release(e)
@@ -80,8 +80,8 @@
 	return g.cold.send(now, s, e)
 }
 
-// allowMove spends a send on a move's call to the engine that runs it, and reports whether
-// it may be made. The limit of cold engines does not apply, since a move starts no run there.
+// allowMove spends a send on a request to an engine to move one of its runs, and reports
+// whether it may be made. The limit of cold engines does not apply: a move starts no run there.
 func (g *sendGate) allowMove(now time.Time, e routing.Endpoint) bool {
 	return !g.isBackingOff(now, e) && g.limits.send(now, e.ID, false)
 }
@@ -92,7 +92,7 @@
 }
 
 // nextSendIn returns the time until the first of some endpoints takes a request from this
-// box, or 0 if one does now or none is known to.
+// box. It is 0 if one takes a request now, or if this box has no share at any.
 func (g *sendGate) nextSendIn(now time.Time, all []routing.Endpoint) time.Duration {
 	var first time.Duration
 	for _, e := range all {
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -12,15 +12,14 @@
 )
 
 // While a box's machine is suspended its monotonic clock stands still, so that requests look
-// younger and idle connections fresher than they are. In these tests the box detects a
-// suspension when it checks for one before a decision.
+// younger and idle connections fresher than they are.
 var _ = Describe("a box that was suspended", func() {
 	const suspended = 1100 * time.Millisecond
 	var b *testbed
 	BeforeEach(func() { b = newTestbed() })
 
-	// suspendAtCheck reports a suspension at the n-th check from now on: the first is when a
-	// request arrives, the others are before its sends.
+	// suspendAtCheck simulates a suspension that the box detects at its n-th check from now
+	// on: the first is when a request arrives, the others are before its sends.
 	suspendAtCheck := func(n int, d time.Duration) {
 		checks := 0
 		b.checkSuspension = func() {
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -27,7 +27,7 @@
 	proxiedRequest *proxiedRequest
 	engine         routing.Endpoint
 	endpointConn   *endpointConn
-	stallTime      time.Duration
+	stallTime      time.Duration // time without an event after which the engine is pinged
 	timer          *time.Timer
 }
 
--- a/policy/program.go
+++ b/policy/program.go
@@ -26,14 +26,14 @@
 	Customer      string  `cel:"customer"`
 	Class         string  `cel:"class"`
 	Tier          string  `cel:"tier"`
-	TierRank      int64   `cel:"tier_rank"`
+	TierRank      int64   `cel:"tier_rank"` // 0 is the most urgent
 	PromptTokens  int64   `cel:"prompt_tokens"`
-	ExpectTokens  int64   `cel:"expect_tokens"`
-	FreeShare     float64 `cel:"free_share"`
-	WaitSeconds   float64 `cel:"wait_seconds"`
-	WaitingAhead  int64   `cel:"waiting_ahead"`
-	CustomerShare float64 `cel:"customer_share"`
-	Fits          bool    `cel:"fits"`
+	ExpectTokens  int64   `cel:"expect_tokens"`  // expected output length in tokens
+	FreeShare     float64 `cel:"free_share"`     // free fraction of the endpoints' memory, on average
+	WaitSeconds   float64 `cel:"wait_seconds"`   // how long the request has waited
+	WaitingAhead  int64   `cel:"waiting_ahead"`  // waiting requests ordered at most at the tier's rank
+	CustomerShare float64 `cel:"customer_share"` // fraction of the running requests that are the customer's
+	Fits          bool    `cel:"fits"`           // whether an endpoint has room for the request now
 }
 
 // CompileError is returned for a program that doesn't compile.
--- a/routing/cold.go
+++ b/routing/cold.go
@@ -12,7 +12,7 @@
 const coldSendFraction = 0.8
 
 // SendLimit returns how many requests per second all boxes together may send to a cold
-// endpoint of a service, and whether there is a limit.
+// endpoint of a service, and false if there is no limit.
 func (a ColdAllowance) SendLimit(s *Service) (sends int, limited bool) {
 	if s.ColdPerSecond <= 0 {
 		return 0, false
--- a/routing/document.go
+++ b/routing/document.go
@@ -29,7 +29,7 @@
 	PathPrefix     string        `cbor:"3,keyasint,omitempty"`
 	Kind           Kind          `cbor:"4,keyasint,omitempty"`
 	Timeout        time.Duration `cbor:"5,keyasint,omitempty"`  // longest time that a request may take
-	LatencyTarget  time.Duration `cbor:"6,keyasint,omitempty"`  // latency target
+	LatencyTarget  time.Duration `cbor:"6,keyasint,omitempty"`  // target for the time to the answer or, of a stream, to its first event
 	PauseTarget    time.Duration `cbor:"7,keyasint,omitempty"`  // target for the time between two events of a stream
 	Rank           int           `cbor:"8,keyasint,omitempty"`  // priority; 0 is the most urgent
 	Split          []Share       `cbor:"9,keyasint,omitempty"`  // services that share the route's requests
@@ -77,7 +77,7 @@
 	Name           string   `cbor:"1,keyasint,omitempty"`
 	Rank           *int     `cbor:"2,keyasint,omitempty"` // overrides the route's rank
 	Keys           []string `cbor:"3,keyasint,omitempty"`
-	AllowedRegions []string `cbor:"4,keyasint,omitempty"` // in addition to the route's restriction
+	AllowedRegions []string `cbor:"4,keyasint,omitempty"` // regions whose endpoints may be used, within those of the route; empty for all
 }
 
 // Limits bound the requests that a caller may send.
