--- a/admission/fleet_simulation_test.go
+++ b/admission/fleet_simulation_test.go
@@ -109,7 +109,7 @@
 type simEngine struct {
 	id            string
 	zone          int
-	gone          bool
+	hasLeft       bool
 	prefillDoneAt time.Duration // when all prompts received so far are prefilled
 	waiting       int
 	running       int
@@ -213,13 +213,13 @@
 func (f *simFleet) leave() {
 	var alive []*simEngine
 	for _, id := range f.engineIDs {
-		if e := f.engines[id]; !e.gone {
+		if e := f.engines[id]; !e.hasLeft {
 			alive = append(alive, e)
 		}
 	}
 	n := int(math.Round(f.LeaveFraction * float64(f.Zones*f.Engines)))
 	for _, i := range f.random.Perm(len(alive))[:n] {
-		alive[i].gone = true
+		alive[i].hasLeft = true
 		f.schedule(f.RejoinDelay, func() { f.join(alive[i].zone) })
 	}
 	f.publish()
@@ -229,13 +229,13 @@
 // publish updates the list of engines and each zone's preferred engines.
 func (f *simFleet) publish() {
 	f.endpoints = nil
-	shares := make([]map[string]bool, f.Zones)
-	for zone := range shares {
-		shares[zone] = make(map[string]bool)
+	zoneEngines := make([]map[string]bool, f.Zones)
+	for zone := range zoneEngines {
+		zoneEngines[zone] = make(map[string]bool)
 	}
 	for _, id := range f.engineIDs {
 		e := f.engines[id]
-		if e.gone {
+		if e.hasLeft {
 			continue
 		}
 		f.endpoints = append(f.endpoints, routing.Endpoint{
@@ -243,16 +243,16 @@
 			Zone:  zoneName(e.zone),
 			Slots: 24,
 		})
-		shares[e.zone][id] = true
+		zoneEngines[e.zone][id] = true
 	}
 	for _, b := range f.boxes {
-		b.balancer.SetGroupEngines(shares[b.zone])
+		b.balancer.SetGroupEngines(zoneEngines[b.zone])
 	}
 }
 
 // report sends an engine's current state to a box of its zone, delayed, and repeats.
 func (f *simFleet) report(e *simEngine) {
-	if e.gone {
+	if e.hasLeft {
 		return
 	}
 	current := timedReport{
@@ -290,7 +290,7 @@
 		partner = f.randomBox(f.random.IntN(f.Zones), 1)
 	}
 	for _, id := range f.engineIDs {
-		if f.engines[id].gone {
+		if f.engines[id].hasLeft {
 			continue
 		}
 		if stored, ok := b.reports[id]; ok {
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -15,7 +15,7 @@
 	Reserve          float64                           // fraction of the capacity kept free for each more urgent rank
 	BoundedLoad      float64                           // highest load of a preferred endpoint, relative to the mean
 	Aging            time.Duration                     // waiting time after which a request gains one rank; 0 for never
-	MaxHeads         int                               // maximum number of customers whose first requests are tried before a dispatch ends
+	MaxHeads         int                               // maximum number of customers whose first requests a dispatch tries
 	ReserveMaxLength bool                              // plan each request with its maximum length
 	KnownLength      func(id string) int               // output length of a request, for benchmarks; nil if unknown
 	Choose           func(candidates []string) string  // replaces the choice of an endpoint, for benchmarks
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -15,7 +15,7 @@
 	Rank    int // the most urgent rank that has waiting requests
 }
 
-// Grant is the part of an endpoint's memory that one box is given.
+// Grant is the part of an endpoint's memory that is granted to one box.
 type Grant struct {
 	Tokens       int
 	Slots        int
@@ -150,22 +150,22 @@
 const demandFactor = 2
 
 // growth returns the tokens that a box may add until its next lease. A box with waiting
-// requests gets free memory up to its demand, except for an even part for each box whose
-// waiting requests are more urgent. Every box gets at least an even part.
+// requests gets free memory up to its demand, except for an equal part for each box whose
+// waiting requests are more urgent. Every box gets at least an equal part.
 func (s *Shares) growth(free float64, box string) int {
 	if free <= 0 {
 		return 0
 	}
 	d := s.boxes[box].demand
-	evenPart := free / float64(len(s.boxes))
+	equalPart := free / float64(len(s.boxes))
 	left := free
 	for _, name := range s.boxNames {
 		other := s.boxes[name]
 		if name != box && other.demand.Waiting > 0 && other.demand.Rank < d.Rank {
-			left -= evenPart
+			left -= equalPart
 		}
 	}
-	return int(max(evenPart, min(left, demandFactor*float64(d.Waiting))))
+	return int(max(equalPart, min(left, demandFactor*float64(d.Waiting))))
 }
 
 // usableSlots returns the batch size at which the time between tokens meets the target.
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -18,8 +18,8 @@
 
 // answer is an endpoint's HTTP response and the connection that it is read from.
 type answer struct {
-	head          *http.Response
-	headers       Answer
+	head          *http.Response // status line and headers; its Body reads from endpointConn
+	headers       Answer         // decoded from head
 	body          []byte
 	remainder     io.Reader // the part of the body that is not in body yet, or nil
 	endpointConn  *endpointConn
--- a/gateway/choose_endpoint.go
+++ b/gateway/choose_endpoint.go
@@ -128,18 +128,18 @@
 }
 
 // refuse answers a request that was not sent to any endpoint with an error.
-func (p *proxiedRequest) refuse(status int, why string) {
-	p.logDecision("refused", zap.Int("status", status), zap.String("why", why))
-	p.writeError(status, why, p.retryDelay())
+func (p *proxiedRequest) refuse(status int, reason string) {
+	p.logDecision("refused", zap.Int("status", status), zap.String("why", reason))
+	p.writeError(status, reason, p.retryDelay())
 	p.countOutcome("refused")
 }
 
 // refuseQuarantined answers a quarantined request with an error whose Retry-After is the
 // end of the quarantine.
 func (p *proxiedRequest) refuseQuarantined() {
-	why := string(core.ReasonQuarantined)
-	p.logDecision("refused", zap.Int("status", http.StatusServiceUnavailable), zap.String("why", why), zap.Stringer("content", p.contentDigest))
-	p.writeError(http.StatusServiceUnavailable, why+": it isn't run before the time in Retry-After", p.quarantineRemaining())
+	reason := string(core.ReasonQuarantined)
+	p.logDecision("refused", zap.Int("status", http.StatusServiceUnavailable), zap.String("why", reason), zap.Stringer("content", p.contentDigest))
+	p.writeError(http.StatusServiceUnavailable, reason+": it isn't run before the time in Retry-After", p.quarantineRemaining())
 	p.countOutcome("quarantined")
 }
 
@@ -188,14 +188,14 @@
 	return jitter(wait)
 }
 
-func (p *proxiedRequest) writeError(status int, why string, retryAfter time.Duration) {
+func (p *proxiedRequest) writeError(status int, reason string, retryAfter time.Duration) {
 	h := p.writer.Header()
 	if status == http.StatusServiceUnavailable {
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	p.writer.WriteHeader(status)
-	if _, err := p.writer.Write([]byte(why + "\n")); err != nil {
+	if _, err := p.writer.Write([]byte(reason + "\n")); err != nil {
 		p.logDecision("caller disconnected before its refusal was written", zap.Error(err))
 	}
 }
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -198,9 +198,9 @@
 
 // move moves a run in its turn; a run that can't be moved yet is queued again.
 func (v *evacuation) move(p *proxiedRequest) {
-	again := p.move(v.endpoint)
+	mayRetry := p.move(v.endpoint)
 	v.finishRun(p)
-	if again && p.runsAt(v.endpoint) {
+	if mayRetry && p.runsAt(v.endpoint) {
 		time.AfterFunc(moveRetryDelay, v.addOwnRuns)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,7 +94,7 @@
 }
 
 // WithRetryBorrowing sets the function that requests sends from other boxes' retry budgets
-// when a stream needs one and this box's part is spent. ReceiveTransfer adds what they grant.
+// when a stream needs one and this box's share is spent. ReceiveTransfer adds what they grant.
 func WithRetryBorrowing(borrowRetries func(ctx context.Context, service string)) Option {
 	return func(g *Gateway) { g.borrowRetries = borrowRetries }
 }
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	copied := time.Now()
+	copiedAt := time.Now()
 	h := &handover{
 		target: target,
 		done:   make(chan struct{}),
@@ -218,8 +218,8 @@
 		zap.String("endpoint", source.ID),
 		zap.String("target", h.target.ID),
 		zap.Int("events", moved.Events),
-		zap.Duration("copying", copied.Sub(startedAt)),
-		zap.Duration("stopped", time.Since(copied)),
+		zap.Duration("copying", copiedAt.Sub(startedAt)),
+		zap.Duration("stopped", time.Since(copiedAt)),
 		zap.Error(err),
 	)
 	return nil
--- a/gateway/overdue_timer.go
+++ b/gateway/overdue_timer.go
@@ -14,9 +14,9 @@
 	// overdueFactor is the multiple of the route's usual time after which an answer, or a
 	// stream's first event, is overdue.
 	overdueFactor = 4.0
-	// minOverduePart is the least such time, as a part of the route's target; an answer
-	// from another endpoint can still meet the target after it.
-	minOverduePart = 0.5
+	// minOverdueFraction is the least such time, as a fraction of the route's target; an
+	// answer from another endpoint can still meet the target after it.
+	minOverdueFraction = 0.5
 	// averageWeight is the weight of the newest value in a moving average.
 	averageWeight = 0.1
 )
@@ -71,7 +71,7 @@
 		mayRetryElsewhere: !p.headSent && p.call.MayRunAgain(),
 	}
 	usualAnswerTimes := p.gateway.usualAnswerTimes.mean(p.route.Name)
-	after := max(time.Duration(overdueFactor*float64(usualAnswerTimes)), time.Duration(minOverduePart*float64(p.route.LatencyTarget)))
+	after := max(time.Duration(overdueFactor*float64(usualAnswerTimes)), time.Duration(minOverdueFraction*float64(p.route.LatencyTarget)))
 	if usualAnswerTimes > 0 && time.Until(p.currentDeadline()) > after+usualAnswerTimes {
 		o.timer = time.AfterFunc(after, func() { o.onOverdue(after) })
 	}
--- a/gateway/rate_limiter.go
+++ b/gateway/rate_limiter.go
@@ -10,7 +10,7 @@
 	"dillsaddle.example/dillsaddle/routing"
 )
 
-// maxLoadQueryShare is the part of this box's sends to a rate-limited endpoint that load
+// maxLoadQueryShare is the fraction of this box's sends to a rate-limited endpoint that load
 // queries may use.
 const maxLoadQueryShare = 0.25
 
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -11,7 +11,7 @@
 
 const (
 	// keptSends is how many sends a box with running streams keeps when another box
-	// requests some. In a large fleet a box's part of the budget is one to four sends.
+	// requests some. In a large fleet a box's share of the budget is one to four sends.
 	keptSends = 1
 	// borrowTimeout bounds how long a broken stream waits for a send from other boxes.
 	borrowTimeout = 120 * time.Millisecond
@@ -55,14 +55,14 @@
 }
 
 // takeStreamRetry spends a send on continuing a broken stream and reports whether there was
-// one. Unlike for calls, it requests sends from other boxes if this box's part is spent.
+// one. Unlike for calls, it requests sends from other boxes if this box's share is spent.
 func (p *proxiedRequest) takeStreamRetry(service string) bool {
 	p.ensureRetryBudget(service)
 	return p.gateway.takeRetry(service)
 }
 
-// ensureRetryBudget requests sends from other boxes if this box's part of the retry budget is
-// spent, and reports whether a send is available.
+// ensureRetryBudget requests sends from other boxes if this box's share of the retry budget
+// is spent, and reports whether a send is available.
 func (p *proxiedRequest) ensureRetryBudget(service string) bool {
 	g := p.gateway
 	if g.hasRetryBudget(service) {
--- a/gateway/retry_budget_test.go
+++ b/gateway/retry_budget_test.go
@@ -12,7 +12,7 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-var _ = Describe("a box that another one asks for part of the retry budget", func() {
+var _ = Describe("a box that is asked to transfer sends of its retry budget", func() {
 	// Ten boxes share a slack of 50.
 	shared := gateway.WithBoxes(func() int { return 10 })
 	const share = 5
@@ -26,7 +26,7 @@
 		return total
 	}
 
-	It("transfers its whole part when it has no streams", func() {
+	It("transfers its whole share when it has no streams", func() {
 		b := newTestbedWith(true, shared)
 		b.add("e-1", emulator.ModelService)
 		Expect(totalTransferred(b)).To(Equal(share))
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -91,7 +91,7 @@
 		Expect(o.Events).To(BeNumerically(">=", 3))
 	})
 
-	// Guards against cutting streams whose copy is ready because this box's part of the
+	// Guards against cutting streams whose copy is ready because this box's share of the
 	// retry budget is spent while other boxes have sends left.
 	DescribeTable("that needs a send when this box's retry budget is spent",
 		func(transferred int) {
--- a/routing/document.go
+++ b/routing/document.go
@@ -77,7 +77,7 @@
 	Name           string   `cbor:"1,keyasint,omitempty"`
 	Rank           *int     `cbor:"2,keyasint,omitempty"` // overrides the route's rank
 	Keys           []string `cbor:"3,keyasint,omitempty"`
-	AllowedRegions []string `cbor:"4,keyasint,omitempty"` // regions whose endpoints may be used, within those of the route; empty for all
+	AllowedRegions []string `cbor:"4,keyasint,omitempty"` // regions whose endpoints may be used, within the route's; empty for all
 }
 
 // Limits bound the requests that a caller may send.
