--- a/policy/program.go
+++ b/policy/program.go
@@ -29,7 +29,7 @@
 	TierRank      int64   `cel:"tier_rank"` // 0 is the most urgent
 	PromptTokens  int64   `cel:"prompt_tokens"`
 	ExpectTokens  int64   `cel:"expect_tokens"`  // expected output length in tokens
-	FreeShare     float64 `cel:"free_share"`     // free fraction of the endpoints' memory, on average
+	FreeShare     float64 `cel:"free_share"`     // fraction of the leased memory that isn't planned for, on average
 	WaitSeconds   float64 `cel:"wait_seconds"`   // how long the request has waited
 	WaitingAhead  int64   `cel:"waiting_ahead"`  // waiting requests ordered at most at the tier's rank
 	CustomerShare float64 `cel:"customer_share"` // fraction of the running requests that are the customer's
