--- a/admission/demand.go
+++ b/admission/demand.go
@@ -13,8 +13,8 @@
 	Demand
 }
 
-// A lease is renewed when its remaining time falls below these margins. While requests
-// wait, it is renewed at each turn.
+// A lease is renewed when its remaining time falls below these margins, which Demands ignores
+// if it is eager and requests wait.
 const (
 	renewMarginInUse = 2 * time.Second
 	renewMarginIdle  = time.Second
@@ -28,17 +28,17 @@
 	waiting /= max(1, len(m.endpointNames))
 	demands := make([]EndpointDemand, 0, len(m.endpoints))
 	for _, name := range slices.Sorted(maps.Keys(m.endpoints)) {
-		p := m.endpoints[name]
-		if !(eager && waiting > 0) && !p.needsRenewal(now) {
+		state := m.endpoints[name]
+		if !(eager && waiting > 0) && !state.needsRenewal(now) {
 			continue
 		}
-		p.recomputeOwn(m.profile)
+		state.recomputeOwn(m.profile)
 		demands = append(demands, EndpointDemand{
 			Endpoint:      name,
-			ReportingSlot: p.reportingSlot(now),
+			ReportingSlot: state.reportingSlot(now),
 			Demand: Demand{
-				Profile: p.own,
-				Running: len(p.running),
+				Profile: state.own,
+				Running: len(state.running),
 				Waiting: waiting,
 				Rank:    rank,
 			},
@@ -51,8 +51,8 @@
 // tokens of the requests of that rank.
 func (m *Model) waitingDemand() (tokens, rank int) {
 	rank = m.waiting.bestRank()
-	for _, line := range m.waiting.byCustomer {
-		for _, r := range line {
+	for _, requests := range m.waiting.byCustomer {
+		for _, r := range requests {
 			if r.Rank == rank {
 				tokens += r.PromptTokens + int(m.estimator.Curve(r.key()).Remaining(0, r.MaxTokens))
 			}
--- a/admission/shares.go
+++ b/admission/shares.go
@@ -15,7 +15,7 @@
 	Rank    int // the most urgent rank that has waiting requests
 }
 
-// Grant is the part of an endpoint's memory that one box is given.
+// Grant is the part of an endpoint's memory that is granted to one box.
 type Grant struct {
 	Tokens       int
 	Slots        int
@@ -71,12 +71,12 @@
 func (s *Shares) Boxes() int { return len(s.boxes) }
 
 // Grant records a box's demand and returns what the box is granted.
-func (s *Shares) Grant(now time.Time, box string, w Demand) Grant {
+func (s *Shares) Grant(now time.Time, box string, d Demand) Grant {
 	slotTokens := s.Capacity / core.SlotCount
 	tokens, ttl := s.ownership.Grantable(now, slotTokens)
 	s.dropExpired(now, ttl)
 	own := &share{
-		demand: w,
+		demand: d,
 		seenAt: now,
 	}
 	s.setShare(box, own)
@@ -85,7 +85,7 @@
 	}
 	others, running := s.others(box)
 	total := others
-	total.Add(&w.Profile)
+	total.Add(&d.Profile)
 	unexplained := max(0, float64(s.reportedTokens)-total.Mean[0])
 	planned := total.Peak(normalQuantile(ownerOverflowRisk)) + unexplained
 	free := float64(tokens) - planned/core.SlotCount - float64(s.promisedGrowth(box))
@@ -150,22 +150,22 @@
 const demandFactor = 2
 
 // growth returns the tokens that a box may add until its next lease. A box with waiting
-// requests gets free memory up to its demand, except for an even part for each box whose
-// waiting requests are more urgent. Every box gets at least an even part.
+// requests gets free memory up to its demand, except for an equal part for each box whose
+// waiting requests are more urgent. Every box gets at least an equal part.
 func (s *Shares) growth(free float64, box string) int {
 	if free <= 0 {
 		return 0
 	}
-	w := s.boxes[box].demand
-	evenPart := free / float64(len(s.boxes))
+	d := s.boxes[box].demand
+	equalPart := free / float64(len(s.boxes))
 	left := free
 	for _, name := range s.boxNames {
 		other := s.boxes[name]
-		if name != box && other.demand.Waiting > 0 && other.demand.Rank < w.Rank {
-			left -= evenPart
+		if name != box && other.demand.Waiting > 0 && other.demand.Rank < d.Rank {
+			left -= equalPart
 		}
 	}
-	return int(max(evenPart, min(left, demandFactor*float64(w.Waiting))))
+	return int(max(equalPart, min(left, demandFactor*float64(d.Waiting))))
 }
 
 // usableSlots returns the batch size at which the time between tokens meets the target.
@@ -189,8 +189,8 @@
 	s.reportedTokens = r.Used
 }
 
-// unknownUsageFraction is the fraction of the capacity from which on memory that no box
-// accounts for is attributed to another owner.
+// unknownUsageFraction is the fraction of the capacity above which memory in use that no
+// known box accounts for counts as unknown usage.
 const unknownUsageFraction = 0.1
 
 // HasUnknownUsage reports whether the endpoint uses clearly more memory than the known boxes
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -18,8 +18,8 @@
 
 // answer is an endpoint's HTTP response and the connection that it is read from.
 type answer struct {
-	head          *http.Response
-	headers       Answer
+	head          *http.Response // status line and headers; its Body reads from endpointConn
+	headers       Answer         // decoded from head
 	body          []byte
 	remainder     io.Reader // the part of the body that is not in body yet, or nil
 	endpointConn  *endpointConn
@@ -68,14 +68,14 @@
 	} else {
 		p.recordSuccess()
 		p.gateway.balancer.Succeeded(time.Now(), p.endpoint.ID, time.Since(p.placedAt))
-		p.gateway.usualAnswer.learn(p.route.Name, time.Since(p.placedAt))
+		p.gateway.usualAnswerTimes.updateAverages(p.route.Name, time.Since(p.placedAt))
 	}
 	return core.CallAnswered{Failed: failed}
 }
 
-// release returns the connection to the pool if the exchange was complete on both sides,
-// and closes it otherwise.
-func (a *answer) release(p *proxiedRequest, whole bool) {
+// release returns the connection to the pool if isComplete is set, for an answer read to its
+// end, and the request was sent whole. Otherwise it closes the connection.
+func (a *answer) release(p *proxiedRequest, isComplete bool) {
 	stopped := a.stopAfterFunc()
 	bodySent := true
 	if a.writeResult != nil {
@@ -86,7 +86,7 @@
 			bodySent = false
 		}
 	}
-	if !whole || !stopped || !bodySent || a.head.Close || a.endpointConn.reader.Buffered() > 0 {
+	if !isComplete || !stopped || !bodySent || a.head.Close || a.endpointConn.reader.Buffered() > 0 {
 		_ = a.endpointConn.Close()
 		return
 	}
--- a/gateway/move.go
+++ b/gateway/move.go
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	copied := time.Now()
+	copiedAt := time.Now()
 	h := &handover{
 		target: target,
 		done:   make(chan struct{}),
@@ -212,14 +212,14 @@
 		h.target, h.copy = p.fallbackCopy(source, target, moved, earlier)
 	}
 	if errors.Is(err, errSourceThrottled) {
-		h.copy = earlier.Copy // the run continues at its engine until that ends
+		h.copy = earlier.Copy // the run was not stopped; its stream continues from here when it breaks off
 	}
 	p.logAsync("moved",
 		zap.String("endpoint", source.ID),
 		zap.String("target", h.target.ID),
 		zap.Int("events", moved.Events),
-		zap.Duration("copying", copied.Sub(startedAt)),
-		zap.Duration("stopped", time.Since(copied)),
+		zap.Duration("copying", copiedAt.Sub(startedAt)),
+		zap.Duration("stopped", time.Since(copiedAt)),
 		zap.Error(err),
 	)
 	return nil
