--- a/commands/commands_test.go
+++ b/commands/commands_test.go
@@ -74,7 +74,7 @@
 	})
 
 	It("rejects a file that isn't a box's log, and a command line without files", func() {
-		for _, one := range []struct {
+		for _, test := range []struct {
 			arguments []string
 			code      int
 		}{
@@ -82,8 +82,8 @@
 			{[]string{"losses", "no-such-file.log"}, 1},
 			{[]string{"losses"}, 2},
 		} {
-			code, out := run(one.arguments...)
-			Expect(code).To(Equal(one.code))
+			code, out := run(test.arguments...)
+			Expect(code).To(Equal(test.code))
 			Expect(out).To(BeEmpty())
 		}
 	})
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -35,13 +35,13 @@
 	}
 
 	DescribeTable("is rejected with the line, the problem and the remedy",
-		func(old, changed, what, remedy string) {
+		func(old, changed, problem, remedy string) {
 			source := strings.Replace(example("buscodigo"), old, changed, 1)
 			d, faults := config.Parse("config.json", []byte(source))
 			Expect(d).To(BeNil())
 			Expect(faults).To(ContainElement(And(
 				HaveField("Line", lineOf(source, changed)),
-				HaveField("Problem", ContainSubstring(what)),
+				HaveField("Problem", ContainSubstring(problem)),
 				HaveField("Remedy", ContainSubstring(remedy)),
 			)))
 		},
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -13,13 +13,13 @@
 
 // The headers of requests and responses that the entry reads or sets.
 const (
-	outcomeHeader    = "Dillsaddle-Outcome"
-	requestHeader    = "Dillsaddle-Request"
-	repeatableHeader = "Dillsaddle-Repeatable"
-	idempotencyKey   = "Idempotency-Key"
-	retryAfterHeader = "Retry-After"
-	lastEventHeader  = "Last-Event-ID"
-	requestIDHeader  = "X-Request-Id"
+	outcomeHeader        = "Dillsaddle-Outcome"
+	requestHeader        = "Dillsaddle-Request"
+	repeatableHeader     = "Dillsaddle-Repeatable"
+	idempotencyKeyHeader = "Idempotency-Key"
+	retryAfterHeader     = "Retry-After"
+	lastEventIDHeader    = "Last-Event-ID"
+	requestIDHeader      = "X-Request-Id"
 )
 
 // Problem is an error response: its HTTP status, a stable error code and a message
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -73,7 +73,7 @@
 
 // startEngine starts an emulated engine and returns a function that stops it.
 func startEngine(name string, address netip.AddrPort) (stop func()) {
-	served := standin.NewEngine(standin.EngineRules{
+	server := standin.NewEngine(standin.EngineRules{
 		Name:   name,
 		Models: []string{modelName},
 		Batch:  standin.DefaultBatchRules(),
@@ -83,8 +83,8 @@
 			Most:   100,
 		},
 	}).HTTPServer(address)
-	go served.Spin()
-	return func() { _ = served.Close() }
+	go server.Spin()
+	return func() { _ = server.Close() }
 }
 
 // startBox starts all processes of a box in the test process, with one engine and the
--- a/entry/call.go
+++ b/entry/call.go
@@ -59,7 +59,7 @@
 
 // writer writes a stream to its caller.
 type writer interface {
-	token(id string, offset uint64, data []byte)
+	writeToken(id string, offset uint64, data []byte)
 	flush() error
 	finish(id string, offset uint64, last engine.Finished) error
 	fail(id string, offset uint64, p *Problem) bool // reports whether the response had already begun
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -131,7 +131,7 @@
 
 // tokens writes a token, and all tokens already buffered after it, in one write.
 func (k *call) tokens(t engine.Token) {
-	count := k.token(t)
+	count := k.writeToken(t)
 	var after engine.Message
 	for after == nil && count < sinkCapacity && k.sink != nil {
 		select {
@@ -139,7 +139,7 @@
 			if !open {
 				after = engine.Lost{}
 			} else if more, ok := m.(engine.Token); ok {
-				count += k.token(more)
+				count += k.writeToken(more)
 			} else {
 				after = m
 			}
@@ -159,8 +159,8 @@
 	k.handleMessage(after)
 }
 
-// token forwards a token if the generation accepts it, and returns the number forwarded.
-func (k *call) token(t engine.Token) int {
+// writeToken forwards a token if the generation accepts it, and returns the number forwarded.
+func (k *call) writeToken(t engine.Token) int {
 	arrived := core.FrameArrived{
 		Attempt: k.sinkAttempt,
 		Origin:  t.Origin,
@@ -181,7 +181,7 @@
 	if k.id == "" {
 		k.assignID(t.Origin)
 	}
-	k.out.token(k.id, t.Offset, t.Data)
+	k.out.writeToken(k.id, t.Offset, t.Data)
 	k.gen.CountForwarded()
 	return 1
 }
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -33,13 +33,13 @@
 // continue the stream through any box.
 func (k *call) detachCaller(origin core.Origin) {
 	k.closeSink()
-	placed, m, generated := k.placementID, k.model, int(k.gen.NextOffset)
+	placement, m, generated := k.placementID, k.model, int(k.gen.NextOffset)
 	k.placementID = ""
 	callersLeft.Inc()
 	time.AfterFunc(k.document.Limits.ResumeWindow, func() {
 		_ = k.entry.cancelGeneration(origin, true)
 		m.step(time.Now(), admission.GenerationEnded{
-			ID:        placed,
+			ID:        placement,
 			Generated: generated,
 		})
 	})
@@ -90,7 +90,7 @@
 	if k.gen.State != core.GenerationEnded {
 		k.cancelUnfinished()
 	}
-	if held, _ := k.entry.calls.Get(k.id); held == k {
+	if current, _ := k.entry.calls.Get(k.id); current == k {
 		k.entry.calls.Delete(k.id)
 	}
 	k.closeSink()
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -39,7 +39,7 @@
 // an idempotency key can't be recognized as a repeat: it needs no claim owner and is sent
 // once. If the request has already run, claim replays its answer and returns a nil claim.
 func (e *Entry) claim(ctx context.Context, c *app.RequestContext, customerConfig *config.Customer) (*claim, *Problem) {
-	name := string(c.GetHeader(idempotencyKey))
+	name := string(c.GetHeader(idempotencyKeyHeader))
 	if name == "" {
 		return &claim{
 			isUnkeyed: true,
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -61,14 +61,14 @@
 // detectCrash checks whether the endpoint has crashed and, if so, records it for quarantine.
 // The entry doesn't track when an endpoint was last active, so heardSince is always false.
 func (l *lostAttempt) detectCrash() {
-	sign, crashed := l.entry.presences.Crashed(l.incarnation, l.address, func(time.Time) bool { return false })
+	portState, crashed := l.entry.crashProber.Crashed(l.incarnation, l.address, func(time.Time) bool { return false })
 	if !crashed {
 		return
 	}
 	l.entry.log.Info("endpoint crashed during a request",
 		zap.String("request", l.request),
 		zap.String("endpoint", l.incarnation),
-		zap.String("port", string(sign)),
+		zap.String("port", string(portState)),
 		zap.Stringer("content", l.contentDigest),
 		zap.String("customer", l.customer),
 	)
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -31,8 +31,8 @@
 		return
 	}
 	w.mu.Lock()
-	if end := w.stops[c.Address]; end != nil {
-		end()
+	if stop := w.stops[c.Address]; stop != nil {
+		stop()
 		delete(w.stops, c.Address)
 		w.crashed++
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,14 +49,14 @@
 	owners            watch.Owners
 	leaseByteBudget   leaseByteBudget
 
-	presences  *engine.CrashProber
-	quarantine *fleet.Quarantine
-	wasReady   atomic.Bool // every served model has had a lease
-	drainLock  sync.Mutex
-	drain      *core.Drain
-	active     int // requests in progress; guarded by drainLock
-	exited     chan struct{}
-	stop       context.CancelFunc
+	crashProber *engine.CrashProber
+	quarantine  *fleet.Quarantine
+	wasReady    atomic.Bool // every served model has had a lease
+	drainLock   sync.Mutex
+	drain       *core.Drain
+	active      int // requests in progress; guarded by drainLock
+	exited      chan struct{}
+	stop        context.CancelFunc
 }
 
 // Start starts an entry and its HTTP server.
@@ -86,8 +86,8 @@
 		exited:            make(chan struct{}),
 		stop:              cancel,
 
-		presences:  engine.NewCrashProber(),
-		quarantine: fleet.NewQuarantine(log),
+		crashProber: engine.NewCrashProber(),
+		quarantine:  fleet.NewQuarantine(log),
 	}
 	e.handlers = wire.NewHandlers(wire.WithVersions(e.state.Versions))
 	e.pool = wire.NewPool(e.handlers)
--- a/entry/model.go
+++ b/entry/model.go
@@ -258,30 +258,30 @@
 	m.mu.Lock()
 	demands := m.core.Demands(time.Now(), eager)
 	m.mu.Unlock()
-	for _, w := range demands {
+	for _, demand := range demands {
 		for slot := range core.SlotCount {
-			owner := e.owners.Of(v, w.Endpoint, slot)
+			owner := e.owners.Of(v, demand.Endpoint, slot)
 			if requests[owner] == nil {
 				requests[owner] = &wire.LeaseRequest{Box: e.self}
 			}
-			requests[owner].Demands = append(requests[owner].Demands, newLeaseDemand(modelName, w, slot))
+			requests[owner].Demands = append(requests[owner].Demands, newLeaseDemand(modelName, demand, slot))
 		}
 	}
 }
 
-func newLeaseDemand(model string, w admission.EndpointDemand, slot int) wire.LeaseDemand {
-	mean, deviation := w.Profile.Floats()
+func newLeaseDemand(model string, demand admission.EndpointDemand, slot int) wire.LeaseDemand {
+	mean, deviation := demand.Profile.Floats()
 	return wire.LeaseDemand{
-		Endpoint:  w.Endpoint,
+		Endpoint:  demand.Endpoint,
 		Slot:      slot,
 		Model:     model,
 		Mean:      mean,
 		Deviation: deviation,
-		Running:   w.Running,
-		Waiting:   w.Waiting,
-		Rank:      w.Rank,
+		Running:   demand.Running,
+		Waiting:   demand.Waiting,
+		Rank:      demand.Rank,
 
-		WantOtherUsage: slot == w.ReportingSlot,
+		WantOtherUsage: slot == demand.ReportingSlot,
 	}
 }
 
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -50,7 +50,7 @@
 
 func (e *Entry) resumeStream(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, i *identity) {
 	id := c.Param("id")
-	next, ok := nextOffset(id, string(c.GetHeader(lastEventHeader)))
+	next, ok := nextOffset(id, string(c.GetHeader(lastEventIDHeader)))
 	if !ok {
 		newRejection(http.StatusBadRequest, "invalid_last_event_id", "Last-Event-ID is not of this stream; send the id of its last event").answer(c)
 		return
@@ -73,7 +73,7 @@
 // registerResumed adds the resumed stream to this box's calls and admission state. A previous
 // connection of the stream on this box is ended.
 func (k *call) registerResumed(i *identity, next uint64) {
-	if old, here := k.entry.calls.Get(k.id); here {
+	if old, found := k.entry.calls.Get(k.id); found {
 		old.supersede()
 	}
 	k.entry.calls.Put(k.id, k)
@@ -100,7 +100,7 @@
 }
 
 func (e *Entry) cancelIdentified(c *app.RequestContext, i *identity) {
-	if k, here := e.calls.Get(c.Param("id")); here {
+	if k, found := e.calls.Get(c.Param("id")); found {
 		k.cancel()
 	}
 	if err := e.cancelGeneration(i.origin(), false); err != nil {
--- a/entry/services.go
+++ b/entry/services.go
@@ -133,8 +133,8 @@
 
 // The bounds of the delay before a retry, which keeps a recovering server from overload.
 const (
-	retryPause    = 10 * time.Millisecond
-	maxRetryPause = 200 * time.Millisecond
+	retryBaseDelay = 10 * time.Millisecond
+	retryMaxDelay  = 200 * time.Millisecond
 )
 
 // place selects a server for the next try, if the deadline and the retry budget allow one.
@@ -150,7 +150,7 @@
 	}
 	if again {
 		retries.Inc()
-		time.Sleep(core.Backoff(k.gen.Attempt, retryPause, maxRetryPause, rand.Float64()))
+		time.Sleep(core.Backoff(k.gen.Attempt, retryBaseDelay, retryMaxDelay, rand.Float64()))
 	}
 	k.lastServer = k.entry.services.pick(time.Now(), k.service.Addresses, k.lastServer)
 	k.step(core.Placed{
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -44,20 +44,20 @@
 	w.c.Response.HijackWriter(w.body)
 }
 
-func (w *streamWriter) token(id string, offset uint64, data []byte) {
-	w.event(id, offset, eventMark(""), data)
+func (w *streamWriter) writeToken(id string, offset uint64, data []byte) {
+	w.appendEvent(id, offset, eventMark(""), data)
 }
 
-// event adds an event to the buffer. Its ID has the offset and, for events after the last
+// appendEvent adds an event to the buffer. Its ID has the offset and, for events after the last
 // token, a mark, so that event IDs are unique in the stream.
-func (w *streamWriter) event(id string, offset uint64, mark eventMark, data []byte) {
-	w.eventID(id, offset, mark)
+func (w *streamWriter) appendEvent(id string, offset uint64, mark eventMark, data []byte) {
+	w.appendEventID(id, offset, mark)
 	b := append(w.buffer, "data: "...)
 	b = append(b, data...)
 	w.buffer = append(b, "\n\n"...)
 }
 
-func (w *streamWriter) eventID(id string, offset uint64, mark eventMark) {
+func (w *streamWriter) appendEventID(id string, offset uint64, mark eventMark) {
 	b := append(w.buffer, "id: "...)
 	b = append(b, eventTag(id)...)
 	b = append(b, '.')
@@ -116,10 +116,10 @@
 
 func (w *streamWriter) finish(id string, offset uint64, last engine.Finished) error {
 	if !w.p.includeUsage {
-		w.token(id, offset, appendOutcome(last.Data, core.Ran))
+		w.writeToken(id, offset, appendOutcome(last.Data, core.Ran))
 		return w.writeDone(id, offset, core.Ran)
 	}
-	w.token(id, offset, last.Data)
+	w.writeToken(id, offset, last.Data)
 	chunk, err := json.Marshal(completionResponse{
 		ID:      last.Origin.Generation,
 		Object:  objectName(w.p.chat, true),
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	w.event(id, offset, markUsage, chunk)
+	w.appendEvent(id, offset, markUsage, chunk)
 	return w.writeDone(id, offset, core.Ran)
 }
 
@@ -151,7 +151,7 @@
 // writeDone writes the event that ends a stream. The outcome is an additional event field,
 // which clients that don't know it ignore.
 func (w *streamWriter) writeDone(id string, offset uint64, outcome core.Outcome) error {
-	w.eventID(id, offset, markDone)
+	w.appendEventID(id, offset, markDone)
 	w.buffer = append(w.buffer, outcomeHeader+": "...)
 	w.buffer = append(w.buffer, outcome...)
 	w.buffer = append(w.buffer, "\ndata: [DONE]\n\n"...)
@@ -170,7 +170,7 @@
 	if last > 0 {
 		last--
 	}
-	w.event(id, last, markError, text)
+	w.appendEvent(id, last, markError, text)
 	_ = w.writeDone(id, last, p.Outcome)
 	if w.conn.isSlow.Load() {
 		w.c.Response.SetConnectionClose()
@@ -215,7 +215,7 @@
 
 func (w *bufferedWriter) begin(id string) { w.id = id }
 
-func (w *bufferedWriter) token(_ string, _ uint64, data []byte) {
+func (w *bufferedWriter) writeToken(_ string, _ uint64, data []byte) {
 	var t tokenChunk
 	if json.Unmarshal(data, &t) != nil || len(t.Choices) == 0 {
 		return
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -12,7 +12,7 @@
 // acknowledge their handovers.
 const handoverTimeout = 5 * time.Second
 
-func (s *Scheduler) accepting() bool {
+func (s *Scheduler) isAccepting() bool {
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
 	return s.drain.Accepting()
--- a/scheduler/ownership.go
+++ b/scheduler/ownership.go
@@ -22,7 +22,7 @@
 	mu             sync.Mutex
 	previous       map[string]string // previous owner, by slot
 	owner          map[string]string
-	since          map[string]time.Time
+	changedAt      map[string]time.Time
 	ownerVersion   map[string]uint64 // version of the list that assigned the owner, by slot
 	adoptedVersion map[string]uint64 // highest list version adopted, by box
 }
@@ -31,7 +31,7 @@
 	return &ownerHistory{
 		previous:       make(map[string]string),
 		owner:          make(map[string]string),
-		since:          make(map[string]time.Time),
+		changedAt:      make(map[string]time.Time),
 		ownerVersion:   make(map[string]uint64),
 		adoptedVersion: make(map[string]uint64),
 	}
@@ -69,7 +69,7 @@
 	}
 	o.owner[key] = owner
 	o.previous[key] = previousOwner
-	o.since[key] = now
+	o.changedAt[key] = now
 	o.ownerVersion[key] = s.list.Version
 	return owner, !known && s.list.Age < youngFleetAge
 }
@@ -96,5 +96,5 @@
 		return true
 	}
 	isUnlisted := list.Member(previousOwner) == nil
-	return isUnlisted && !hasUnknownUsage && now.Sub(o.since[key]) > predecessorTimeout
+	return isUnlisted && !hasUnknownUsage && now.Sub(o.changedAt[key]) > predecessorTimeout
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -43,7 +43,7 @@
 	server       *wire.Server
 	pool         *wire.Pool
 	worker       engine.Worker
-	endpoints    *shard.Map[*endpoint]
+	slots        *shard.Map[*ownerSlot]
 	claimsLock   sync.Mutex
 	claims       *core.ClaimOwner
 	drainLock    sync.Mutex
@@ -64,18 +64,18 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Scheduler{
-		settings:  b,
-		self:      self,
-		log:       log,
-		recorder:  recorder,
-		state:     watch.NewState(log),
-		worker:    engine.WithPanicRecovery(worker, onWorkerPanic(log)),
-		endpoints: shard.NewMap[*endpoint](),
-		claims:    core.NewClaimOwner(self, core.DefaultClaimRules(), now),
-		drain:     core.NewDrain(),
-		owners:    newOwnerHistory(),
-		done:      make(chan struct{}),
-		stop:      cancel,
+		settings: b,
+		self:     self,
+		log:      log,
+		recorder: recorder,
+		state:    watch.NewState(log),
+		worker:   engine.WithPanicRecovery(worker, onWorkerPanic(log)),
+		slots:    shard.NewMap[*ownerSlot](),
+		claims:   core.NewClaimOwner(self, core.DefaultClaimRules(), now),
+		drain:    core.NewDrain(),
+		owners:   newOwnerHistory(),
+		done:     make(chan struct{}),
+		stop:     cancel,
 	}
 	s.recorder.RecordClaimOwnerStart(now, self, core.DefaultClaimRules())
 	s.handlers = wire.NewHandlers(wire.WithVersions(s.state.Versions))
@@ -125,7 +125,7 @@
 func (s *Scheduler) Ready() string {
 	v := s.state.View()
 	switch {
-	case !s.accepting():
+	case !s.isAccepting():
 		return "draining"
 	case v.Document == nil || v.List == nil:
 		return "no configuration or list of boxes received from this box's watch yet"
@@ -138,9 +138,9 @@
 
 func (s *Scheduler) status() wire.SchedulerStatus {
 	var out wire.SchedulerStatus
-	s.endpoints.Each(func(_ string, e *endpoint) {
-		if isOwner, _ := e.ownerState(); isOwner {
-			out.OwnedSlots = append(out.OwnedSlots, e.status())
+	s.slots.Each(func(_ string, o *ownerSlot) {
+		if isOwner, _ := o.ownerState(); isOwner {
+			out.OwnedSlots = append(out.OwnedSlots, o.status())
 		}
 	})
 	slices.SortFunc(out.OwnedSlots, func(a, b wire.OwnedSlotStatus) int {
@@ -188,14 +188,14 @@
 	if s.updateOwnerInputs(v) {
 		s.reassignSlots(now, v)
 	}
-	s.endpoints.Each(func(_ string, e *endpoint) { s.refreshEndpoint(now, v, e) })
+	s.slots.Each(func(_ string, o *ownerSlot) { s.refreshSlot(now, v, o) })
 }
 
 // ownerInputs holds the inputs from which owners are computed.
 type ownerInputs struct {
-	list      *core.List
-	document  *config.Document
-	accepting bool
+	list        *core.List
+	document    *config.Document
+	isAccepting bool
 }
 
 // updateOwnerInputs stores the current inputs and reports whether they changed.
@@ -203,9 +203,9 @@
 	s.drainLock.Lock()
 	defer s.drainLock.Unlock()
 	inputs := ownerInputs{
-		list:      v.List,
-		document:  v.Document,
-		accepting: s.drain.Accepting(),
+		list:        v.List,
+		document:    v.Document,
+		isAccepting: s.drain.Accepting(),
 	}
 	changed := inputs != s.ownerInputs
 	s.ownerInputs = inputs
@@ -215,59 +215,59 @@
 // reassignSlots takes over newly assigned owner slots and releases the others. A
 // stopping scheduler releases all of them.
 func (s *Scheduler) reassignSlots(now time.Time, v watch.View) {
-	accepting := s.accepting()
+	isAccepting := s.isAccepting()
 	owned := make(map[string]bool)
 	next := newListOwners(v.List, s.settings.Name)
 	for _, c := range v.Document.Endpoints {
 		for slot := range core.SlotCount {
 			owner, neverOwned := s.owners.ownerOf(now, next, &c, slot)
-			if owner != s.settings.Name || !accepting {
+			if owner != s.settings.Name || !isAccepting {
 				continue
 			}
 			key := slotKey(c.Name, slot)
 			owned[key] = true
-			e := s.endpoints.GetOrCreate(key, func() *endpoint { return newEndpoint(c, slot) })
-			e.configure(c)
-			e.setOwner(now, true, neverOwned)
+			o := s.slots.GetOrCreate(key, func() *ownerSlot { return newOwnerSlot(c, slot) })
+			o.configure(c)
+			o.setOwner(now, true, neverOwned)
 		}
 	}
-	s.endpoints.Each(func(key string, e *endpoint) {
+	s.slots.Each(func(key string, o *ownerSlot) {
 		if !owned[key] {
-			e.setOwner(now, false, false)
-			s.endpoints.Delete(key)
+			o.setOwner(now, false, false)
+			s.slots.Delete(key)
 		}
 	})
 }
 
-func (s *Scheduler) refreshEndpoint(now time.Time, v watch.View, e *endpoint) {
-	e.refresh(now, v.List.Leaving(e.name), v.ConfirmedAt)
-	if s.owners.predecessorStopped(now, v.List, e.name, e.slot, e.hasUnknownUsage()) {
-		e.confirmPredecessorGone(now)
+func (s *Scheduler) refreshSlot(now time.Time, v watch.View, o *ownerSlot) {
+	o.refresh(now, v.List.Leaving(o.name), v.ConfirmedAt)
+	if s.owners.predecessorStopped(now, v.List, o.name, o.slot, o.hasUnknownUsage()) {
+		o.confirmPredecessorGone(now)
 	}
 }
 
 // readLoads reads the load and the cache events of the owned endpoints.
 func (s *Scheduler) readLoads(ctx context.Context) {
-	s.endpoints.Each(func(_ string, e *endpoint) {
-		isOwner, after := e.ownerState()
+	s.slots.Each(func(_ string, o *ownerSlot) {
+		isOwner, after := o.ownerState()
 		if !isOwner {
 			return
 		}
-		go s.readLoad(ctx, e, after)
+		go s.readLoad(ctx, o, after)
 	})
 }
 
-func (s *Scheduler) readLoad(ctx context.Context, e *endpoint, after int) {
+func (s *Scheduler) readLoad(ctx context.Context, o *ownerSlot, after int) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	load, err := s.worker.Load(ctx, e.settings.Address)
+	load, err := s.worker.Load(ctx, o.settings.Address)
 	if err != nil {
 		loadFaults.Inc()
 		return
 	}
-	e.observeLoad(time.Now(), load)
-	if events, err := s.worker.CacheEvents(ctx, e.settings.Address, after); err == nil {
-		e.observeCacheEvents(events)
+	o.observeLoad(time.Now(), load)
+	if events, err := s.worker.CacheEvents(ctx, o.settings.Address, after); err == nil {
+		o.observeCacheEvents(events)
 	}
 }
 
@@ -275,11 +275,11 @@
 	now := time.Now()
 	var out wire.LeaseGrants
 	for _, demand := range q.Demands {
-		e, found := s.endpoints.Get(slotKey(demand.Endpoint, demand.Slot))
+		o, found := s.slots.Get(slotKey(demand.Endpoint, demand.Slot))
 		if !found {
 			continue
 		}
-		if g, granted := e.grant(now, q.Box.Name, demand); granted {
+		if g, granted := o.grant(now, q.Box.Name, demand); granted {
 			out.Grants = append(out.Grants, g)
 		}
 	}
