--- a/config/endpoint.go
+++ b/config/endpoint.go
@@ -9,9 +9,9 @@
 	Zone         string
 	Protocol     string
 	Models       []string
-	MemoryTokens int // capacity of the engine's memory
-	BatchSlots   int // maximum number of requests in the batch
-	ChecksFences bool
+	MemoryTokens int  // capacity of the engine's memory
+	BatchSlots   int  // maximum number of requests in the batch
+	ChecksFences bool // the engine rejects orders of an earlier owner
 	line         int
 }
 
--- a/config/limits.go
+++ b/config/limits.go
@@ -8,8 +8,8 @@
 	SlowCallerTimeout time.Duration // maximum time for which a caller reads nothing of its answer
 	ProgressTimeout   time.Duration // maximum time between two messages of an endpoint
 	ResumeWindow      time.Duration // how long a broken stream can be resumed
-	MaxWait           time.Duration // maximum wait for the first message of an endpoint
-	ClaimGuard        time.Duration // how long after a loss of claim records an unknown key isn't taken for new
+	MaxWait           time.Duration // maximum wait in a box's queue, and then for the first message of an endpoint
+	ClaimGuard        time.Duration // how long after a loss of claim records an unknown key may have run before
 }
 
 func defaultLimits() Limits {
--- a/config/service.go
+++ b/config/service.go
@@ -10,9 +10,9 @@
 type Service struct {
 	Name            string
 	Addresses       []netip.AddrPort
-	Deadline        time.Duration
-	Concurrency     int
-	Hedge           bool // send a late repeatable call to a second server
+	Deadline        time.Duration // time limit of a call, including its retries
+	Concurrency     int           // calls in progress per customer and box
+	Hedge           bool          // send a late repeatable call to a second server
 	NotRepeatable   []CallPattern
 	RefusalStatuses []int // HTTP statuses with which the service confirms that it did not act
 	line            int
--- a/entry/call.go
+++ b/entry/call.go
@@ -89,6 +89,7 @@
 // supersede ends the call because another connection continues its stream.
 func (k *call) supersede() { k.supersedeOnce.Do(func() { close(k.superseded) }) }
 
+// step applies an event to the generation and executes the resulting commands.
 func (k *call) step(ev core.Event) {
 	now := time.Now()
 	k.entry.recorder.Event(now, trace.Generation+k.name, ev)
@@ -142,6 +143,7 @@
 	}
 }
 
+// allowRetry counts a retry and reports whether the customer's retry budget allows it.
 func (k *call) allowRetry() bool {
 	retries.Inc()
 	return k.customer.takeRetry()
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -11,6 +11,7 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
+// openSink replaces the sink of the previous attempt by one for a new attempt.
 func (k *call) openSink(attempt int) (context.Context, chan engine.Message) {
 	k.closeSink()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -129,7 +130,8 @@
 	}
 }
 
-// tokens writes a token, and all tokens already buffered after it, in one write.
+// tokens writes a token, and all tokens already buffered after it, in one write. It then
+// handles the message that follows them.
 func (k *call) tokens(t engine.Token) {
 	count := k.writeToken(t)
 	var after engine.Message
@@ -159,7 +161,8 @@
 	k.handleMessage(after)
 }
 
-// writeToken forwards a token if the generation accepts it, and returns the number forwarded.
+// writeToken writes a token to the caller if the generation accepts it, and returns the number
+// of tokens written. The caller's writer is not flushed.
 func (k *call) writeToken(t engine.Token) int {
 	arrived := core.FrameArrived{
 		Attempt: k.sinkAttempt,
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -30,9 +30,9 @@
 	hasKeyTime   bool
 	keyCreatedAt time.Time // creation time in the key, if hasKeyTime
 	attempt      string
-	owner        string
-	until        time.Time
-	isUnkeyed    bool // the request has no idempotency key, so no claim owner is involved
+	owner        string    // box that owns the claim
+	until        time.Time // the request must not be sent later
+	isUnkeyed    bool      // the request has no idempotency key, so no claim owner is involved
 }
 
 // claim obtains permission to send a request that may run at most once. A request without
--- a/entry/customer.go
+++ b/entry/customer.go
@@ -11,11 +11,11 @@
 // customer holds one box's counters, budgets and metrics of a customer.
 type customer struct {
 	mu            sync.Mutex
-	streams       int
-	services      map[string]int
+	streams       int            // open streams
+	services      map[string]int // calls in progress, by service
 	retryBudget   *core.RetryBudget
-	tokenCredit   float64
-	tokenCreditAt time.Time
+	tokenCredit   float64   // tokens that the customer may generate; negative if overspent
+	tokenCreditAt time.Time // last refill of tokenCredit
 	classMetrics  map[string]*classMetrics
 }
 
--- a/entry/lease_budget.go
+++ b/entry/lease_budget.go
@@ -21,6 +21,7 @@
 	updatedAt time.Time
 }
 
+// isAvailable refills the bucket and reports whether it has any bytes.
 func (b *leaseByteBudget) isAvailable(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/model.go
+++ b/entry/model.go
@@ -253,6 +253,8 @@
 	e.renewModels(ctx, names...)
 }
 
+// demands adds a model's demand for each owner slot to the request to the slot's owner. If
+// eager, it includes demands for leases that are not due yet.
 func (e *Entry) demands(v watch.View, modelName string, eager bool, requests map[string]*wire.LeaseRequest) {
 	m := e.modelOf(modelName)
 	m.mu.Lock()
--- a/entry/panic_test.go
+++ b/entry/panic_test.go
@@ -22,13 +22,13 @@
 
 func (w *faultyWorker) Start(ctx context.Context, c engine.Call, sink chan<- engine.Message) {
 	if bytes.Contains(c.Body, []byte(poisonPrompt)) {
-		panic("a fault of the worker's")
+		panic("worker panic in Start")
 	}
 	w.Worker.Start(ctx, c, sink)
 }
 
 func (w *faultyWorker) Cancel(context.Context, netip.AddrPort, string, bool) error {
-	panic("another fault of the worker's")
+	panic("worker panic in Cancel")
 }
 
 var _ = Describe("a panic in a worker", func() {
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -125,6 +125,8 @@
 	Cancelled bool   `json:"cancelled"`
 }
 
+// cancelGeneration cancels a generation on its endpoint. With onlyIdle, a generation that has
+// a reader, for example through another box, continues.
 func (e *Entry) cancelGeneration(origin core.Origin, onlyIdle bool) error {
 	d := e.state.View().Document
 	settings := d.Endpoint(origin.Endpoint)
--- a/entry/service_client.go
+++ b/entry/service_client.go
@@ -15,11 +15,11 @@
 )
 
 // serviceClient sends calls to services. Calls that must not be repeated use a new connection
-// each: on a reused one, a close by the server can't be told from a lost request, and the
-// HTTP library retries some methods by itself.
+// each: on a reused connection, a close by the server can't be distinguished from a lost
+// request, and the HTTP library retries some methods by itself.
 type serviceClient struct {
-	keepAlive *client.Client
-	fresh     *client.Client
+	keepAlive *client.Client // reuses connections
+	fresh     *client.Client // opens a connection for each call
 	mu        sync.Mutex
 	load      map[netip.AddrPort]*serverLoad
 }
@@ -68,7 +68,7 @@
 const failurePenaltyTime = 2 * time.Second
 
 // pick returns the server with the shortest expected time to answer and counts the call as
-// open. The server to avoid ranks last.
+// open. Servers that failed recently rank after the others, and the server to avoid ranks last.
 func (s *serviceClient) pick(now time.Time, all []netip.AddrPort, avoid netip.AddrPort) netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -23,6 +23,7 @@
 // and no granted claim is open. Further calls have no effect.
 func (s *Scheduler) Stop() {
 	s.drainLock.Lock()
+	// The final handovers are pending work until waitAndExit has sent them.
 	commands := s.drain.Step(time.Now(), core.WorkChanged{Pending: 1})
 	commands = append(commands, s.drain.Step(time.Now(), core.StopRequested{})...)
 	s.drainLock.Unlock()
--- a/scheduler/owner_slot.go
+++ b/scheduler/owner_slot.go
@@ -11,17 +11,17 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// maxStepTime is the longest time between two tokens of a stream.
+// maxStepTime is the longest acceptable time between two tokens of a stream.
 const maxStepTime = 30 * time.Millisecond
 
 // maxLoadAge is the age of the last load report above which an endpoint counts as
-// dead and gets no lease.
+// dead, so that no leases on it are granted.
 const maxLoadAge = 3 * time.Second
 
 // maxHints bounds the cache hints in one lease.
 const maxHints = 16
 
-// ownerSlot is one owner slot of an engine: a fixed part of its memory that this
+// ownerSlot is one owner slot of an endpoint: a fixed part of its memory that this
 // box leases out while it owns the slot. mu guards the mutable fields.
 type ownerSlot struct {
 	name          string
@@ -32,8 +32,8 @@
 	isOwner       bool
 	lastLoad      engine.Load
 	loadReadAt    time.Time
-	cacheSequence int
-	hints         []engine.CacheEvent
+	cacheSequence int                 // sequence number of the last cache event read
+	hints         []engine.CacheEvent // latest cache events, sent with each grant
 }
 
 func newOwnerSlot(c config.Endpoint, slot int) *ownerSlot {
@@ -46,7 +46,8 @@
 	}
 }
 
-// setOwner takes or releases the slot's ownership.
+// setOwner takes or releases the slot's ownership. neverOwned means that no other
+// box can have owned the slot before.
 func (o *ownerSlot) setOwner(now time.Time, isOwner, neverOwned bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,6 +132,8 @@
 	return out, true
 }
 
+// observeLoad applies a load report. A restarted engine numbers its cache events
+// from the start again.
 func (o *ownerSlot) observeLoad(now time.Time, l engine.Load) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/scheduler/ownership.go
+++ b/scheduler/ownership.go
@@ -20,11 +20,11 @@
 // the list version that each box has adopted.
 type ownerHistory struct {
 	mu             sync.Mutex
-	previous       map[string]string // previous owner, by slot
-	owner          map[string]string
-	changedAt      map[string]time.Time
-	ownerVersion   map[string]uint64 // version of the list that assigned the owner, by slot
-	adoptedVersion map[string]uint64 // highest list version adopted, by box
+	previous       map[string]string    // previous owner, by slot
+	owner          map[string]string    // current owner, by slot
+	changedAt      map[string]time.Time // last change of the owner, by slot
+	ownerVersion   map[string]uint64    // version of the list that assigned the owner, by slot
+	adoptedVersion map[string]uint64    // highest list version adopted, by box
 }
 
 func newOwnerHistory() *ownerHistory {
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -33,7 +33,7 @@
 	address  netip.AddrPort
 	state    *State
 	handlers *wire.Handlers
-	fetching atomic.Bool
+	fetching atomic.Bool // a request for newer versions is in progress
 }
 
 // pollInterval is the time between two requests for a snapshot. Only the response
@@ -96,6 +96,8 @@
 	}()
 }
 
+// handleSnapshot handles a pushed snapshot, of which it applies the suspected boxes only.
+// The versions in its envelope trigger a request for the rest.
 func (f *follower) handleSnapshot(_ context.Context, _ *wire.Conn, s wire.Snapshot) {
 	f.state.SetSuspected(s.Suspected)
 }
--- a/watch/state.go
+++ b/watch/state.go
@@ -163,7 +163,9 @@
 	return newer || s.snapshot.List == nil && v.List > 0 || s.snapshot.List != nil && v.List > s.snapshot.List.Version
 }
 
-// AdoptList makes a list active that was the newest at a given time.
+// AdoptList makes a list active if it is newer than the active one. If both have the same
+// version, it only updates the confirmation time. confirmedAt is a time at which the list
+// was the newest.
 func (s *State) AdoptList(list *core.List, confirmedAt time.Time) {
 	if s.adoptList(list, confirmedAt) {
 		s.notify()
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -16,8 +16,8 @@
 
 // Timeouts and intervals of a watch.
 const (
-	longPollTimeout   = 10 * time.Second
-	maxListAge        = 2500 * time.Millisecond
+	longPollTimeout   = 10 * time.Second        // time that the platform may hold a request
+	maxListAge        = 2500 * time.Millisecond // age of the confirmation above which the list is confirmed again
 	heartbeatInterval = time.Second
 	pollRetryDelay    = time.Second
 	peerTimeout       = time.Second
@@ -42,10 +42,10 @@
 	handlers  *wire.Handlers
 	mu        sync.Mutex
 	detector  *core.FailureDetector
-	leftPeers map[string]core.Incarnation
-	joined    atomic.Bool
+	leftPeers map[string]core.Incarnation // peers that announced a planned stop, by name
+	joined    atomic.Bool                 // the peers were queried at the start
 	isLeaving atomic.Bool
-	fetching  atomic.Bool
+	fetching  atomic.Bool // a fetch of newer versions is in progress
 	done      chan struct{}
 	stop      context.CancelFunc
 }
@@ -239,6 +239,8 @@
 	}
 }
 
+// handleSubscribe returns the state, or an empty snapshot while this watch queries its
+// peers, since its state may be outdated.
 func (w *Watch) handleSubscribe(_ context.Context, _ *wire.Conn, _ wire.Subscribe) (wire.Snapshot, error) {
 	if !w.joined.Load() {
 		return wire.Snapshot{}, nil
@@ -250,6 +252,8 @@
 	return w.state.Snapshot(wire.Versions(q)), nil
 }
 
+// broadcast announces the active versions to the connected processes, which then fetch
+// what they lack.
 func (w *Watch) broadcast(ctx context.Context) {
 	if !w.joined.Load() {
 		return
@@ -270,6 +274,7 @@
 	}()
 }
 
+// fetchFrom fetches and applies what the remote process has that is newer.
 func (w *Watch) fetchFrom(ctx context.Context, c *wire.Conn) error {
 	requestedAt := time.Now()
 	have := w.state.Versions()
--- a/wire/message.go
+++ b/wire/message.go
@@ -62,9 +62,9 @@
 	Endpoint  string    `cbor:"1,keyasint"`
 	Mean      []float32 `cbor:"2,keyasint"` // expected tokens in memory, per horizon
 	Deviation []float32 `cbor:"3,keyasint"`
-	Running   int       `cbor:"4,keyasint"`
-	Waiting   int       `cbor:"5,keyasint"` // expected tokens of queued requests
-	Rank      int       `cbor:"8,keyasint,omitempty"`
+	Running   int       `cbor:"4,keyasint"`           // running requests
+	Waiting   int       `cbor:"5,keyasint"`           // expected tokens of the queued requests of Rank
+	Rank      int       `cbor:"8,keyasint,omitempty"` // most urgent rank with queued requests
 
 	// WantOtherUsage requests the usage of other boxes. It is set for one of the
 	// endpoint's slots only, since both owners have the same data.
@@ -117,11 +117,11 @@
 type ClaimRequest struct {
 	Key         core.ClaimKey    `cbor:"1,keyasint"`
 	Attempt     string           `cbor:"2,keyasint"`
-	Asker       core.Box         `cbor:"3,keyasint"`
+	Asker       core.Box         `cbor:"3,keyasint"` // process that requests the claim
 	ListVersion uint64           `cbor:"4,keyasint"`
-	HomeKnown   core.Incarnation `cbor:"5,keyasint,omitempty"`
-	Timed       bool             `cbor:"6,keyasint,omitempty"`
-	KeyTime     time.Time        `cbor:"7,keyasint"` // creation time in the key, if Timed
+	HomeKnown   core.Incarnation `cbor:"5,keyasint,omitempty"` // latest incarnation of the claim owner known to Asker; 0 if none
+	Timed       bool             `cbor:"6,keyasint,omitempty"` // the key contains its creation time
+	KeyTime     time.Time        `cbor:"7,keyasint"`           // creation time in the key, if Timed
 }
 
 // Kind implements Message.
