--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -90,15 +90,15 @@
 // startBox starts all processes of a box in the test process, with one engine and the
 // given worker.
 func startBox(worker engine.Worker, sections ...string) *settings.Box {
-	engineAt := freeAddress()
-	startEngine(engineName(0), engineAt)
-	return startBoxWithEngines([]netip.AddrPort{engineAt}, worker, sections...)
+	engineAddress := freeAddress()
+	startEngine(engineName(0), engineAddress)
+	return startBoxWithEngines([]netip.AddrPort{engineAddress}, worker, sections...)
 }
 
 // startBoxWithEngines starts all processes of a box with endpoints at the given addresses.
 func startBoxWithEngines(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
-	platformAt := freeAddress()
-	b := testBox(platformAt)
+	platformAddress := freeAddress()
+	b := testBox(platformAddress)
 	var statuses []core.EndpointStatus
 	for i := range engines {
 		statuses = append(statuses, core.EndpointStatus{Name: engineName(i)})
@@ -117,7 +117,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	platform, err := standin.NewPlatform(testConfig(engines, strings.Join(sections, "")), list)
 	Expect(err).NotTo(HaveOccurred())
-	go platform.HTTPServer(platformAt).Spin()
+	go platform.HTTPServer(platformAddress).Spin()
 	log := zap.NewNop()
 	_, err = watch.Start(b, log)
 	Expect(err).NotTo(HaveOccurred())
--- a/entry/call.go
+++ b/entry/call.go
@@ -32,7 +32,7 @@
 	customerConfig *config.Customer
 	customer       *customer
 	model          *model
-	p              *parsedRequest
+	parsed         *parsedRequest
 	request        admission.Request
 	rules          core.GenerationRules // limits of attempts and resumption
 	gen            *core.Generation
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -46,11 +46,11 @@
 		Address:    settings.Address,
 		Endpoint:   settings.Name,
 		Generation: c.Origin.Generation,
-		Chat:       k.p.chat,
-		Model:      k.p.model,
+		Chat:       k.parsed.chat,
+		Model:      k.parsed.model,
 		Priority:   k.request.Rank,
-		MaxTokens:  k.p.maxTokens,
-		Body:       k.p.body,
+		MaxTokens:  k.parsed.maxTokens,
+		Body:       k.parsed.body,
 		LeaseEnd:   until,
 	}, sink)
 }
@@ -68,7 +68,7 @@
 		k.entry.worker.Resume(ctx, engine.ResumeCall{
 			Address: settings.Address,
 			Origin:  c.Origin,
-			Chat:    k.p.chat,
+			Chat:    k.parsed.chat,
 			From:    c.From,
 		}, sink)
 	}()
@@ -192,15 +192,15 @@
 // assignID creates the stream ID when the first token arrives. The ID identifies the
 // generation, so that any box can continue the stream.
 func (k *call) assignID(origin core.Origin) {
-	id, err := encodeStreamID(k.entry.settings.Secret, &identity{
+	id, err := encodeStreamID(k.entry.settings.Secret, &streamIdentity{
 		Endpoint:     origin.Endpoint,
 		Incarnation:  origin.Incarnation,
 		Generation:   origin.Generation,
 		Customer:     k.customerConfig.Name,
-		Model:        k.p.model,
-		Chat:         k.p.chat,
-		PromptTokens: k.p.promptTokens,
-		MaxTokens:    k.p.maxTokens,
+		Model:        k.parsed.model,
+		Chat:         k.parsed.chat,
+		PromptTokens: k.parsed.promptTokens,
+		MaxTokens:    k.parsed.maxTokens,
 	})
 	if err != nil {
 		return
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -13,7 +13,7 @@
 // handleCallerLoss handles the disconnect of the caller. A caller that waits for a buffered
 // answer has received no stream ID to continue with, so its generation is cancelled.
 func (k *call) handleCallerLoss() {
-	if !k.p.stream {
+	if !k.parsed.stream {
 		k.step(core.CallerGone{})
 		return
 	}
@@ -48,11 +48,11 @@
 // restart starts a lost, repeatable buffered answer over, since its caller has received
 // nothing of it. It reports whether it did.
 func (k *call) restart() bool {
-	if k.p.stream || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
+	if k.parsed.stream || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
 		return false
 	}
 	k.restarted = true
-	k.out = newBufferedWriter(k.c, k.p)
+	k.out = newBufferedWriter(k.c, k.parsed)
 	k.gen = core.NewGeneration(true, k.rules)
 	k.gen.MayHaveRun = true
 	k.place("")
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -68,7 +68,7 @@
 	return k.run()
 }
 
-func (e *Entry) newCall(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, p *parsedRequest, repeatable bool) *call {
+func (e *Entry) newCall(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, parsed *parsedRequest, repeatable bool) *call {
 	tier := d.Tier(customerConfig.Tier)
 	now := time.Now()
 	k := &call{
@@ -78,8 +78,8 @@
 		document:       d,
 		customerConfig: customerConfig,
 		customer:       e.customerOf(customerConfig),
-		model:          e.modelOf(p.model),
-		p:              p,
+		model:          e.modelOf(parsed.model),
+		parsed:         parsed,
 		request: admission.Request{
 			Customer:     customerConfig.Name,
 			Class:        customerConfig.Class,
@@ -87,9 +87,9 @@
 			Rank:         tier.Rank,
 			Weight:       customerConfig.Weight,
 			Risk:         tier.Risk,
-			PromptTokens: p.promptTokens,
-			MaxTokens:    p.maxTokens,
-			Prefix:       p.prefix,
+			PromptTokens: parsed.promptTokens,
+			MaxTokens:    parsed.maxTokens,
+			Prefix:       parsed.prefix,
 			ArrivedAt:    now,
 		},
 		rules: core.GenerationRules{
@@ -110,10 +110,10 @@
 		Repeatable: repeatable,
 		Rules:      k.rules,
 	})
-	if p.stream {
-		k.out = newStreamWriter(c, connOf(ctx), p)
+	if parsed.stream {
+		k.out = newStreamWriter(c, connOf(ctx), parsed)
 	} else {
-		k.out = newBufferedWriter(c, p)
+		k.out = newBufferedWriter(c, parsed)
 	}
 	return k
 }
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -15,18 +15,18 @@
 // contentDigest returns the digest of the request's content, which is equal for all repeats.
 func (k *call) contentDigest() core.Digest {
 	kind := "text"
-	if k.p.chat {
+	if k.parsed.chat {
 		kind = "chat"
 	}
-	return core.NewDigest([]byte(k.customerConfig.Name), []byte(kind), k.p.body)
+	return core.NewDigest([]byte(k.customerConfig.Name), []byte(kind), k.parsed.body)
 }
 
 // detectEndpointCrash checks whether the endpoint of a lost attempt has crashed. It skips
 // endpoints that are leaving, whose exit is planned.
 func (k *call) detectEndpointCrash() {
 	name := k.gen.Origin.Endpoint
-	at := k.document.Endpoint(name)
-	if at == nil || k.entry.isLeaving(name) {
+	settings := k.document.Endpoint(name)
+	if settings == nil || k.entry.isLeaving(name) {
 		return
 	}
 	l := lostAttempt{
@@ -35,7 +35,7 @@
 		customer:      k.customerConfig.Name,
 		contentDigest: k.contentDigest(),
 		incarnation:   fmt.Sprintf("%s/%d", name, k.incarnation),
-		address:       at.Address,
+		address:       settings.Address,
 	}
 	detected := make(chan struct{})
 	go func() {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -142,10 +142,10 @@
 }
 
 // panicLogger returns a callback that counts and logs panics in the named component.
-func panicLogger(log *zap.Logger, where string) engine.PanicHandler {
+func panicLogger(log *zap.Logger, component string) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		panics.Inc()
-		log.Error("request "+where+" panicked; other requests continue", zap.Any("fault", fault), zap.ByteString("stack", stack))
+		log.Error("request "+component+" panicked; other requests continue", zap.Any("fault", fault), zap.ByteString("stack", stack))
 	}
 }
 
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -19,9 +19,9 @@
 // tagSize is the length of the stream ID's prefix in its event IDs, in characters.
 const tagSize = 8
 
-// identity holds what a box needs to continue a stream that another box began. A stream ID
+// streamIdentity holds what a box needs to continue a stream that another box began. A stream ID
 // is its encoding, with a MAC keyed by the fleet's secret.
-type identity struct {
+type streamIdentity struct {
 	Endpoint     string           `cbor:"1,keyasint"`
 	Incarnation  core.Incarnation `cbor:"2,keyasint"`
 	Generation   string           `cbor:"3,keyasint"`
@@ -32,7 +32,7 @@
 	MaxTokens    int              `cbor:"8,keyasint"`
 }
 
-func (i *identity) origin() core.Origin {
+func (i *streamIdentity) origin() core.Origin {
 	return core.Origin{
 		Endpoint:    i.Endpoint,
 		Incarnation: i.Incarnation,
@@ -40,7 +40,7 @@
 	}
 }
 
-func encodeStreamID(secret string, i *identity) (string, error) {
+func encodeStreamID(secret string, i *streamIdentity) (string, error) {
 	body, err := cbor.Marshal(i)
 	if err != nil {
 		return "", err
@@ -55,7 +55,7 @@
 }
 
 // decodeStreamID decodes a stream ID and reports false if the fleet did not issue it.
-func decodeStreamID(secret, id string) (*identity, bool) {
+func decodeStreamID(secret, id string) (*streamIdentity, bool) {
 	raw, err := base64.RawURLEncoding.DecodeString(id)
 	if err != nil || len(raw) <= macSize {
 		return nil, false
@@ -63,7 +63,7 @@
 	if !hmac.Equal(raw[:macSize], computeMAC(secret, raw[macSize:])) {
 		return nil, false
 	}
-	var i identity
+	var i streamIdentity
 	if cbor.Unmarshal(raw[macSize:], &i) != nil {
 		return nil, false
 	}
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -16,7 +16,7 @@
 const cancelTimeout = 2 * time.Second
 
 // lookupStream decodes the stream ID in the path, if the stream belongs to the customer.
-func (e *Entry) lookupStream(c *app.RequestContext, customer string) (*identity, *Problem) {
+func (e *Entry) lookupStream(c *app.RequestContext, customer string) (*streamIdentity, *Problem) {
 	i, ok := decodeStreamID(e.settings.Secret, c.Param("id"))
 	if !ok || i.Customer != customer {
 		return nil, newRejection(http.StatusNotFound, "stream_not_found", "no stream of this customer has this id; use the Dillsaddle-Request of a stream's answer")
@@ -26,7 +26,7 @@
 
 // withStream authenticates the caller, looks up its stream and calls handle, or answers with a
 // problem.
-func (e *Entry) withStream(ctx context.Context, c *app.RequestContext, handle func(*config.Document, *config.Customer, *identity)) {
+func (e *Entry) withStream(ctx context.Context, c *app.RequestContext, handle func(*config.Document, *config.Customer, *streamIdentity)) {
 	d, customerConfig, problem := e.beginRequest(ctx, c)
 	if problem != nil {
 		problem.answer(c)
@@ -43,12 +43,12 @@
 
 // continueStream resumes a stream that any box may have begun.
 func (e *Entry) continueStream(ctx context.Context, c *app.RequestContext) {
-	e.withStream(ctx, c, func(d *config.Document, customerConfig *config.Customer, i *identity) {
+	e.withStream(ctx, c, func(d *config.Document, customerConfig *config.Customer, i *streamIdentity) {
 		e.resumeStream(ctx, c, d, customerConfig, i)
 	})
 }
 
-func (e *Entry) resumeStream(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, i *identity) {
+func (e *Entry) resumeStream(ctx context.Context, c *app.RequestContext, d *config.Document, customerConfig *config.Customer, i *streamIdentity) {
 	id := c.Param("id")
 	next, ok := nextOffset(id, string(c.GetHeader(lastEventIDHeader)))
 	if !ok {
@@ -72,7 +72,7 @@
 
 // registerResumed adds the resumed stream to this box's calls and admission state. A previous
 // connection of the stream on this box is ended.
-func (k *call) registerResumed(i *identity, next uint64) {
+func (k *call) registerResumed(i *streamIdentity, next uint64) {
 	if old, found := k.entry.calls.Get(k.id); found {
 		old.supersede()
 	}
@@ -96,10 +96,10 @@
 
 // cancelStream cancels a stream that any box may have begun.
 func (e *Entry) cancelStream(ctx context.Context, c *app.RequestContext) {
-	e.withStream(ctx, c, func(_ *config.Document, _ *config.Customer, i *identity) { e.cancelIdentified(c, i) })
+	e.withStream(ctx, c, func(_ *config.Document, _ *config.Customer, i *streamIdentity) { e.cancelIdentified(c, i) })
 }
 
-func (e *Entry) cancelIdentified(c *app.RequestContext, i *identity) {
+func (e *Entry) cancelIdentified(c *app.RequestContext, i *streamIdentity) {
 	if k, found := e.calls.Get(c.Param("id")); found {
 		k.cancel()
 	}
--- a/entry/services.go
+++ b/entry/services.go
@@ -139,8 +139,8 @@
 
 // place selects a server for the next try, if the deadline and the retry budget allow one.
 func (k *serviceCall) place(c core.PlaceAgain) {
-	again := c.Avoid != ""
-	if again && (time.Until(k.deadline) <= 0 || !k.entry.customerOf(k.customerConfig).takeRetry()) {
+	isRetry := c.Avoid != ""
+	if isRetry && (time.Until(k.deadline) <= 0 || !k.entry.customerOf(k.customerConfig).takeRetry()) {
 		k.step(core.CallerGone{})
 		k.problem = k.failureProblem(core.EndStream{
 			Outcome: k.gen.Outcome,
@@ -148,7 +148,7 @@
 		})
 		return
 	}
-	if again {
+	if isRetry {
 		retries.Inc()
 		time.Sleep(core.Backoff(k.gen.Attempt, retryBaseDelay, retryMaxDelay, rand.Float64()))
 	}
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -22,15 +22,15 @@
 	c      *app.RequestContext
 	conn   *callerConn
 	body   network.ExtWriter
-	p      *parsedRequest
+	parsed *parsedRequest
 	buffer []byte
 }
 
-func newStreamWriter(c *app.RequestContext, conn *callerConn, p *parsedRequest) *streamWriter {
+func newStreamWriter(c *app.RequestContext, conn *callerConn, parsed *parsedRequest) *streamWriter {
 	return &streamWriter{
-		c:    c,
-		conn: conn,
-		p:    p,
+		c:      c,
+		conn:   conn,
+		parsed: parsed,
 	}
 }
 
@@ -115,16 +115,16 @@
 }
 
 func (w *streamWriter) finish(id string, offset uint64, last engine.Finished) error {
-	if !w.p.includeUsage {
+	if !w.parsed.includeUsage {
 		w.writeToken(id, offset, appendOutcome(last.Data, core.Ran))
 		return w.writeDone(id, offset, core.Ran)
 	}
 	w.writeToken(id, offset, last.Data)
 	chunk, err := json.Marshal(completionResponse{
 		ID:      last.Origin.Generation,
-		Object:  objectName(w.p.chat, true),
+		Object:  objectName(w.parsed.chat, true),
 		Created: time.Now().Unix(),
-		Model:   w.p.model,
+		Model:   w.parsed.model,
 		Choices: []completionChoice{},
 		Usage:   newUsageBody(last.Usage),
 		Outcome: core.Ran,
@@ -190,16 +190,16 @@
 
 // bufferedWriter collects a stream into a single response.
 type bufferedWriter struct {
-	c    *app.RequestContext
-	p    *parsedRequest
-	text strings.Builder
-	id   string
+	c      *app.RequestContext
+	parsed *parsedRequest
+	text   strings.Builder
+	id     string
 }
 
-func newBufferedWriter(c *app.RequestContext, p *parsedRequest) *bufferedWriter {
+func newBufferedWriter(c *app.RequestContext, parsed *parsedRequest) *bufferedWriter {
 	return &bufferedWriter{
-		c: c,
-		p: p,
+		c:      c,
+		parsed: parsed,
 	}
 }
 
@@ -246,7 +246,7 @@
 		choice.Reason = t.Choices[0].Reason
 	}
 	text := w.text.String()
-	if w.p.chat {
+	if w.parsed.chat {
 		choice.Message = &completionMessage{
 			Role:    "assistant",
 			Content: text,
@@ -258,9 +258,9 @@
 	w.c.Response.Header.Set(outcomeHeader, string(core.Ran))
 	w.c.JSON(http.StatusOK, completionResponse{
 		ID:      last.Origin.Generation,
-		Object:  objectName(w.p.chat, false),
+		Object:  objectName(w.parsed.chat, false),
 		Created: time.Now().Unix(),
-		Model:   w.p.model,
+		Model:   w.parsed.model,
 		Choices: []completionChoice{choice},
 		Usage:   newUsageBody(last.Usage),
 		Outcome: core.Ran,
--- a/node/node.go
+++ b/node/node.go
@@ -11,12 +11,12 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
-// aggregate is implemented by all aggregates of the core.
+// aggregate is a state machine of the packages core and admission.
 type aggregate interface {
 	Step(now time.Time, ev core.Event) []core.Command
 }
 
-// Node holds the aggregates of one node.
+// Node holds the aggregates of one box by name.
 type Node struct {
 	aggregates map[string]aggregate
 	options    []core.Option
@@ -25,8 +25,7 @@
 // Option configures a Node.
 type Option func(*Node)
 
-// WithCore passes options to the core aggregates, for instance to switch off a
-// guard.
+// WithCore passes options to the core aggregates, for instance to switch off a guard.
 func WithCore(options ...core.Option) Option {
 	return func(n *Node) { n.options = append(n.options, options...) }
 }
--- a/watch/join.go
+++ b/watch/join.go
@@ -12,10 +12,10 @@
 // peerQuery tracks the peers that a starting watch queries; core.Join decides when
 // the watch may serve.
 type peerQuery struct {
-	mu      sync.Mutex
-	core    *core.Join
-	once    sync.Once
-	serving chan struct{}
+	mu        sync.Mutex
+	core      *core.Join
+	closeOnce sync.Once
+	serving   chan struct{}
 }
 
 func newPeerQuery(now time.Time) *peerQuery {
@@ -25,12 +25,12 @@
 	}
 }
 
-func (j *peerQuery) step(ev core.Event) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.core.Step(time.Now(), ev)
-	if j.core.State == core.JoinServing {
-		j.once.Do(func() { close(j.serving) })
+func (q *peerQuery) step(ev core.Event) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.core.Step(time.Now(), ev)
+	if q.core.State == core.JoinServing {
+		q.closeOnce.Do(func() { close(q.serving) })
 	}
 }
 
@@ -38,20 +38,20 @@
 // the platform may be down or return an older state.
 func (w *Watch) queryPeers(ctx context.Context) {
 	w.waitForList(ctx)
-	j := newPeerQuery(time.Now())
+	q := newPeerQuery(time.Now())
 	addresses := w.bootstrapAddresses()
 	names := make([]string, 0, len(addresses))
 	for _, address := range addresses {
 		names = append(names, address.String())
 	}
-	j.step(core.PeersListed{Boxes: names})
+	q.step(core.PeersListed{Boxes: names})
 	for _, address := range addresses {
-		go w.queryPeer(ctx, j, address)
+		go w.queryPeer(ctx, q, address)
 	}
 	select {
-	case <-j.serving:
+	case <-q.serving:
 	case <-time.After(peerTimeout):
-		j.step(core.JoinTicked{})
+		q.step(core.JoinTicked{})
 	case <-ctx.Done():
 	}
 }
@@ -68,7 +68,7 @@
 	return append(all, w.settings.Peers...)
 }
 
-func (w *Watch) queryPeer(ctx context.Context, j *peerQuery, address netip.AddrPort) {
+func (w *Watch) queryPeer(ctx context.Context, q *peerQuery, address netip.AddrPort) {
 	dialCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	c, err := w.pool.Get(dialCtx, address)
@@ -78,8 +78,8 @@
 		err = w.fetchFrom(fetchCtx, c)
 	}
 	if err != nil {
-		j.step(core.PeerUnreachable{Box: address.String()})
+		q.step(core.PeerUnreachable{Box: address.String()})
 		return
 	}
-	j.step(core.PeerAnswered{Box: address.String()})
+	q.step(core.PeerAnswered{Box: address.String()})
 }
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -197,15 +197,15 @@
 // readList reads the list if it is newer than the active one, waiting up to wait.
 func (w *Watch) readList(ctx context.Context, wait time.Duration) {
 	requestedAt := time.Now()
-	have := w.state.Versions().List
+	activeVersion := w.state.Versions().List
 	platformCalls.Inc()
-	body, err := w.platform.fetch(ctx, "list", have, wait)
+	body, err := w.platform.fetch(ctx, "list", activeVersion, wait)
 	if err != nil {
 		w.handlePollError(ctx)
 		return
 	}
 	if body == nil {
-		w.state.ConfirmList(have, requestedAt)
+		w.state.ConfirmList(activeVersion, requestedAt)
 		return
 	}
 	list, err := parseList(body)
@@ -277,9 +277,9 @@
 // fetchFrom fetches and applies what the remote process has that is newer.
 func (w *Watch) fetchFrom(ctx context.Context, c *wire.Conn) error {
 	requestedAt := time.Now()
-	have := w.state.Versions()
+	active := w.state.Versions()
 	peerFetches.Inc()
-	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, wire.Fetch(have), peerTimeout)
+	s, err := wire.CallWithIdleTimeout[wire.Snapshot](ctx, c, wire.Fetch(active), peerTimeout)
 	if err == nil {
 		w.state.Apply(s, requestedAt)
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -36,7 +36,7 @@
 	lastID        uint64
 	pending       map[uint64]chan envelope
 	closed        chan struct{}
-	once          sync.Once
+	closeOnce     sync.Once
 	openedAt      time.Time
 	lastReadNanos atomic.Int64 // time of the last read, in nanoseconds since openedAt
 }
@@ -86,7 +86,7 @@
 
 // Close closes the connection. It may be called more than once.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		_ = c.socket.CloseNow()
 	})
