--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -46,7 +46,7 @@
 		Address:    settings.Address,
 		Endpoint:   settings.Name,
 		Generation: c.Origin.Generation,
-		Chat:       k.parsed.chat,
+		Chat:       k.parsed.isChat,
 		Model:      k.parsed.model,
 		Priority:   k.request.Rank,
 		MaxTokens:  k.parsed.maxTokens,
@@ -68,7 +68,7 @@
 		k.entry.worker.Resume(ctx, engine.ResumeCall{
 			Address: settings.Address,
 			Origin:  c.Origin,
-			Chat:    k.parsed.chat,
+			Chat:    k.parsed.isChat,
 			From:    c.From,
 		}, sink)
 	}()
@@ -198,7 +198,7 @@
 		Generation:   origin.Generation,
 		Customer:     k.customerConfig.Name,
 		Model:        k.parsed.model,
-		Chat:         k.parsed.chat,
+		Chat:         k.parsed.isChat,
 		PromptTokens: k.parsed.promptTokens,
 		MaxTokens:    k.parsed.maxTokens,
 	})
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -13,7 +13,7 @@
 // handleCallerLoss handles the disconnect of the caller. A caller that waits for a buffered
 // answer has received no stream ID to continue with, so its generation is cancelled.
 func (k *call) handleCallerLoss() {
-	if !k.parsed.stream {
+	if !k.parsed.isStreaming {
 		k.step(core.CallerGone{})
 		return
 	}
@@ -48,7 +48,7 @@
 // restart starts a lost, repeatable buffered answer over, since its caller has received
 // nothing of it. It reports whether it did.
 func (k *call) restart() bool {
-	if k.parsed.stream || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
+	if k.parsed.isStreaming || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
 		return false
 	}
 	k.restarted = true
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -110,7 +110,7 @@
 		Repeatable: repeatable,
 		Rules:      k.rules,
 	})
-	if parsed.stream {
+	if parsed.isStreaming {
 		k.out = newStreamWriter(c, connOf(ctx), parsed)
 	} else {
 		k.out = newBufferedWriter(c, parsed)
--- a/entry/crash.go
+++ b/entry/crash.go
@@ -15,7 +15,7 @@
 // contentDigest returns the digest of the request's content, which is equal for all repeats.
 func (k *call) contentDigest() core.Digest {
 	kind := "text"
-	if k.parsed.chat {
+	if k.parsed.isChat {
 		kind = "chat"
 	}
 	return core.NewDigest([]byte(k.customerConfig.Name), []byte(kind), k.parsed.body)
--- a/entry/request.go
+++ b/entry/request.go
@@ -40,8 +40,8 @@
 type parsedRequest struct {
 	body         []byte
 	model        string
-	chat         bool
-	stream       bool
+	isChat       bool
+	isStreaming  bool
 	includeUsage bool
 	maxTokens    int
 	promptTokens int    // estimate
@@ -55,7 +55,7 @@
 // prefixBytes is how much of the prompt's start is hashed to identify its cached prefix.
 const prefixBytes = 64
 
-func parseCompletion(d *config.Document, body []byte, chat bool) (*parsedRequest, *Problem) {
+func parseCompletion(d *config.Document, body []byte, isChat bool) (*parsedRequest, *Problem) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
 		return nil, jsonProblem(err)
@@ -63,8 +63,8 @@
 	p := &parsedRequest{
 		body:         body,
 		model:        b.Model,
-		chat:         chat,
-		stream:       b.Stream,
+		isChat:       isChat,
+		isStreaming:  b.Stream,
 		includeUsage: b.StreamOptions.IncludeUsage,
 	}
 	if problem := p.checkText(&b); problem != nil {
@@ -87,7 +87,7 @@
 }
 
 func (p *parsedRequest) checkText(b *completionBody) *Problem {
-	if p.chat {
+	if p.isChat {
 		return checkMessages(b.Messages)
 	}
 	if len(b.Prompt) == 0 || string(b.Prompt) == "null" {
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -57,8 +57,8 @@
 	}
 	p := &parsedRequest{
 		model:        i.Model,
-		chat:         i.Chat,
-		stream:       true,
+		isChat:       i.Chat,
+		isStreaming:  true,
 		promptTokens: i.PromptTokens,
 		maxTokens:    i.MaxTokens,
 	}
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -122,7 +122,7 @@
 	w.writeToken(id, offset, last.Data)
 	chunk, err := json.Marshal(completionResponse{
 		ID:      last.Origin.Generation,
-		Object:  objectName(w.parsed.chat, true),
+		Object:  objectName(w.parsed.isChat, true),
 		Created: time.Now().Unix(),
 		Model:   w.parsed.model,
 		Choices: []completionChoice{},
@@ -246,7 +246,7 @@
 		choice.Reason = t.Choices[0].Reason
 	}
 	text := w.text.String()
-	if w.parsed.chat {
+	if w.parsed.isChat {
 		choice.Message = &completionMessage{
 			Role:    "assistant",
 			Content: text,
@@ -258,7 +258,7 @@
 	w.c.Response.Header.Set(outcomeHeader, string(core.Ran))
 	w.c.JSON(http.StatusOK, completionResponse{
 		ID:      last.Origin.Generation,
-		Object:  objectName(w.parsed.chat, false),
+		Object:  objectName(w.parsed.isChat, false),
 		Created: time.Now().Unix(),
 		Model:   w.parsed.model,
 		Choices: []completionChoice{choice},
