--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -73,7 +73,7 @@
 
 // startEngine starts an emulated engine and returns a function that stops it.
 func startEngine(name string, address netip.AddrPort) (stop func()) {
-	served := standin.NewEngine(standin.EngineRules{
+	server := standin.NewEngine(standin.EngineRules{
 		Name:   name,
 		Models: []string{modelName},
 		Batch:  standin.DefaultBatchRules(),
@@ -83,22 +83,22 @@
 			MaxLength: 100,
 		},
 	}).HTTPServer(address)
-	go served.Spin()
-	return func() { _ = served.Close() }
+	go server.Spin()
+	return func() { _ = server.Close() }
 }
 
 // startBox starts all processes of a box in the test process, with one engine and the
 // given worker.
 func startBox(worker engine.Worker, sections ...string) *settings.Box {
-	engineAt := freeAddress()
-	startEngine(engineName(0), engineAt)
-	return startBoxWithEngines([]netip.AddrPort{engineAt}, worker, sections...)
+	engineAddress := freeAddress()
+	startEngine(engineName(0), engineAddress)
+	return startBoxWithEngines([]netip.AddrPort{engineAddress}, worker, sections...)
 }
 
 // startBoxWithEngines starts all processes of a box with endpoints at the given addresses.
 func startBoxWithEngines(engines []netip.AddrPort, worker engine.Worker, sections ...string) *settings.Box {
-	platformAt := freeAddress()
-	b := testBox(platformAt)
+	platformAddress := freeAddress()
+	b := testBox(platformAddress)
 	var statuses []core.EndpointStatus
 	for i := range engines {
 		statuses = append(statuses, core.EndpointStatus{Name: engineName(i)})
@@ -117,7 +117,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	platform, err := standin.NewPlatform(testConfig(engines, strings.Join(sections, "")), list)
 	Expect(err).NotTo(HaveOccurred())
-	go platform.HTTPServer(platformAt).Spin()
+	go platform.HTTPServer(platformAddress).Spin()
 	log := zap.NewNop()
 	_, err = watch.Start(b, log)
 	Expect(err).NotTo(HaveOccurred())
--- a/entry/call.go
+++ b/entry/call.go
@@ -32,7 +32,7 @@
 	customerConfig *config.Customer
 	customer       *customer
 	model          *model
-	p              *parsedRequest
+	parsed         *parsedRequest
 	request        admission.Request
 	rules          core.GenerationRules // limits of attempts and resumption
 	gen            *core.Generation
@@ -59,7 +59,7 @@
 
 // writer writes a stream to its caller.
 type writer interface {
-	token(id string, offset uint64, data []byte)
+	writeToken(id string, offset uint64, data []byte)
 	flush() error
 	finish(id string, offset uint64, last engine.Finished) error
 	fail(id string, offset uint64, p *Problem) bool // reports whether the response had already begun
@@ -89,6 +89,7 @@
 // supersede ends the call because another connection continues its stream.
 func (k *call) supersede() { k.supersedeOnce.Do(func() { close(k.superseded) }) }
 
+// step applies an event to the generation and executes the resulting commands.
 func (k *call) step(ev core.Event) {
 	now := time.Now()
 	k.entry.recorder.Event(now, trace.Generation+k.name, ev)
@@ -142,6 +143,7 @@
 	}
 }
 
+// allowRetry counts a retry and reports whether the customer's retry budget allows it.
 func (k *call) allowRetry() bool {
 	retries.Inc()
 	return k.customer.takeRetry()
--- a/entry/call_attempt.go
+++ b/entry/call_attempt.go
@@ -11,6 +11,7 @@
 	"dillsaddle.example/dillsaddle/trace"
 )
 
+// openSink replaces the sink of the previous attempt by one for a new attempt.
 func (k *call) openSink(attempt int) (context.Context, chan engine.Message) {
 	k.closeSink()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,11 +46,11 @@
 		Address:    settings.Address,
 		Endpoint:   settings.Name,
 		Generation: c.Origin.Generation,
-		Chat:       k.p.chat,
-		Model:      k.p.model,
+		Chat:       k.parsed.isChat,
+		Model:      k.parsed.model,
 		Priority:   k.request.Rank,
-		MaxTokens:  k.p.maxTokens,
-		Body:       k.p.body,
+		MaxTokens:  k.parsed.maxTokens,
+		Body:       k.parsed.body,
 		LeaseEnd:   until,
 	}, sink)
 }
@@ -67,7 +68,7 @@
 		k.entry.worker.Resume(ctx, engine.ResumeCall{
 			Address: settings.Address,
 			Origin:  c.Origin,
-			Chat:    k.p.chat,
+			Chat:    k.parsed.isChat,
 			From:    c.From,
 		}, sink)
 	}()
@@ -129,9 +130,10 @@
 	}
 }
 
-// tokens writes a token, and all tokens already buffered after it, in one write.
+// tokens writes a token, and all tokens already buffered after it, in one write. It then
+// handles the message that follows them.
 func (k *call) tokens(t engine.Token) {
-	count := k.token(t)
+	count := k.writeToken(t)
 	var after engine.Message
 	for after == nil && count < sinkCapacity && k.sink != nil {
 		select {
@@ -139,7 +141,7 @@
 			if !open {
 				after = engine.Lost{}
 			} else if more, ok := m.(engine.Token); ok {
-				count += k.token(more)
+				count += k.writeToken(more)
 			} else {
 				after = m
 			}
@@ -159,8 +161,9 @@
 	k.handleMessage(after)
 }
 
-// token forwards a token if the generation accepts it, and returns the number forwarded.
-func (k *call) token(t engine.Token) int {
+// writeToken writes a token to the caller if the generation accepts it, and returns the number
+// of tokens written. The caller's writer is not flushed.
+func (k *call) writeToken(t engine.Token) int {
 	arrived := core.FrameArrived{
 		Attempt: k.sinkAttempt,
 		Origin:  t.Origin,
@@ -181,7 +184,7 @@
 	if k.id == "" {
 		k.assignID(t.Origin)
 	}
-	k.out.token(k.id, t.Offset, t.Data)
+	k.out.writeToken(k.id, t.Offset, t.Data)
 	k.gen.CountForwarded()
 	return 1
 }
@@ -189,15 +192,15 @@
 // assignID creates the stream ID when the first token arrives. The ID identifies the
 // generation, so that any box can continue the stream.
 func (k *call) assignID(origin core.Origin) {
-	id, err := encodeStreamID(k.entry.settings.Secret, &identity{
+	id, err := encodeStreamID(k.entry.settings.Secret, &streamIdentity{
 		Endpoint:     origin.Endpoint,
 		Incarnation:  origin.Incarnation,
 		Generation:   origin.Generation,
 		Customer:     k.customerConfig.Name,
-		Model:        k.p.model,
-		Chat:         k.p.chat,
-		PromptTokens: k.p.promptTokens,
-		MaxTokens:    k.p.maxTokens,
+		Model:        k.parsed.model,
+		Chat:         k.parsed.isChat,
+		PromptTokens: k.parsed.promptTokens,
+		MaxTokens:    k.parsed.maxTokens,
 	})
 	if err != nil {
 		return
--- a/entry/call_end.go
+++ b/entry/call_end.go
@@ -13,7 +13,7 @@
 // handleCallerLoss handles the disconnect of the caller. A caller that waits for a buffered
 // answer has received no stream ID to continue with, so its generation is cancelled.
 func (k *call) handleCallerLoss() {
-	if !k.p.stream {
+	if !k.parsed.isStreaming {
 		k.step(core.CallerGone{})
 		return
 	}
@@ -33,13 +33,13 @@
 // continue the stream through any box.
 func (k *call) detachCaller(origin core.Origin) {
 	k.closeSink()
-	placed, m, generated := k.placementID, k.model, int(k.gen.NextOffset)
+	placement, m, generated := k.placementID, k.model, int(k.gen.NextOffset)
 	k.placementID = ""
 	callersLeft.Inc()
 	time.AfterFunc(k.document.Limits.ResumeWindow, func() {
 		_ = k.entry.cancelGeneration(origin, true)
 		m.step(time.Now(), admission.GenerationEnded{
-			ID:        placed,
+			ID:        placement,
 			Generated: generated,
 		})
 	})
@@ -48,11 +48,11 @@
 // restart starts a lost, repeatable buffered answer over, since its caller has received
 // nothing of it. It reports whether it did.
 func (k *call) restart() bool {
-	if k.p.stream || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
+	if k.parsed.isStreaming || !k.gen.Repeatable || k.restarted || k.gen.Code != core.EndLost {
 		return false
 	}
 	k.restarted = true
-	k.out = newBufferedWriter(k.c, k.p)
+	k.out = newBufferedWriter(k.c, k.parsed)
 	k.gen = core.NewGeneration(true, k.rules)
 	k.gen.MayHaveRun = true
 	k.place("")
@@ -90,7 +90,7 @@
 	if k.gen.State != core.GenerationEnded {
 		k.cancelUnfinished()
 	}
-	if held, _ := k.entry.calls.Get(k.id); held == k {
+	if current, _ := k.entry.calls.Get(k.id); current == k {
 		k.entry.calls.Delete(k.id)
 	}
 	k.closeSink()
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -30,16 +30,16 @@
 	hasKeyTime   bool
 	keyCreatedAt time.Time // creation time in the key, if hasKeyTime
 	attempt      string
-	owner        string
-	until        time.Time
-	isUnkeyed    bool // the request has no idempotency key, so no claim owner is involved
+	owner        string    // box that owns the claim
+	until        time.Time // the request must not be sent later
+	isUnkeyed    bool      // the request has no idempotency key, so no claim owner is involved
 }
 
 // claim obtains permission to send a request that may run at most once. A request without
 // an idempotency key can't be recognized as a repeat: it needs no claim owner and is sent
 // once. If the request has already run, claim replays its answer and returns a nil claim.
 func (e *Entry) claim(ctx context.Context, c *app.RequestContext, customerConfig *config.Customer) (*claim, *Problem) {
-	name := string(c.GetHeader(idempotencyKey))
+	name := string(c.GetHeader(idempotencyKeyHeader))
 	if name == "" {
 		return &claim{
 			isUnkeyed: true,
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,14 +49,14 @@
 	owners            watch.Owners
 	leaseByteBudget   leaseByteBudget
 
-	presences  *engine.CrashProber
-	quarantine *fleet.Quarantine
-	wasReady   atomic.Bool // every served model has had a lease
-	drainLock  sync.Mutex
-	drain      *core.Drain
-	active     int // requests in progress; guarded by drainLock
-	exited     chan struct{}
-	stop       context.CancelFunc
+	crashProber *engine.CrashProber
+	quarantine  *fleet.Quarantine
+	wasReady    atomic.Bool // every served model has had a lease
+	drainLock   sync.Mutex
+	drain       *core.Drain
+	active      int // requests in progress; guarded by drainLock
+	exited      chan struct{}
+	stop        context.CancelFunc
 }
 
 // Start starts an entry and its HTTP server.
@@ -86,8 +86,8 @@
 		exited:            make(chan struct{}),
 		stop:              cancel,
 
-		presences:  engine.NewCrashProber(),
-		quarantine: fleet.NewQuarantine(log),
+		crashProber: engine.NewCrashProber(),
+		quarantine:  fleet.NewQuarantine(log),
 	}
 	e.handlers = wire.NewHandlers(wire.WithVersions(e.state.Versions))
 	e.pool = wire.NewPool(e.handlers)
@@ -142,10 +142,10 @@
 }
 
 // panicLogger returns a callback that counts and logs panics in the named component.
-func panicLogger(log *zap.Logger, where string) engine.PanicHandler {
+func panicLogger(log *zap.Logger, component string) engine.PanicHandler {
 	return func(fault any, stack []byte) {
 		panics.Inc()
-		log.Error("request "+where+" panicked; other requests continue", zap.Any("fault", fault), zap.ByteString("stack", stack))
+		log.Error("request "+component+" panicked; other requests continue", zap.Any("fault", fault), zap.ByteString("stack", stack))
 	}
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -133,14 +133,14 @@
 
 // The bounds of the delay before a retry, which keeps a recovering server from overload.
 const (
-	retryPause    = 10 * time.Millisecond
-	maxRetryPause = 200 * time.Millisecond
+	retryBaseDelay = 10 * time.Millisecond
+	retryMaxDelay  = 200 * time.Millisecond
 )
 
 // place selects a server for the next try, if the deadline and the retry budget allow one.
 func (k *serviceCall) place(c core.PlaceAgain) {
-	again := c.Avoid != ""
-	if again && (time.Until(k.deadline) <= 0 || !k.entry.customerOf(k.customerConfig).takeRetry()) {
+	isRetry := c.Avoid != ""
+	if isRetry && (time.Until(k.deadline) <= 0 || !k.entry.customerOf(k.customerConfig).takeRetry()) {
 		k.step(core.CallerGone{})
 		k.problem = k.failureProblem(core.EndStream{
 			Outcome: k.gen.Outcome,
@@ -148,9 +148,9 @@
 		})
 		return
 	}
-	if again {
+	if isRetry {
 		retries.Inc()
-		time.Sleep(core.Backoff(k.gen.Attempt, retryPause, maxRetryPause, rand.Float64()))
+		time.Sleep(core.Backoff(k.gen.Attempt, retryBaseDelay, retryMaxDelay, rand.Float64()))
 	}
 	k.lastServer = k.entry.services.pick(time.Now(), k.service.Addresses, k.lastServer)
 	k.step(core.Placed{
