--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -63,8 +63,8 @@
 	p.groupAddresses = groupAddresses
 	p.paths = newGroupPaths(p.roster.Self(), members)
 	p.remotePartners = slices.DeleteFunc(p.remotePartners, func(a netip.AddrPort) bool { return slices.Contains(groupAddresses, a) })
-	full := len(p.remotePartners) >= remotePartnerCount
-	if full && now.Sub(p.rotatedAt) < rotationInterval {
+	isFull := len(p.remotePartners) >= remotePartnerCount
+	if isFull && now.Sub(p.rotatedAt) < rotationInterval {
 		return
 	}
 	choices = append(choices, p.seeds...)
@@ -75,7 +75,7 @@
 		return
 	}
 	p.rotatedAt = now
-	if full {
+	if isFull {
 		p.closeConnection(p.remotePartners[0])
 		p.remotePartners = p.remotePartners[1:]
 	}
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -120,20 +120,20 @@
 // logChange logs a request's new state. A single crash is logged only by the box that observed
 // it, to bound the log when many servers crash at once.
 func (q *Quarantine) logChange(now time.Time, request core.Digest, from string) {
-	ended := q.q.Crashes(request)
-	if len(ended) == 1 {
+	crashed := q.q.Crashes(request)
+	if len(crashed) == 1 {
 		return
 	}
 	fields := []zap.Field{
 		zap.Stringer("content", request),
-		zap.Strings("ended", ended),
+		zap.Strings("ended", crashed),
 		zap.String("from", from),
 	}
-	if until, held := q.q.QuarantinedUntil(now, request); held {
+	if until, isQuarantined := q.q.QuarantinedUntil(now, request); isQuarantined {
 		q.log.Info("request quarantined, endpoints crash during it", append(fields, zap.Duration("for", until.Sub(now)))...)
 		return
 	}
-	if len(ended) == 0 {
+	if len(crashed) == 0 {
 		q.log.Info("request completed by an endpoint, its recorded crashes no longer count", fields...)
 		return
 	}
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -30,25 +30,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setDocument(from, v.Document)
-	fresh := v.ListRevision != 0 && (!s.hasList || v.ListRevision > s.changed)
-	whole := fresh && !v.Partial
-	if whole {
+	isNewer := v.ListRevision != 0 && (!s.hasList || v.ListRevision > s.changed)
+	isComplete := isNewer && !v.Partial
+	if isComplete {
 		s.enterEra(now, from, v.ListRevision)
 	}
 	s.updateZones(now, from, v.Zones)
 	switch {
-	case !fresh:
+	case !isNewer:
 	case v.Partial && s.hasList && v.ListRevision.Era() == s.changed.Era():
 		s.updateEntries(now, from, Update{
 			Updated: v.Endpoints,
 			Removed: v.Removed,
 		})
 		s.changed = v.ListRevision
-	case whole:
+	case isComplete:
 		s.replaceList(now, from, v.ListRevision, v.Endpoints)
 		s.changed = v.ListRevision
 	}
-	if whole {
+	if isComplete {
 		s.markOlderErasMissing(now, from, v.ListRevision)
 	}
 	s.advanceConfirmed(now, v.ListRevision, v.Age)
@@ -115,9 +115,9 @@
 func (s *State) ApplyUpdate(now time.Time, from string, u Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := u.ListRevision > s.changed
-	if !fresh || !s.hasList {
-		return fresh
+	isNewer := u.ListRevision > s.changed
+	if !isNewer || !s.hasList {
+		return isNewer
 	}
 	s.updateEntries(now, from, u)
 	if u.BaseRevision <= s.changed && u.ListRevision.Era() == s.changed.Era() {
--- a/fleet/state_endpoints.go
+++ b/fleet/state_endpoints.go
@@ -139,8 +139,8 @@
 	if e.missing {
 		return
 	}
-	outage := from == sourceStore && (s.storeDown || (!s.storeUpAt.IsZero() && now.Sub(s.storeUpAt) < missingGracePeriod))
-	if outage && !e.Leaving {
+	afterOutage := from == sourceStore && (s.storeDown || (!s.storeUpAt.IsZero() && now.Sub(s.storeUpAt) < missingGracePeriod))
+	if afterOutage && !e.Leaving {
 		s.markMissing(from, e)
 		return
 	}
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -273,9 +273,9 @@
 // BenchmarkPackedConfiguration measures encoding a configuration of 2,850 routes, which boxes
 // avoid when they forward a fetched one.
 func BenchmarkPackedConfiguration(b *testing.B) {
-	views := fleet.PeerState{Document: randomDocument(7, 2850)}
+	state := fleet.PeerState{Document: randomDocument(7, 2850)}
 	for b.Loop() {
-		if _, err := wire.Pack(views); err != nil {
+		if _, err := wire.Pack(state); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/fleet/store_watcher_test.go
+++ b/fleet/store_watcher_test.go
@@ -125,11 +125,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFakeStore()
 		state := fleet.NewState()
-		f := fleet.NewStoreWatcher(s, state, propagationBound, options...)
+		w := fleet.NewStoreWatcher(s, state, propagationBound, options...)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		s.put("a")
 		time.Sleep(time.Second)
@@ -262,8 +262,8 @@
 		for rank := range 5 {
 			state := fleet.NewState()
 			states = append(states, state)
-			f := fleet.NewStoreWatcher(s, state, propagationBound, fleet.WithReaderRank(func() int { return rank }))
-			all.Go(func() { f.Run(ctx) })
+			w := fleet.NewStoreWatcher(s, state, propagationBound, fleet.WithReaderRank(func() int { return rank }))
+			all.Go(func() { w.Run(ctx) })
 		}
 		time.Sleep(time.Second)
 		_, before := s.callCounts()
@@ -290,7 +290,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFakeStore()
 		begun := time.Now()
-		f := fleet.NewStoreWatcher(s, fleet.NewState(), propagationBound, fleet.WithReaderRank(func() int {
+		w := fleet.NewStoreWatcher(s, fleet.NewState(), propagationBound, fleet.WithReaderRank(func() int {
 			if time.Since(begun) < 300*time.Millisecond {
 				return 0
 			}
@@ -299,7 +299,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		time.Sleep(time.Second)
 		reads, watches := s.callCounts()
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -81,8 +81,8 @@
 	})
 })
 
-// BenchmarkNews measures applying one change to a list of 3,000 endpoints.
-func BenchmarkNews(b *testing.B) {
+// BenchmarkApplyUpdate measures applying one change to a list of 3,000 endpoints.
+func BenchmarkApplyUpdate(b *testing.B) {
 	state := fleet.NewState()
 	var all []routing.Endpoint
 	for i := range 3000 {
--- a/losses/placement.go
+++ b/losses/placement.go
@@ -103,7 +103,7 @@
 // placementStats replays the runs of all boxes and groups the placements.
 func (r *Reader) placementStats() []PlacementStats {
 	slices.SortStableFunc(r.runSteps, func(a, b runStep) int { return a.at.Compare(b.at) })
-	now := &runTracker{
+	tracker := &runTracker{
 		leftAt:       r.leftAt,
 		at:           make(map[string]string),
 		runsByEngine: make(map[string]map[string]bool),
@@ -112,14 +112,14 @@
 	rows := make(map[statsKey]*PlacementStats)
 	for _, s := range r.runSteps {
 		if s.placed {
-			runs := len(now.runsByEngine[s.endpoint])
-			minRuns := min(now.minRuns(s.at), runs)
+			runs := len(tracker.runsByEngine[s.endpoint])
+			minRuns := min(tracker.minRuns(s.at), runs)
 			late := r.requests[s.request].wasLateOrLost(r.hasLeft)
 			for _, key := range s.statsKeys() {
 				addPlacement(rows, key, runs, minRuns, late)
 			}
 		}
-		now.apply(s)
+		tracker.apply(s)
 	}
 	var all []PlacementStats
 	for _, p := range rows {
--- a/losses/stream_stats.go
+++ b/losses/stream_stats.go
@@ -33,21 +33,21 @@
 		{c.customers, q.customer},
 		{c.ranks, strconv.Itoa(q.rank)},
 	} {
-		f := one.all[one.name]
-		if f == nil {
-			f = newStreamHistograms()
-			one.all[one.name] = f
+		h := one.all[one.name]
+		if h == nil {
+			h = newStreamHistograms()
+			one.all[one.name] = h
 		}
-		f.add(q)
+		h.add(q)
 	}
 }
 
 // add adds one stream. A long pause counts as a stutter unless the run was moved then.
-func (f *streamHistograms) add(q *request) {
-	record(f.firstEvent, q.outcome.FirstEvent)
-	record(f.pause, q.outcome.LongestPause)
+func (h *streamHistograms) add(q *request) {
+	record(h.firstEvent, q.outcome.FirstEvent)
+	record(h.pause, q.outcome.LongestPause)
 	if q.outcome.LongestPause > minStutter && !q.seams[q.outcome.PauseAfter] {
-		f.stutters++
+		h.stutters++
 	}
 }
 
@@ -59,15 +59,15 @@
 // streamStats returns the statistics of all streams, sorted by name.
 func streamStats(all map[string]*streamHistograms) []StreamStats {
 	var out []StreamStats
-	for name, f := range all {
+	for name, h := range all {
 		out = append(out, StreamStats{
 			Name:        name,
-			Streams:     f.firstEvent.TotalCount(),
-			FirstMedian: quantile(f.firstEvent, 50),
-			FirstTail:   quantile(f.firstEvent, 99),
-			PauseMedian: quantile(f.pause, 50),
-			PauseTail:   quantile(f.pause, 99),
-			Stutters:    f.stutters,
+			Streams:     h.firstEvent.TotalCount(),
+			FirstMedian: quantile(h.firstEvent, 50),
+			FirstTail:   quantile(h.firstEvent, 99),
+			PauseMedian: quantile(h.pause, 50),
+			PauseTail:   quantile(h.pause, 99),
+			Stutters:    h.stutters,
 		})
 	}
 	slices.SortFunc(out, func(a, b StreamStats) int { return cmp.Compare(a.Name, b.Name) })
--- a/losses/text.go
+++ b/losses/text.go
@@ -32,9 +32,9 @@
 		{"by rank", r.Ranks},
 	} {
 		fmt.Fprintf(t, "\n%s\tstreams\tfirst event p50\tp99\tlongest pause p50\tp99\tstutters\n", part.head)
-		for _, f := range part.all {
-			fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", nameOrDash(f.Name), f.Streams,
-				formatDuration(f.FirstMedian), formatDuration(f.FirstTail), formatDuration(f.PauseMedian), formatDuration(f.PauseTail), f.Stutters)
+		for _, s := range part.all {
+			fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\n", nameOrDash(s.Name), s.Streams,
+				formatDuration(s.FirstMedian), formatDuration(s.FirstTail), formatDuration(s.PauseMedian), formatDuration(s.PauseTail), s.Stutters)
 		}
 	}
 	fmt.Fprintf(t, "\nprompts placed by\tfrom\tprompts\tlate or lost\truns there\tfewest anywhere\n")
