--- a/box/box.go
+++ b/box/box.go
@@ -208,7 +208,7 @@
 	}
 }
 
-// handleNotice passes a notice that an engine sent in a response to the gateway.
+// handleNotice passes the notice in an engine's response to the gateway.
 func (b *Box) handleNotice(e routing.Endpoint, n gateway.Notice) {
 	if b.gateway != nil {
 		b.gateway.HandleNotice(time.Now(), e, n)
--- a/box/era_test.go
+++ b/box/era_test.go
@@ -11,13 +11,11 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// Guards against boxes that ignore a store restored from an older copy until its revisions,
-// which restart at the copy's, exceed those seen before.
-var _ = Describe("boxes whose store is restored from an older copy", func() {
+// Guards against boxes that ignore a store restored from an older backup until its revisions,
+// which restart at the backup's, exceed those seen before.
+var _ = Describe("boxes whose store is restored from an older backup", func() {
 	// propagationTime bounds the time in which a change of the store reaches all boxes, and
-	// restoreGrace the time in which entries that the copy lacks are written again.
-	// propagationTime is how long a change of the store may take to be everywhere, and returned how
-	// long what the copy lacks has to come back.
+	// restoreGrace the time in which entries that the backup lacks are written again.
 	const (
 		propagationTime = 2 * time.Second
 		restoreGrace    = 2 * time.Second
@@ -34,7 +32,7 @@
 			Eventually(func() string { return b.get("/status") }).WithTimeout(propagationTime).Should(ContainSubstring(want))
 		}
 	}
-	// restoreFrom makes the store unreachable for a moment and restores it from a copy.
+	// restoreFrom makes the store unreachable for a moment and restores it from a backup.
 	restoreFrom := func(c *emulator.StoreSnapshot) {
 		d.Store.SetFault(emulator.StoreReset, 0)
 		time.Sleep(300 * time.Millisecond)
@@ -70,7 +68,7 @@
 		}
 	})
 
-	It("keep using endpoints that the copy lacks until they write their entries again", func() {
+	It("keep using endpoints that the backup lacks until they write their entries again", func() {
 		add("i-1")
 		start()
 		copied := d.Store.Snapshot()
@@ -86,7 +84,7 @@
 		Expect(requestsTo(s)).To(BeNumerically(">", 0))
 	})
 
-	It("drop endpoints that the copy lacks and that don't write their entries again", func() {
+	It("drop endpoints that the backup lacks and that don't write their entries again", func() {
 		add("i-1")
 		start()
 		copied := d.Store.Snapshot()
@@ -97,7 +95,7 @@
 		Expect(requestsTo(s)).To(BeZero())
 	})
 
-	It("send nothing to endpoints that were draining or removed when the copy lists them as ready", func() {
+	It("send nothing to endpoints that were draining or removed when the backup lists them as ready", func() {
 		add("i-1")
 		leaving, gone := add("i-leaving"), add("i-gone")
 		start()
@@ -112,7 +110,7 @@
 		Expect(requestsTo(gone)).To(BeZero())
 	})
 
-	It("keep a zone drained that the copy lists as not drained, until the operator ends the drain", func() {
+	It("keep a zone drained that the backup lists as not drained, until the operator ends the drain", func() {
 		add("i-1").WorkTime = 300 * time.Millisecond // too slow to serve all requests alone
 		far, err := d.AddIn("zone-b", "i-far", emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
--- a/box/status.go
+++ b/box/status.go
@@ -21,7 +21,7 @@
 	Ready         bool          `json:"ready"`
 	ConfigVersion uint64        `json:"configuration"`
 	ListNumber    uint64        `json:"list_changed"` // store revision of the endpoint list's last change
-	StoreEra      uint64        `json:"store_era"`    // how often the store was restored from an older copy
+	StoreEra      uint64        `json:"store_era"`    // how often the store was restored from an older backup
 	ListAge       string        `json:"list_age"`
 	Active        int           `json:"active"`
 	DroppedLines  int64         `json:"log_lines_left_out"`
@@ -149,7 +149,7 @@
 // configDelay is the time from the first announcement of a configuration to its activation.
 var configDelay = metrics.NewHistogram("dillsaddle_configuration_wait_seconds")
 
-// storeRestores counts how often the store was restored from an older copy.
+// storeRestores counts how often the store was restored from an older backup.
 var storeRestores = metrics.NewCounter("dillsaddle_store_replaced_total")
 
 // logStoreResponse logs a large response of the store.
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -10,8 +10,8 @@
 // endpoint list take the same way, but a small change is contained in the announcement itself
 // (state_endpoints.go).
 //
-// Beside that, boxes exchange the roster (members.go), and within a group of boxes the prompts
-// that each has placed (placements.go), endpoints that leave (evacuation.go), the engines' load
+// Boxes also exchange the roster (members.go), and within a group of boxes the prompts that each
+// has placed (placements.go), endpoints that leave (evacuation.go), the engines' load
 // (load_reports.go, preferred_endpoints.go) and parts of their retry budgets (retry_budget.go).
 // Requests that crash endpoints (quarantine.go) and rate limits that endpoints report
 // (limits.go) are shared with all boxes.
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -179,9 +179,9 @@
 			case 3:
 				s.restoreBackup()
 			case 4, 5:
-				any("reads").ApplySnapshot(now, s.snapshot())
+				any("reader").ApplySnapshot(now, s.snapshot())
 			default:
-				transferState(now, any("gives"), any("takes"))
+				transferState(now, any("sender"), any("receiver"))
 			}
 			for _, state := range boxes {
 				state.DropExpired(now)
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -8,8 +8,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// Evacuating is the message that an engine is leaving. It lists the sender's runs that must move
-// off the engine, and those that no longer need to.
+// Evacuating announces that an engine is leaving. It lists the sender's runs that must be moved
+// off the engine, and those that no longer need to be.
 type Evacuating struct {
 	Endpoint     string        `cbor:"1,keyasint"`
 	Runs         []PendingMove `cbor:"2,keyasint,omitempty"`
@@ -25,9 +25,9 @@
 // PendingMove is a run that waits to be moved to another engine.
 type PendingMove struct {
 	ID       string        `cbor:"1,keyasint"`
-	Rank     int           `cbor:"2,keyasint,omitempty"`
-	Value    float64       `cbor:"3,keyasint"` // what the run is worth, to order the moves
-	CopyTime time.Duration `cbor:"4,keyasint"` // time to copy the run's memory over an idle link
+	Rank     int           `cbor:"2,keyasint,omitempty"` // lower ranks move first
+	Value    float64       `cbor:"3,keyasint"`           // benefit of the move, in the same unit at all boxes
+	CopyTime time.Duration `cbor:"4,keyasint"`           // time to copy the run's memory over an idle link
 }
 
 // WithEvacuationHandler sets a function that is called with each Evacuating message from other
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -15,11 +15,12 @@
 const (
 	// messageTimeout bounds a gossip exchange or the sending of one message.
 	messageTimeout = 800 * time.Millisecond
-	// maxListLag is how long ago the list may have been confirmed before a newer one is
-	// fetched: updates deliver most changes within milliseconds.
+	// maxListLag is the time since the list's confirmation up to which a newer list is not
+	// fetched after gossip: updates deliver most changes within milliseconds.
 	maxListLag = 400 * time.Millisecond
 )
 
+// gossipWith exchanges gossip with a box, and fetches what that box has newer.
 func (p *Peers) gossipWith(ctx context.Context, address netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
@@ -64,6 +65,7 @@
 	return g
 }
 
+// handleGossip merges a box's gossip and returns this box's own.
 func (p *Peers) handleGossip(c *wire.Conn, g Gossip) Gossip {
 	inGroup := slices.Contains(p.Group().Members, g.From.Box)
 	p.mergeGossip(g, inGroup)
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -18,7 +18,7 @@
 // be limited at once.
 const maxGossipLimits = 32
 
-// LimitRecords is the message that endpoints reported or lifted rate limits.
+// LimitRecords is the message with rate limits that endpoints reported or lifted.
 type LimitRecords struct {
 	All []core.LimitRecord `cbor:"1,keyasint"`
 }
--- a/fleet/load_reports.go
+++ b/fleet/load_reports.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// queryInterval is the time between queries of an engine. It bounds their cost; reports
-	// are about half a second old anyway.
+	// queryInterval is the time between queries of an engine. Shorter intervals would gain
+	// little, since an engine's report is about half a second old.
 	queryInterval = 500 * time.Millisecond
-	// staleQueryInterval applies while the list is older than staleListAge. Only the engines
-	// announce then that they are leaving, 1.5 to 2 s ahead.
+	// staleQueryInterval applies while the list is older than staleListAge. Then only the
+	// engines' reports show that they are leaving, 1.5 to 2 s in advance.
 	staleQueryInterval = 200 * time.Millisecond
 	staleListAge       = time.Second
 	// queryTimeout bounds one query.
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -19,7 +19,7 @@
 // maxLoggedBoxes bounds the boxes that a log line lists.
 const maxLoggedBoxes = 8
 
-// logRosterChanges logs the boxes that became alive or were lost, all in one line each, and
+// logRosterChanges logs the boxes that became alive and those that were lost, in a line each, and
 // updates what depends on the roster.
 func (p *Peers) logRosterChanges(now time.Time) {
 	aliveBoxes := make(map[string]bool)
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -13,14 +13,16 @@
 	// remotePartnerCount is how many boxes of other groups a box sends updates to, which
 	// then reach n boxes in about log n hops.
 	remotePartnerCount = 2
-	// remoteGossipInterval makes every third gossip exchange go to a box of another group,
-	// so that confirmations of the list cross groups well within the propagation limit.
+	// remoteGossipInterval is the number of gossip exchanges of which one is with a box that
+	// this box sends no messages to directly, mostly of another group, so that confirmations
+	// of the list cross groups well within the propagation limit.
 	remoteGossipInterval = 3
 	// rotationInterval is how often a partner of another group is replaced.
 	rotationInterval = 4 * time.Second
 )
 
-// nextGossipPartner returns the box for the next gossip exchange, in round-robin order.
+// nextGossipPartner updates the roster and the partners, and returns the box for the next gossip
+// exchange, in round-robin order.
 func (p *Peers) nextGossipPartner(now time.Time) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +43,7 @@
 }
 
 // refreshPartners updates the group and its addresses and rotates the partners of other groups.
-// Seeds are among these now and then, so that a split fleet can merge again.
+// Seeds may be chosen as partners too, so that a split fleet can merge again.
 func (p *Peers) refreshPartners(now time.Time) {
 	alive := p.roster.Alive(now)
 	p.group = core.GroupOf(p.roster.Self(), alive, p.state.View().EngineCount())
--- a/fleet/paths.go
+++ b/fleet/paths.go
@@ -17,7 +17,7 @@
 	direct     []netip.AddrPort   // boxes to send to directly, in the same order on all boxes
 	position   int                // this box's position in that order
 	zones      [][]netip.AddrPort // boxes of each other zone; one of them relays to the rest
-	relayCount int
+	relayCount int                // number of calls of relays, for the rotation
 }
 
 // newGroupPaths returns the paths from a box to the other members of its group.
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -25,11 +25,11 @@
 // Peers maintains the roster of boxes and exchanges state with them.
 type Peers struct {
 	sender            *stateSender
-	mu                sync.Mutex // guards all fields below
-	sources           *core.SourceSelector[*wire.Conn]
-	fetching          bool          // fetchAll is running
-	stopped           chan struct{} // closed when Run ends
-	wake              chan struct{} // wakes fetchAll after an advertisement
+	mu                sync.Mutex                       // guards all fields below
+	sources           *core.SourceSelector[*wire.Conn] // selects the box to fetch newer state from
+	fetching          bool                             // fetchAll is running
+	stopped           chan struct{}                    // closed when Run ends
+	wake              chan struct{}                    // wakes fetchAll after an advertisement
 	lastPreferred     preferredCache
 	roster            *core.Roster
 	discovery         *core.PeerDiscovery
--- a/fleet/placements.go
+++ b/fleet/placements.go
@@ -16,16 +16,15 @@
 	maxPlacements = 64
 )
 
-// Placement tells the boxes of a group what another box does to an engine's load. It is a prompt
-// sent to the engine, a copy of a run that is sent there as the run grows, the end of either, or
-// the observation that an answer is overdue or a stream broke.
+// Placement informs the boxes of a group of an event that affects an engine's load. By default it
+// is a prompt that was sent to the engine; the flags mark the other events.
 type Placement struct {
 	Endpoint      string `cbor:"1,keyasint"`
-	Tokens        int    `cbor:"2,keyasint"` // tokens of the prompt, or of the copy when complete; at a run's end, as sent at its start
-	Copy          bool   `cbor:"3,keyasint,omitempty"`
-	AnswerOverdue bool   `cbor:"4,keyasint,omitempty"` // an answer of the endpoint is overdue
+	Tokens        int    `cbor:"2,keyasint"`           // tokens of the prompt, or of the copy when complete; at a run's end, as sent at its start
+	Copy          bool   `cbor:"3,keyasint,omitempty"` // a copy of a run's memory is sent to the endpoint: a backup, or one that the run continues from
+	AnswerOverdue bool   `cbor:"4,keyasint,omitempty"` // an answer of the endpoint is overdue, or the endpoint is unreachable
 	StreamBroken  bool   `cbor:"5,keyasint,omitempty"` // a stream of the endpoint broke without notice
-	RunEnded      bool   `cbor:"6,keyasint,omitempty"`
+	RunEnded      bool   `cbor:"6,keyasint,omitempty"` // a run ended at the endpoint or was moved off it
 	HeldTokens    int    `cbor:"7,keyasint,omitempty"` // tokens in the engine's memory when the run ended
 }
 
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -11,7 +11,7 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// CrashRecords is the message that endpoints crashed during requests.
+// CrashRecords is the message with requests during which endpoints crashed.
 type CrashRecords struct {
 	All []core.CrashRecord `cbor:"1,keyasint"`
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// Crashed records that an endpoint crashed during a request of this box.
+// Crashed records a crash of an endpoint during a request of this box.
 func (q *Quarantine) Crashed(now time.Time, request core.Digest, endpoint string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/fleet/state_sender.go
+++ b/fleet/state_sender.go
@@ -30,7 +30,7 @@
 	Digest uint64        `cbor:"1,keyasint,omitempty"` // digest of the whole encoding, for requests of further chunks
 	Size   int           `cbor:"2,keyasint,omitempty"` // size of the whole encoding; 0 if there is nothing newer or the digest is unknown
 	Data   []byte        `cbor:"3,keyasint,omitempty"`
-	Busy   bool          `cbor:"4,keyasint,omitempty"` // the sender serves other receivers; retry, or ask another box
+	Busy   bool          `cbor:"4,keyasint,omitempty"` // the sender serves other receivers; the request must be repeated later or at another box
 	Age    time.Duration `cbor:"5,keyasint"`           // time since the list was confirmed; negative if unknown
 }
 
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -20,9 +20,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// These tests run boxes connected by links of 10 Mbit/s. They guard against configurations that
-// arrive too late because many boxes fetch a large one from few senders at once, time out while
-// its bytes are still being sent, and don't retry.
+// These tests run boxes connected by links of 10 Mbit/s. They guard against large configurations
+// that arrive late because many boxes fetch them from few senders at once and time out.
 
 const (
 	// smallLinkBytesPerSecond is 10 Mbit/s.
--- a/fleet/store_watcher.go
+++ b/fleet/store_watcher.go
@@ -25,9 +25,9 @@
 	// discoveryDelay is how long a starting box waits for its peers before its first watch,
 	// since it ranks first until it knows others.
 	discoveryDelay = 400 * time.Millisecond
-	// maxWatchPauseFraction bounds the readers' pauses, each twice that of the reader before
-	// it in rank: a change ends all watches at once, and the first reader broadcasts what
-	// follows shortly after.
+	// maxWatchPauseFraction bounds the readers' pauses, which double with each rank. A change
+	// ends all readers' watches at once; the first reader watches again soonest and
+	// broadcasts the changes that follow shortly after.
 	maxWatchPauseFraction = 0.25
 	// minRetryDelay and maxReaderRetryDelay bound a reader's delay after failed calls;
 	// maxFallbackRetryDelay bounds that of other boxes.
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -61,6 +61,7 @@
 // it is new. A configuration or omitted changes are announced only after they were fetched.
 func (p *Peers) handleUpdate(_ context.Context, c *wire.Conn, u Update) {
 	if u.Age < 0 {
+		// An invalid age must not confirm the list.
 		u.Age = math.MaxInt64
 	}
 	if !u.Truncated {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -145,6 +145,7 @@
 	}
 }
 
+// add adds an endpoint to its service's list if it may get new requests.
 func (b *viewBuilder) add(e routing.Endpoint) {
 	if e.Leaving || !e.Usable() || b.Drained(e.Zone) {
 		return
--- a/losses/request.go
+++ b/losses/request.go
@@ -46,7 +46,8 @@
 	RefusedByGateway   Cause = "refused by the box"
 )
 
-// noConfiguration is the reason in a box's log line for a request before its configuration.
+// noConfiguration is the reason logged for a request that arrived before the box had a
+// configuration.
 const noConfiguration = "no configuration is known yet"
 
 // request collects the log lines of one request ID.
