--- a/engine/message.go
+++ b/engine/message.go
@@ -21,28 +21,28 @@
 	Incarnation core.Incarnation
 }
 
-// Token is one token of a generation; Data is the endpoint's event, unchanged.
+// Token is one token of a generation.
 type Token struct {
 	message
 	Origin core.Origin
-	Offset uint64
-	Data   []byte
+	Offset uint64 // position in the generation, from 0
+	Data   []byte // the endpoint's event, unchanged
 }
 
 // Finished is the end of a complete generation.
 type Finished struct {
 	message
 	Origin core.Origin
-	Offset uint64
-	Data   []byte
+	Offset uint64 // position after the last token
+	Data   []byte // the endpoint's last event, unchanged
 	Usage  Usage
 }
 
-// Usage is the endpoint's token count of a complete generation.
+// Usage holds the endpoint's counts for a complete generation.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
-	Preempted        int
+	Preempted        int // number of preemptions
 }
 
 // Refused reports that the endpoint refused the request before starting it.
@@ -92,12 +92,12 @@
 // Load is an endpoint's load report. It lags behind the actual load.
 type Load struct {
 	Incarnation  core.Incarnation
-	Running      int
-	Waiting      int
-	UsedTokens   int
-	MemoryTokens int
-	Step         time.Duration
-	Preempted    int
+	Running      int           // generations in the batch
+	Waiting      int           // generations in the endpoint's queue
+	UsedTokens   int           // memory in use
+	MemoryTokens int           // size of the memory
+	Step         time.Duration // duration of the last decoding step
+	Preempted    int           // number of preemptions so far
 }
 
 // CacheEvent reports that an endpoint cached or dropped a prompt prefix.
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -3,12 +3,12 @@
 // and records when the list was last known to be complete.
 //
 // A few boxes, the readers, watch the store for all (store_watcher.go). A new configuration
-// version takes this way: the reader merges it into its State and publishes the next View
+// version spreads as follows: the reader merges it into its State and publishes the next View
 // (state.go, state_apply.go, view.go), announces the version to its partners (update.go,
 // partners.go), and each box fetches it in chunks from a box that has it (state_fetcher.go,
 // state_sender.go). Periodic gossip (gossip.go) shows which box is behind. Changes of the
-// endpoint list take the same way, but a small change is contained in the announcement itself
-// (state_endpoints.go).
+// endpoint list spread in the same way, but a small change is contained in the announcement
+// itself (state_endpoints.go).
 //
 // Boxes also exchange the roster (members.go), and within a group of boxes the prompts that each
 // has placed (placements.go), endpoints that leave (evacuation.go), the engines' load
--- a/fleet/startup_test.go
+++ b/fleet/startup_test.go
@@ -47,8 +47,8 @@
 	return s
 }
 
-// A starting box that knows no peers yet must not take itself for the one that queries all
-// engines, or boxes that start together overload them.
+// A starting box that knows no peers yet must not conclude that it has to query all engines, or
+// boxes that start together overload them.
 func TestBoxesThatStartTogetherQueryEachEngineOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
