--- a/box/cold_test.go
+++ b/box/cold_test.go
@@ -16,7 +16,7 @@
 	const (
 		perSecond    = 3.0
 		maxPerSecond = perSecond*1.5 + 5 // overshoot and slack of the boxes' settings
-		count        = 4
+		boxCount     = 4
 		settleTime   = 6 * time.Second // until boxes have received their rate shares
 	)
 	var d *emulator.Deployment
@@ -30,7 +30,7 @@
 		d.Publish(document)
 	})
 	start := func() {
-		boxes = startReadyBoxes(d, count)
+		boxes = startReadyBoxes(d, boxCount)
 		time.Sleep(settleTime)
 	}
 	coldServer := func(id string) *emulator.Server {
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -20,7 +20,7 @@
 // its responses, or that apply it per box and not to the fleet.
 var _ = Describe("an endpoint that announces a rate limit", func() {
 	const (
-		count      = 4
+		boxCount   = 4
 		settleTime = 6 * time.Second // until boxes have received their rate shares
 		noticeTime = 500 * time.Millisecond
 		window     = 4 * time.Second
@@ -30,7 +30,7 @@
 	BeforeEach(func() { d = newDeployment() })
 	add := func(id, service string) *emulator.Server { return addServer(d, id, service) }
 	start := func() {
-		boxes = startReadyBoxes(d, count)
+		boxes = startReadyBoxes(d, boxCount)
 		time.Sleep(settleTime)
 	}
 	limit := func(perSecond float64, all ...*emulator.Server) {
@@ -100,9 +100,9 @@
 		other.SetFault(emulator.InternalError, -1)
 		start()
 		limit(perSecond, append(engines, plain, other)...)
-		send := func(lasts time.Duration) {
+		send := func(duration time.Duration) {
 			var wait sync.WaitGroup
-			until := time.Now().Add(lasts)
+			until := time.Now().Add(duration)
 			for i, b := range boxes {
 				for _, path := range []string{emulator.RepeatPath, emulator.StreamPath, emulator.ResumePath} {
 					wait.Go(func() {
--- a/box/load_test.go
+++ b/box/load_test.go
@@ -7,7 +7,7 @@
 )
 
 // runLoad calls all boxes from concurrent callers for a time and counts answers by status.
-func runLoad(boxes []*testBox, lasts time.Duration) map[int]int {
+func runLoad(boxes []*testBox, duration time.Duration) map[int]int {
 	const (
 		callers = 10 // per box
 		pause   = 20 * time.Millisecond
@@ -15,7 +15,7 @@
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	got := make(map[int]int)
-	until := time.Now().Add(lasts)
+	until := time.Now().Add(duration)
 	for i, b := range boxes {
 		for j := range callers {
 			wait.Go(func() {
--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -137,22 +137,22 @@
 
 // transferState sends one box's newer state to another.
 func transferState(now time.Time, from, to *fleet.State) {
-	has := from.View()
-	wants := to.View()
-	if !has.HasEndpointList || has.ListRevision <= wants.ListRevision {
+	senderView := from.View()
+	receiverView := to.View()
+	if !senderView.HasEndpointList || senderView.ListRevision <= receiverView.ListRevision {
 		return
 	}
 	v := fleet.PeerState{
-		ListRevision: has.ListRevision,
-		Age:          now.Sub(has.ConfirmedAt),
-		Zones:        has.Zones,
+		ListRevision: senderView.ListRevision,
+		Age:          now.Sub(senderView.ConfirmedAt),
+		Zones:        senderView.Zones,
 	}
-	if updated, removed, ok := from.ChangesSince(wants.ListRevision); ok {
+	if updated, removed, ok := from.ChangesSince(receiverView.ListRevision); ok {
 		v.Partial = true
 		v.Endpoints, v.Removed = updated, removed
 	} else {
 		for _, name := range endpointNames {
-			if e, ok := has.Endpoint(name); ok {
+			if e, ok := senderView.Endpoint(name); ok {
 				v.Endpoints = append(v.Endpoints, e)
 			}
 		}
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -54,13 +54,13 @@
 		}
 		f.Add(uint8(i), body)
 	}
-	state, at := startFuzzedBox(f)
+	state, address := startFuzzedBox(f)
 	pool := wire.NewPool(wire.NewHandlers())
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
 		if cbor.Wellformed(body) != nil {
 			return
 		}
-		sendMessage(t, at, envelope{
+		sendMessage(t, address, envelope{
 			Protocol: 1,
 			ID:       uint64(kind) % 2, // 0 for a push, 1 for a request
 			Kind:     kinds[int(kind)%len(kinds)],
@@ -68,7 +68,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if _, err := wire.Request[fleet.Gossip](ctx, pool, at, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
+		if _, err := wire.Request[fleet.Gossip](ctx, pool, address, fleet.Gossip{From: core.Peer{Box: "asks"}}); err != nil {
 			t.Fatalf("no gossip answer after %q as %s: %v", body, kinds[int(kind)%len(kinds)], err)
 		}
 		for _, e := range state.View().Serving("s") {
@@ -85,26 +85,26 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	at := netip.MustParseAddrPort(texts[0])
+	address := netip.MustParseAddrPort(texts[0])
 	state := fleet.NewState()
 	state.ApplySnapshot(time.Now(), snapshot(1))
 	_, err = fleet.NewPeers(core.Peer{
 		Box:     "listens",
-		Address: at,
+		Address: address,
 	}, nil, state)
 	if err != nil {
 		f.Fatal(err)
 	}
-	return state, at
+	return state, address
 }
 
 // sendMessage sends one message on a new connection.
-func sendMessage(t *testing.T, at netip.AddrPort, e envelope) {
+func sendMessage(t *testing.T, address netip.AddrPort, e envelope) {
 	data, err := cbor.Marshal(e)
 	if err != nil {
 		return // the body is not valid CBOR
 	}
-	c, _, err := websocket.Dial(t.Context(), "ws://"+at.String()+wire.Path, nil)
+	c, _, err := websocket.Dial(t.Context(), "ws://"+address.String()+wire.Path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -38,9 +38,9 @@
 }
 
 // crashThree lets three endpoints crash during the request, each observed by another box.
-func (f *testFleet) crashThree(apart time.Duration) {
+func (f *testFleet) crashThree(interval time.Duration) {
 	for i, box := range []int{5, 14, 27} {
-		time.Sleep(apart)
+		time.Sleep(interval)
 		f.quarantined[box].Crashed(time.Now(), crashingRequest, fmt.Sprintf("e-%d", i))
 	}
 }
--- a/fleet/startup_test.go
+++ b/fleet/startup_test.go
@@ -66,13 +66,13 @@
 		for _, r := range all {
 			go r.Run(ctx)
 		}
-		const looked = 8 * time.Second
-		usual := 5 * engines * looked.Seconds()
-		time.Sleep(looked)
-		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically("<", usual))
+		const observationTime = 8 * time.Second
+		expectedQueries := 5 * engines * observationTime.Seconds()
+		time.Sleep(observationTime)
+		g.Expect(reporter.queries.Load()).To(gomega.BeNumerically("<", expectedQueries))
 		before := reporter.queries.Load()
-		time.Sleep(looked)
-		g.Expect(reporter.queries.Load()-before).To(gomega.BeNumerically("~", usual, usual/10), "in steady state")
+		time.Sleep(observationTime)
+		g.Expect(reporter.queries.Load()-before).To(gomega.BeNumerically("~", expectedQueries, expectedQueries/10), "in steady state")
 		cancel()
 		time.Sleep(time.Second)
 	})
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -171,12 +171,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := startFleet(t, 18, smallLinkBytesPerSecond)
-		const apart = 400 * time.Millisecond
+		const publishInterval = 400 * time.Millisecond
 		for version := uint64(7); version < 13; version++ {
 			f.applyFromStore(int(version)%3, randomDocument(version, 2850))
-			time.Sleep(apart)
+			time.Sleep(publishInterval)
 		}
-		time.Sleep(propagationLimit - apart)
+		time.Sleep(propagationLimit - publishInterval)
 		g.Expect(f.countWithoutVersion(12)).To(gomega.BeZero(), "boxes without the last configuration after %v", propagationLimit)
 	})
 }
--- a/fleet/store_watcher_test.go
+++ b/fleet/store_watcher_test.go
@@ -258,12 +258,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFakeStore()
 		var states []*fleet.State
-		var all sync.WaitGroup
+		var watchers sync.WaitGroup
 		for rank := range 5 {
 			state := fleet.NewState()
 			states = append(states, state)
 			w := fleet.NewStoreWatcher(s, state, propagationBound, fleet.WithReaderRank(func() int { return rank }))
-			all.Go(func() { w.Run(ctx) })
+			watchers.Go(func() { w.Run(ctx) })
 		}
 		time.Sleep(time.Second)
 		_, before := s.callCounts()
@@ -279,7 +279,7 @@
 		_, after := s.callCounts()
 		g.Expect(after - before).To(gomega.BeNumerically("<", 60))
 		cancel()
-		all.Wait()
+		watchers.Wait()
 	})
 }
 
@@ -289,9 +289,9 @@
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFakeStore()
-		begun := time.Now()
+		startedAt := time.Now()
 		w := fleet.NewStoreWatcher(s, fleet.NewState(), propagationBound, fleet.WithReaderRank(func() int {
-			if time.Since(begun) < 300*time.Millisecond {
+			if time.Since(startedAt) < 300*time.Millisecond {
 				return 0
 			}
 			return otherRank
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -36,14 +36,14 @@
 			before := b.View()
 			served := slices.Clone(before.Serving(service))
 			c := &fleet.Changes{Revision: step + 2}
-			gone := make(map[string]bool)
+			removed := make(map[string]bool)
 			for range 1 + r.IntN(4) {
 				id := fmt.Sprintf("i-%03d", r.IntN(90))
 				if _, known := want[id]; known && r.IntN(3) == 0 {
-					gone[id] = true
+					removed[id] = true
 				}
 			}
-			for id := range gone {
+			for id := range removed {
 				delete(want, id)
 				c.Removed = append(c.Removed, fleet.Removal{
 					Name:     id,
@@ -68,7 +68,7 @@
 				Expect(known).To(BeTrue())
 				Expect(e).To(Equal(want[id]))
 			}
-			for id := range gone {
+			for id := range removed {
 				if _, again := want[id]; !again {
 					_, known := b.View().Endpoint(id)
 					Expect(known).To(BeFalse())
