--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -21,9 +21,9 @@
 var _ = Describe("an endpoint that announces a rate limit", func() {
 	const (
 		boxCount   = 4
-		settleTime = 6 * time.Second // until boxes have received their rate shares
-		noticeTime = 500 * time.Millisecond
-		window     = 4 * time.Second
+		settleTime = 6 * time.Second        // until boxes have received their rate shares
+		noticeTime = 500 * time.Millisecond // until all boxes have received the announced limit
+		window     = 4 * time.Second        // over which the platform bounds the requests
 	)
 	var d *emulator.Deployment
 	var boxes []*testBox
--- a/fleet/peers_test.go
+++ b/fleet/peers_test.go
@@ -178,7 +178,7 @@
 
 var _ = Describe("an update with many changes", func() {
 	// An announcement that omits the changes must not count as the changes themselves, or
-	// the list is outdated but taken for confirmed.
+	// an outdated list counts as confirmed.
 	It("is announced without them, and each box fetches them", func() {
 		all, states := startPeers(4)
 		for _, p := range all {
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -254,7 +254,7 @@
 		Expect(behind.View().ListRevision).To(Equal(state.View().ListRevision))
 	})
 
-	It("are not taken for a whole list by a box without one", func() {
+	It("are not applied as a complete list by a box without one", func() {
 		empty := fleet.NewState()
 		empty.ApplyPeerState(noon, "peer", fleet.PeerState{
 			ListRevision: 15,
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -254,7 +254,7 @@
 	})
 }
 
-// A suspension must count in the age of the list, or other boxes take an outdated list for
+// A suspension must count in the age of the list, or other boxes treat an outdated list as
 // confirmed.
 func TestSuspendedBoxDoesNotGossipItsListAsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/losses/placement.go
+++ b/losses/placement.go
@@ -20,7 +20,7 @@
 // PlacementStats summarizes the placements of prompts for one range of the chosen engines'
 // estimated memory use or report age. Run counts are derived from the logs of all boxes.
 type PlacementStats struct {
-	By         string  `json:"by"`   // full or report_age
+	By         string  `json:"by"`   // "full", the estimated memory use, or "report_age"
 	RangeStart float64 `json:"from"` // a fraction of the memory, or seconds
 	Count      int     `json:"count"`
 	Late       float64 `json:"late"`   // fraction of prompts with a late or lost answer
