--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -13,9 +13,9 @@
 	// remotePartnerCount is how many boxes of other groups a box sends updates to, which
 	// then reach n boxes in about log n hops.
 	remotePartnerCount = 2
-	// remoteGossipInterval is the number of gossip exchanges of which one is with a box that
-	// this box sends no messages to directly, mostly of another group, so that confirmations
-	// of the list cross groups well within the propagation limit.
+	// remoteGossipInterval is the number of gossip exchanges of which one is with a box of
+	// another group, or with one of this group that is reached through relays, so that
+	// confirmations of the list cross groups well within the propagation limit.
 	remoteGossipInterval = 3
 	// rotationInterval is how often a partner of another group is replaced.
 	rotationInterval = 4 * time.Second
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -25,7 +25,8 @@
 }
 
 // ApplyPeerState merges newer state fetched from a peer. Endpoints missing from a complete list
-// are dropped at once, since the peer has already waited for the grace period.
+// of the same store era are dropped at once, since the peer has already waited for the grace
+// period.
 func (s *State) ApplyPeerState(now time.Time, from string, v PeerState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
