--- a/engine/completions/stream.go
+++ b/engine/completions/stream.go
@@ -145,6 +145,7 @@
 	return offset, true
 }
 
+// usageEvent is the event with the token counts of a generation.
 type usageEvent struct {
 	Usage *struct {
 		PromptTokens     int `json:"prompt_tokens"`
--- a/engine/completions/worker.go
+++ b/engine/completions/worker.go
@@ -193,6 +193,7 @@
 	return nil
 }
 
+// loadReport is the response with an endpoint's load.
 type loadReport struct {
 	Incarnation  uint64        `json:"incarnation"`
 	Running      int           `json:"running"`
@@ -224,6 +225,7 @@
 	}, nil
 }
 
+// cacheEvent is an element of the response with cache events.
 type cacheEvent struct {
 	Sequence int    `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
@@ -247,6 +249,7 @@
 	return events, nil
 }
 
+// orderBody is the body of an order.
 type orderBody struct {
 	Fence   core.Fence `json:"fence"`
 	Action  string     `json:"do"`
--- a/engine/message.go
+++ b/engine/message.go
@@ -11,6 +11,7 @@
 // Message is an event of an attempt, as a worker reports it.
 type Message interface{ isMessage() }
 
+// message is embedded in each type of Message.
 type message struct{}
 
 func (message) isMessage() {}
--- a/engine/panic_recovery.go
+++ b/engine/panic_recovery.go
@@ -20,6 +20,7 @@
 	}
 }
 
+// recoveringWorker is a Worker that recovers from panics of another.
 type recoveringWorker struct {
 	worker  Worker
 	onPanic PanicHandler
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -79,6 +79,7 @@
 	return slices.Contains(p.groupAddresses, address)
 }
 
+// mergeGossip merges the records, load reports and members in a gossip message.
 func (p *Peers) mergeGossip(g Gossip, inGroup bool) {
 	now := time.Now()
 	p.mergeCrashRecords(g.Crashes, inGroup)
--- a/fleet/load_reports.go
+++ b/fleet/load_reports.go
@@ -57,6 +57,7 @@
 	latest      map[string]timedReport
 }
 
+// timedReport is a load report with the time of its data.
 type timedReport struct {
 	routing.Report
 	at time.Time
@@ -137,6 +138,7 @@
 	return true
 }
 
+// query queries one engine and records its report, or that it has restarted.
 func (r *LoadReports) query(ctx context.Context, e routing.Endpoint) {
 	if !r.queryFilter(e) {
 		return
@@ -179,6 +181,7 @@
 	}
 }
 
+// record stores a report if it is newer than the previous one of its engine.
 func (r *LoadReports) record(now time.Time, report routing.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/placements.go
+++ b/fleet/placements.go
@@ -51,6 +51,7 @@
 	}
 }
 
+// flushPlacements sends the pending placements to the group.
 func (p *Peers) flushPlacements() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -98,6 +98,7 @@
 	at      time.Time
 }
 
+// endpointEntry is an endpoint's entry in the list.
 type endpointEntry struct {
 	routing.Endpoint
 	missing bool // absent after a store outage or restore; dropped after the grace period
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -129,6 +129,8 @@
 	return true
 }
 
+// updateEntries applies the changes in an update. The source of changes, from, is only logged and
+// decides whether a removal after a store outage is delayed.
 func (s *State) updateEntries(now time.Time, from string, u Update) {
 	s.updateZones(now, from, u.Zones)
 	for _, e := range u.Updated {
@@ -196,6 +198,7 @@
 	return now.Sub(s.announcements[0].at)
 }
 
+// setDocument activates a configuration if it is newer than the active one.
 func (s *State) setDocument(from string, d *routing.Document) {
 	if d == nil || (s.table != nil && d.Version <= s.table.Version()) {
 		return
--- a/fleet/state_endpoints.go
+++ b/fleet/state_endpoints.go
@@ -71,6 +71,7 @@
 	return until
 }
 
+// recordEndpointChange records how an entry changed, to be reported after the next view.
 func (s *State) recordEndpointChange(from string, old *endpointEntry, e routing.Endpoint) {
 	known := old != nil && old.Usable()
 	switch {
--- a/fleet/store_watcher.go
+++ b/fleet/store_watcher.go
@@ -112,6 +112,7 @@
 	return w
 }
 
+// fraction returns a fraction of the propagation limit.
 func (w *StoreWatcher) fraction(of float64) time.Duration {
 	return time.Duration(of * float64(w.propagationLimit))
 }
@@ -191,6 +192,8 @@
 	return w.fraction(staleFraction)
 }
 
+// readAll reads and applies the whole content of the store. It returns its revision, and false if
+// the read failed.
 func (w *StoreWatcher) readAll(ctx context.Context) (routing.Revision, bool) {
 	s, err := w.store.Read(ctx)
 	if err != nil {
@@ -235,6 +238,7 @@
 	return c.Revision, true
 }
 
+// handleFailure records a failed call and waits before the next one.
 func (w *StoreWatcher) handleFailure(ctx context.Context, call string, err error) {
 	w.onCall("failed")
 	if ctx.Err() != nil {
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// forwardUpdate sends an update to all partners but the one that it came from.
 func (p *Peers) forwardUpdate(u Update, from *wire.Conn) {
 	p.mu.Lock()
 	partners := p.partners()
--- a/losses/line.go
+++ b/losses/line.go
@@ -38,6 +38,7 @@
 	ReportAge    time.Duration // age of the load report behind the estimate
 }
 
+// lineBody is the JSON object in a log line.
 type lineBody struct {
 	At           time.Time `json:"at"`
 	Box          string    `json:"box"`
--- a/losses/report.go
+++ b/losses/report.go
@@ -139,6 +139,7 @@
 	return leftAt
 }
 
+// rowKey identifies a Row.
 type rowKey struct {
 	route  string
 	moment Moment
