--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -129,8 +129,7 @@
 	return true
 }
 
-// updateEntries applies the changes in an update. The source of changes, from, is only logged and
-// decides whether a removal after a store outage is delayed.
+// updateEntries applies the changes in an update from a source of changes.
 func (s *State) updateEntries(now time.Time, from string, u Update) {
 	s.updateZones(now, from, u.Zones)
 	for _, e := range u.Updated {
