--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -142,22 +142,22 @@
 	if !senderView.HasEndpointList || senderView.ListRevision <= receiverView.ListRevision {
 		return
 	}
-	v := fleet.PeerState{
+	newer := fleet.PeerState{
 		ListRevision: senderView.ListRevision,
 		Age:          now.Sub(senderView.ConfirmedAt),
 		Zones:        senderView.Zones,
 	}
 	if updated, removed, ok := from.ChangesSince(receiverView.ListRevision); ok {
-		v.Partial = true
-		v.Endpoints, v.Removed = updated, removed
+		newer.Partial = true
+		newer.Endpoints, newer.Removed = updated, removed
 	} else {
 		for _, name := range endpointNames {
 			if e, ok := senderView.Endpoint(name); ok {
-				v.Endpoints = append(v.Endpoints, e)
+				newer.Endpoints = append(newer.Endpoints, e)
 			}
 		}
 	}
-	to.ApplyPeerState(now, "peer", v)
+	to.ApplyPeerState(now, "peer", newer)
 }
 
 var endpointNames = []string{"i-1", "i-2", "i-3", "i-4"}
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -81,7 +81,7 @@
 func (l *Limits) All(now time.Time) []core.LimitRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := slices.DeleteFunc(l.limits.All(now), func(w core.LimitRecord) bool { return !w.Limited })
+	all := slices.DeleteFunc(l.limits.All(now), func(record core.LimitRecord) bool { return !record.Limited })
 	slices.SortFunc(all, func(a, b core.LimitRecord) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return all
 }
--- a/fleet/load_reports.go
+++ b/fleet/load_reports.go
@@ -95,11 +95,11 @@
 		for _, e := range r.assignedEngines() {
 			go r.query(ctx, e)
 		}
-		every := queryInterval
+		interval := queryInterval
 		if time.Since(r.state.View().ConfirmedAt) > staleListAge {
-			every = staleQueryInterval
+			interval = staleQueryInterval
 		}
-		Sleep(ctx, every)
+		Sleep(ctx, interval)
 	}
 }
 
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -153,14 +153,14 @@
 // Run gossips with other boxes until the context ends.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := gossipInterval
+		interval := gossipInterval
 		if p.state.IsStoreDown() {
-			every = storeDownGossipInterval
+			interval = storeDownGossipInterval
 		}
 		if address, ok := p.nextGossipPartner(time.Now()); ok {
 			go p.gossipWith(ctx, address)
 		}
-		Sleep(ctx, every*3/4+rand.N(every/2))
+		Sleep(ctx, interval*3/4+rand.N(interval/2))
 	}
 	close(p.stopped)
 	p.server.Close()
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -27,32 +27,32 @@
 // ApplyPeerState merges newer state fetched from a peer. Endpoints missing from a complete list
 // of the same store era are dropped at once, since the peer has already waited for the grace
 // period.
-func (s *State) ApplyPeerState(now time.Time, from string, v PeerState) {
+func (s *State) ApplyPeerState(now time.Time, from string, newer PeerState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setDocument(from, v.Document)
-	isNewer := v.ListRevision != 0 && (!s.hasList || v.ListRevision > s.changed)
-	isComplete := isNewer && !v.Partial
+	s.setDocument(from, newer.Document)
+	isNewer := newer.ListRevision != 0 && (!s.hasList || newer.ListRevision > s.changed)
+	isComplete := isNewer && !newer.Partial
 	if isComplete {
-		s.enterEra(now, from, v.ListRevision)
+		s.enterEra(now, from, newer.ListRevision)
 	}
-	s.updateZones(now, from, v.Zones)
+	s.updateZones(now, from, newer.Zones)
 	switch {
 	case !isNewer:
-	case v.Partial && s.hasList && v.ListRevision.Era() == s.changed.Era():
+	case newer.Partial && s.hasList && newer.ListRevision.Era() == s.changed.Era():
 		s.updateEntries(now, from, Update{
-			Updated: v.Endpoints,
-			Removed: v.Removed,
+			Updated: newer.Endpoints,
+			Removed: newer.Removed,
 		})
-		s.changed = v.ListRevision
+		s.changed = newer.ListRevision
 	case isComplete:
-		s.replaceList(now, from, v.ListRevision, v.Endpoints)
-		s.changed = v.ListRevision
+		s.replaceList(now, from, newer.ListRevision, newer.Endpoints)
+		s.changed = newer.ListRevision
 	}
 	if isComplete {
-		s.markOlderErasMissing(now, from, v.ListRevision)
+		s.markOlderErasMissing(now, from, newer.ListRevision)
 	}
-	s.advanceConfirmed(now, v.ListRevision, v.Age)
+	s.advanceConfirmed(now, newer.ListRevision, newer.Age)
 	s.publish()
 }
 
--- a/fleet/transfer_metrics.go
+++ b/fleet/transfer_metrics.go
@@ -27,11 +27,11 @@
 }
 
 // recordFetchedState updates the metrics of fetched state and logs fetched configurations.
-func (p *Peers) recordFetchedState(from netip.AddrPort, v PeerState, bytes int, startedAt time.Time) {
+func (p *Peers) recordFetchedState(from netip.AddrPort, newer PeerState, bytes int, startedAt time.Time) {
 	took := time.Since(startedAt)
 	stateFetchTime.Update(took.Seconds())
-	if v.Document == nil {
+	if newer.Document == nil {
 		return
 	}
-	p.log.Info("state received from box", zap.Stringer("box_address", from), zap.Uint64("version", v.Document.Version), zap.Int("bytes", bytes), zap.Duration("took", took))
+	p.log.Info("state received from box", zap.Stringer("box_address", from), zap.Uint64("version", newer.Document.Version), zap.Int("bytes", bytes), zap.Duration("took", took))
 }
