--- a/fleet/era_test.go
+++ b/fleet/era_test.go
@@ -137,27 +137,27 @@
 
 // transferState sends one box's newer state to another.
 func transferState(now time.Time, from, to *fleet.State) {
-	has := from.View()
-	wants := to.View()
-	if !has.HasEndpointList || has.ListRevision <= wants.ListRevision {
+	senderView := from.View()
+	receiverView := to.View()
+	if !senderView.HasEndpointList || senderView.ListRevision <= receiverView.ListRevision {
 		return
 	}
-	v := fleet.PeerState{
-		ListRevision: has.ListRevision,
-		Age:          now.Sub(has.ConfirmedAt),
-		Zones:        has.Zones,
+	newer := fleet.PeerState{
+		ListRevision: senderView.ListRevision,
+		Age:          now.Sub(senderView.ConfirmedAt),
+		Zones:        senderView.Zones,
 	}
-	if updated, removed, ok := from.ChangesSince(wants.ListRevision); ok {
-		v.Partial = true
-		v.Endpoints, v.Removed = updated, removed
+	if updated, removed, ok := from.ChangesSince(receiverView.ListRevision); ok {
+		newer.Partial = true
+		newer.Endpoints, newer.Removed = updated, removed
 	} else {
 		for _, name := range endpointNames {
-			if e, ok := has.Endpoint(name); ok {
-				v.Endpoints = append(v.Endpoints, e)
+			if e, ok := senderView.Endpoint(name); ok {
+				newer.Endpoints = append(newer.Endpoints, e)
 			}
 		}
 	}
-	to.ApplyPeerState(now, "peer", v)
+	to.ApplyPeerState(now, "peer", newer)
 }
 
 var endpointNames = []string{"i-1", "i-2", "i-3", "i-4"}
@@ -179,9 +179,9 @@
 			case 3:
 				s.restoreBackup()
 			case 4, 5:
-				any("reads").ApplySnapshot(now, s.snapshot())
+				any("reader").ApplySnapshot(now, s.snapshot())
 			default:
-				transferState(now, any("gives"), any("takes"))
+				transferState(now, any("sender"), any("receiver"))
 			}
 			for _, state := range boxes {
 				state.DropExpired(now)
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -18,7 +18,7 @@
 // be limited at once.
 const maxGossipLimits = 32
 
-// LimitRecords is the message that endpoints reported or lifted rate limits.
+// LimitRecords is the message with rate limits that endpoints reported or lifted.
 type LimitRecords struct {
 	All []core.LimitRecord `cbor:"1,keyasint"`
 }
@@ -81,7 +81,7 @@
 func (l *Limits) All(now time.Time) []core.LimitRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := slices.DeleteFunc(l.limits.All(now), func(w core.LimitRecord) bool { return !w.Limited })
+	all := slices.DeleteFunc(l.limits.All(now), func(record core.LimitRecord) bool { return !record.Limited })
 	slices.SortFunc(all, func(a, b core.LimitRecord) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return all
 }
--- a/fleet/load_reports.go
+++ b/fleet/load_reports.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// queryInterval is the time between queries of an engine. It bounds their cost; reports
-	// are about half a second old anyway.
+	// queryInterval is the time between queries of an engine. Shorter intervals would gain
+	// little, since an engine's report is about half a second old.
 	queryInterval = 500 * time.Millisecond
-	// staleQueryInterval applies while the list is older than staleListAge. Only the engines
-	// announce then that they are leaving, 1.5 to 2 s ahead.
+	// staleQueryInterval applies while the list is older than staleListAge. Then only the
+	// engines' reports show that they are leaving, 1.5 to 2 s in advance.
 	staleQueryInterval = 200 * time.Millisecond
 	staleListAge       = time.Second
 	// queryTimeout bounds one query.
@@ -57,6 +57,7 @@
 	latest      map[string]timedReport
 }
 
+// timedReport is a load report with the time of its data.
 type timedReport struct {
 	routing.Report
 	at time.Time
@@ -94,11 +95,11 @@
 		for _, e := range r.assignedEngines() {
 			go r.query(ctx, e)
 		}
-		every := queryInterval
+		interval := queryInterval
 		if time.Since(r.state.View().ConfirmedAt) > staleListAge {
-			every = staleQueryInterval
+			interval = staleQueryInterval
 		}
-		Sleep(ctx, every)
+		Sleep(ctx, interval)
 	}
 }
 
@@ -137,6 +138,7 @@
 	return true
 }
 
+// query queries one engine and records its report, or that it has restarted.
 func (r *LoadReports) query(ctx context.Context, e routing.Endpoint) {
 	if !r.queryFilter(e) {
 		return
@@ -179,6 +181,7 @@
 	}
 }
 
+// record stores a report if it is newer than the previous one of its engine.
 func (r *LoadReports) record(now time.Time, report routing.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -13,14 +13,16 @@
 	// remotePartnerCount is how many boxes of other groups a box sends updates to, which
 	// then reach n boxes in about log n hops.
 	remotePartnerCount = 2
-	// remoteGossipInterval makes every third gossip exchange go to a box of another group,
-	// so that confirmations of the list cross groups well within the propagation limit.
+	// remoteGossipInterval is the number of gossip exchanges of which one is with a box of
+	// another group, or with one of this group that is reached through relays, so that
+	// confirmations of the list cross groups well within the propagation limit.
 	remoteGossipInterval = 3
 	// rotationInterval is how often a partner of another group is replaced.
 	rotationInterval = 4 * time.Second
 )
 
-// nextGossipPartner returns the box for the next gossip exchange, in round-robin order.
+// nextGossipPartner updates the roster and the partners, and returns the box for the next gossip
+// exchange, in round-robin order.
 func (p *Peers) nextGossipPartner(now time.Time) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +43,7 @@
 }
 
 // refreshPartners updates the group and its addresses and rotates the partners of other groups.
-// Seeds are among these now and then, so that a split fleet can merge again.
+// Seeds may be chosen as partners too, so that a split fleet can merge again.
 func (p *Peers) refreshPartners(now time.Time) {
 	alive := p.roster.Alive(now)
 	p.group = core.GroupOf(p.roster.Self(), alive, p.state.View().EngineCount())
@@ -63,8 +65,8 @@
 	p.groupAddresses = groupAddresses
 	p.paths = newGroupPaths(p.roster.Self(), members)
 	p.remotePartners = slices.DeleteFunc(p.remotePartners, func(a netip.AddrPort) bool { return slices.Contains(groupAddresses, a) })
-	full := len(p.remotePartners) >= remotePartnerCount
-	if full && now.Sub(p.rotatedAt) < rotationInterval {
+	isFull := len(p.remotePartners) >= remotePartnerCount
+	if isFull && now.Sub(p.rotatedAt) < rotationInterval {
 		return
 	}
 	choices = append(choices, p.seeds...)
@@ -75,7 +77,7 @@
 		return
 	}
 	p.rotatedAt = now
-	if full {
+	if isFull {
 		p.closeConnection(p.remotePartners[0])
 		p.remotePartners = p.remotePartners[1:]
 	}
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -25,11 +25,11 @@
 // Peers maintains the roster of boxes and exchanges state with them.
 type Peers struct {
 	sender            *stateSender
-	mu                sync.Mutex // guards all fields below
-	sources           *core.SourceSelector[*wire.Conn]
-	fetching          bool          // fetchAll is running
-	stopped           chan struct{} // closed when Run ends
-	wake              chan struct{} // wakes fetchAll after an advertisement
+	mu                sync.Mutex                       // guards all fields below
+	sources           *core.SourceSelector[*wire.Conn] // selects the box to fetch newer state from
+	fetching          bool                             // fetchAll is running
+	stopped           chan struct{}                    // closed when Run ends
+	wake              chan struct{}                    // wakes fetchAll after an advertisement
 	lastPreferred     preferredCache
 	roster            *core.Roster
 	discovery         *core.PeerDiscovery
@@ -153,14 +153,14 @@
 // Run gossips with other boxes until the context ends.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := gossipInterval
+		interval := gossipInterval
 		if p.state.IsStoreDown() {
-			every = storeDownGossipInterval
+			interval = storeDownGossipInterval
 		}
 		if address, ok := p.nextGossipPartner(time.Now()); ok {
 			go p.gossipWith(ctx, address)
 		}
-		Sleep(ctx, every*3/4+rand.N(every/2))
+		Sleep(ctx, interval*3/4+rand.N(interval/2))
 	}
 	close(p.stopped)
 	p.server.Close()
--- a/fleet/state_apply.go
+++ b/fleet/state_apply.go
@@ -25,33 +25,34 @@
 }
 
 // ApplyPeerState merges newer state fetched from a peer. Endpoints missing from a complete list
-// are dropped at once, since the peer has already waited for the grace period.
-func (s *State) ApplyPeerState(now time.Time, from string, v PeerState) {
+// of the same store era are dropped at once, since the peer has already waited for the grace
+// period.
+func (s *State) ApplyPeerState(now time.Time, from string, newer PeerState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setDocument(from, v.Document)
-	fresh := v.ListRevision != 0 && (!s.hasList || v.ListRevision > s.changed)
-	whole := fresh && !v.Partial
-	if whole {
-		s.enterEra(now, from, v.ListRevision)
+	s.setDocument(from, newer.Document)
+	isNewer := newer.ListRevision != 0 && (!s.hasList || newer.ListRevision > s.changed)
+	isComplete := isNewer && !newer.Partial
+	if isComplete {
+		s.enterEra(now, from, newer.ListRevision)
 	}
-	s.updateZones(now, from, v.Zones)
+	s.updateZones(now, from, newer.Zones)
 	switch {
-	case !fresh:
-	case v.Partial && s.hasList && v.ListRevision.Era() == s.changed.Era():
+	case !isNewer:
+	case newer.Partial && s.hasList && newer.ListRevision.Era() == s.changed.Era():
 		s.updateEntries(now, from, Update{
-			Updated: v.Endpoints,
-			Removed: v.Removed,
+			Updated: newer.Endpoints,
+			Removed: newer.Removed,
 		})
-		s.changed = v.ListRevision
-	case whole:
-		s.replaceList(now, from, v.ListRevision, v.Endpoints)
-		s.changed = v.ListRevision
+		s.changed = newer.ListRevision
+	case isComplete:
+		s.replaceList(now, from, newer.ListRevision, newer.Endpoints)
+		s.changed = newer.ListRevision
 	}
-	if whole {
-		s.markOlderErasMissing(now, from, v.ListRevision)
+	if isComplete {
+		s.markOlderErasMissing(now, from, newer.ListRevision)
 	}
-	s.advanceConfirmed(now, v.ListRevision, v.Age)
+	s.advanceConfirmed(now, newer.ListRevision, newer.Age)
 	s.publish()
 }
 
@@ -115,9 +116,9 @@
 func (s *State) ApplyUpdate(now time.Time, from string, u Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := u.ListRevision > s.changed
-	if !fresh || !s.hasList {
-		return fresh
+	isNewer := u.ListRevision > s.changed
+	if !isNewer || !s.hasList {
+		return isNewer
 	}
 	s.updateEntries(now, from, u)
 	if u.BaseRevision <= s.changed && u.ListRevision.Era() == s.changed.Era() {
@@ -128,6 +129,7 @@
 	return true
 }
 
+// updateEntries applies the changes in an update from a source of changes.
 func (s *State) updateEntries(now time.Time, from string, u Update) {
 	s.updateZones(now, from, u.Zones)
 	for _, e := range u.Updated {
@@ -195,6 +197,7 @@
 	return now.Sub(s.announcements[0].at)
 }
 
+// setDocument activates a configuration if it is newer than the active one.
 func (s *State) setDocument(from string, d *routing.Document) {
 	if d == nil || (s.table != nil && d.Version <= s.table.Version()) {
 		return
--- a/fleet/state_endpoints.go
+++ b/fleet/state_endpoints.go
@@ -71,6 +71,7 @@
 	return until
 }
 
+// recordEndpointChange records how an entry changed, to be reported after the next view.
 func (s *State) recordEndpointChange(from string, old *endpointEntry, e routing.Endpoint) {
 	known := old != nil && old.Usable()
 	switch {
@@ -139,8 +140,8 @@
 	if e.missing {
 		return
 	}
-	outage := from == sourceStore && (s.storeDown || (!s.storeUpAt.IsZero() && now.Sub(s.storeUpAt) < missingGracePeriod))
-	if outage && !e.Leaving {
+	afterOutage := from == sourceStore && (s.storeDown || (!s.storeUpAt.IsZero() && now.Sub(s.storeUpAt) < missingGracePeriod))
+	if afterOutage && !e.Leaving {
 		s.markMissing(from, e)
 		return
 	}
--- a/fleet/state_transfer_test.go
+++ b/fleet/state_transfer_test.go
@@ -20,9 +20,8 @@
 	"dillsaddle.example/dillsaddle/wire"
 )
 
-// These tests run boxes connected by links of 10 Mbit/s. They guard against configurations that
-// arrive too late because many boxes fetch a large one from few senders at once, time out while
-// its bytes are still being sent, and don't retry.
+// These tests run boxes connected by links of 10 Mbit/s. They guard against large configurations
+// that arrive late because many boxes fetch them from few senders at once and time out.
 
 const (
 	// smallLinkBytesPerSecond is 10 Mbit/s.
@@ -172,12 +171,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := startFleet(t, 18, smallLinkBytesPerSecond)
-		const apart = 400 * time.Millisecond
+		const publishInterval = 400 * time.Millisecond
 		for version := uint64(7); version < 13; version++ {
 			f.applyFromStore(int(version)%3, randomDocument(version, 2850))
-			time.Sleep(apart)
+			time.Sleep(publishInterval)
 		}
-		time.Sleep(propagationLimit - apart)
+		time.Sleep(propagationLimit - publishInterval)
 		g.Expect(f.countWithoutVersion(12)).To(gomega.BeZero(), "boxes without the last configuration after %v", propagationLimit)
 	})
 }
@@ -255,7 +254,7 @@
 	})
 }
 
-// A suspension must count in the age of the list, or other boxes take an outdated list for
+// A suspension must count in the age of the list, or other boxes treat an outdated list as
 // confirmed.
 func TestSuspendedBoxDoesNotGossipItsListAsFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -273,9 +272,9 @@
 // BenchmarkPackedConfiguration measures encoding a configuration of 2,850 routes, which boxes
 // avoid when they forward a fetched one.
 func BenchmarkPackedConfiguration(b *testing.B) {
-	views := fleet.PeerState{Document: randomDocument(7, 2850)}
+	state := fleet.PeerState{Document: randomDocument(7, 2850)}
 	for b.Loop() {
-		if _, err := wire.Pack(views); err != nil {
+		if _, err := wire.Pack(state); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/fleet/store_watcher.go
+++ b/fleet/store_watcher.go
@@ -25,9 +25,9 @@
 	// discoveryDelay is how long a starting box waits for its peers before its first watch,
 	// since it ranks first until it knows others.
 	discoveryDelay = 400 * time.Millisecond
-	// maxWatchPauseFraction bounds the readers' pauses, each twice that of the reader before
-	// it in rank: a change ends all watches at once, and the first reader broadcasts what
-	// follows shortly after.
+	// maxWatchPauseFraction bounds the readers' pauses, which double with each rank. A change
+	// ends all readers' watches at once; the first reader watches again soonest and
+	// broadcasts the changes that follow shortly after.
 	maxWatchPauseFraction = 0.25
 	// minRetryDelay and maxReaderRetryDelay bound a reader's delay after failed calls;
 	// maxFallbackRetryDelay bounds that of other boxes.
@@ -112,6 +112,7 @@
 	return w
 }
 
+// fraction returns a fraction of the propagation limit.
 func (w *StoreWatcher) fraction(of float64) time.Duration {
 	return time.Duration(of * float64(w.propagationLimit))
 }
@@ -191,6 +192,8 @@
 	return w.fraction(staleFraction)
 }
 
+// readAll reads and applies the whole content of the store. It returns its revision, and false if
+// the read failed.
 func (w *StoreWatcher) readAll(ctx context.Context) (routing.Revision, bool) {
 	s, err := w.store.Read(ctx)
 	if err != nil {
@@ -235,6 +238,7 @@
 	return c.Revision, true
 }
 
+// handleFailure records a failed call and waits before the next one.
 func (w *StoreWatcher) handleFailure(ctx context.Context, call string, err error) {
 	w.onCall("failed")
 	if ctx.Err() != nil {
--- a/fleet/update.go
+++ b/fleet/update.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// forwardUpdate sends an update to all partners but the one that it came from.
 func (p *Peers) forwardUpdate(u Update, from *wire.Conn) {
 	p.mu.Lock()
 	partners := p.partners()
@@ -61,6 +62,7 @@
 // it is new. A configuration or omitted changes are announced only after they were fetched.
 func (p *Peers) handleUpdate(_ context.Context, c *wire.Conn, u Update) {
 	if u.Age < 0 {
+		// An invalid age must not confirm the list.
 		u.Age = math.MaxInt64
 	}
 	if !u.Truncated {
