--- a/bench/run.go
+++ b/bench/run.go
@@ -258,7 +258,7 @@
 			n.schedule(controlDelay, func() { n.startRequest(r) })
 		case admission.Wake:
 			n.schedule(c.After, func() { n.execute(box, n.boxes[box].Step(n.now, admission.Ticked{})) })
-		case admission.WantLeases:
+		case admission.RenewLeases:
 			n.requestLeases(box)
 		case admission.RefuseRequest:
 			n.active[c.ID].refused = true
