--- a/core/claim_event.go
+++ b/core/claim_event.go
@@ -52,8 +52,8 @@
 	Guard time.Duration
 }
 
-// ClaimAnswered asks the shell to send the answer to a claim.
-type ClaimAnswered struct {
+// AnswerClaim asks the shell to send the answer to a claim.
+type AnswerClaim struct {
 	CommandBase
 	Attempt    string
 	Verdict    ClaimVerdict
