--- a/bench/run.go
+++ b/bench/run.go
@@ -242,7 +242,7 @@
 		Weight:       1,
 		Risk:         rankRisks[a.Customer.Rank],
 		PromptTokens: a.Prompt,
-		MaxTokens:    a.Customer.Most,
+		MaxTokens:    a.Customer.MaxLength,
 		Prefix:       a.Prefix,
 		ArrivedAt:    n.start.Add(a.At),
 	}}))
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -12,14 +12,14 @@
 
 // Customer describes one customer's part of the load.
 type Customer struct {
-	Name   string
-	Class  string
-	Tier   string
-	Rank   int
-	Share  float64 // fraction of all requests
-	Prompt standin.LengthDistribution
-	Output standin.LengthDistribution
-	Most   int // limit of the output tokens
+	Name      string
+	Class     string
+	Tier      string
+	Rank      int
+	Share     float64 // fraction of all requests
+	Prompt    standin.LengthDistribution
+	Output    standin.LengthDistribution
+	MaxLength int // limit of the output tokens
 }
 
 // Arrival is one request, with its prompt's and output's lengths in tokens.
@@ -54,18 +54,18 @@
 // Buscodigo returns a load shaped like the code search deployment's: short completions
 // with shared prefixes, and longer summaries.
 func Buscodigo() Deployment {
-	short := standin.LengthDistribution{Median: 45, Sigma: 0.9, Most: 2000}
-	long := standin.LengthDistribution{Median: 350, Sigma: 1.1, Most: 12000}
-	prompt := standin.LengthDistribution{Median: 500, Sigma: 0.5, Most: 4000}
+	short := standin.LengthDistribution{Median: 45, Sigma: 0.9, MaxLength: 2000}
+	long := standin.LengthDistribution{Median: 350, Sigma: 1.1, MaxLength: 12000}
+	prompt := standin.LengthDistribution{Median: 500, Sigma: 0.5, MaxLength: 4000}
 	return Deployment{
 		Name: "buscodigo",
 		Customers: []Customer{
-			{Name: "editor", Class: "autocomplete", Tier: "gold", Rank: 0, Share: 0.30, Prompt: prompt, Output: short, Most: 2000},
-			{Name: "plugin", Class: "autocomplete", Tier: "gold", Rank: 0, Share: 0.10, Prompt: prompt, Output: short, Most: 2000},
-			{Name: "enterprise", Class: "autocomplete", Tier: "silver", Rank: 1, Share: 0.20, Prompt: prompt, Output: short, Most: 2000},
-			{Name: "partner-a", Class: "explain", Tier: "silver", Rank: 1, Share: 0.10, Prompt: prompt, Output: long, Most: 12000},
-			{Name: "partner-b", Class: "explain", Tier: "silver", Rank: 1, Share: 0.10, Prompt: prompt, Output: long, Most: 12000},
-			{Name: "summaries", Class: "summary", Tier: "bronze", Rank: 2, Share: 0.20, Prompt: prompt, Output: long, Most: 12000},
+			{Name: "editor", Class: "autocomplete", Tier: "gold", Rank: 0, Share: 0.30, Prompt: prompt, Output: short, MaxLength: 2000},
+			{Name: "plugin", Class: "autocomplete", Tier: "gold", Rank: 0, Share: 0.10, Prompt: prompt, Output: short, MaxLength: 2000},
+			{Name: "enterprise", Class: "autocomplete", Tier: "silver", Rank: 1, Share: 0.20, Prompt: prompt, Output: short, MaxLength: 2000},
+			{Name: "partner-a", Class: "explain", Tier: "silver", Rank: 1, Share: 0.10, Prompt: prompt, Output: long, MaxLength: 12000},
+			{Name: "partner-b", Class: "explain", Tier: "silver", Rank: 1, Share: 0.10, Prompt: prompt, Output: long, MaxLength: 12000},
+			{Name: "summaries", Class: "summary", Tier: "bronze", Rank: 2, Share: 0.20, Prompt: prompt, Output: long, MaxLength: 12000},
 		},
 	}
 }
@@ -73,18 +73,18 @@
 // Jordan returns a load shaped like the climate records assistant's: interactive answers
 // of medium length, and bulk summaries.
 func Jordan() Deployment {
-	answer := standin.LengthDistribution{Median: 220, Sigma: 0.8, Most: 6000}
-	bulk := standin.LengthDistribution{Median: 600, Sigma: 1.0, Most: 16000}
-	prompt := standin.LengthDistribution{Median: 300, Sigma: 0.7, Most: 4000}
+	answer := standin.LengthDistribution{Median: 220, Sigma: 0.8, MaxLength: 6000}
+	bulk := standin.LengthDistribution{Median: 600, Sigma: 1.0, MaxLength: 16000}
+	prompt := standin.LengthDistribution{Median: 300, Sigma: 0.7, MaxLength: 4000}
 	return Deployment{
 		Name: "jordan",
 		Customers: []Customer{
-			{Name: "field", Class: "explain", Tier: "gold", Rank: 0, Share: 0.25, Prompt: prompt, Output: answer, Most: 6000},
-			{Name: "clinics", Class: "alert", Tier: "gold", Rank: 0, Share: 0.15, Prompt: prompt, Output: answer, Most: 6000},
-			{Name: "water", Class: "explain", Tier: "silver", Rank: 1, Share: 0.15, Prompt: prompt, Output: answer, Most: 6000},
-			{Name: "labs", Class: "explain", Tier: "silver", Rank: 1, Share: 0.15, Prompt: prompt, Output: answer, Most: 6000},
-			{Name: "farms", Class: "explain", Tier: "silver", Rank: 1, Share: 0.10, Prompt: prompt, Output: answer, Most: 6000},
-			{Name: "ministry", Class: "bulk", Tier: "bronze", Rank: 2, Share: 0.20, Prompt: prompt, Output: bulk, Most: 16000},
+			{Name: "field", Class: "explain", Tier: "gold", Rank: 0, Share: 0.25, Prompt: prompt, Output: answer, MaxLength: 6000},
+			{Name: "clinics", Class: "alert", Tier: "gold", Rank: 0, Share: 0.15, Prompt: prompt, Output: answer, MaxLength: 6000},
+			{Name: "water", Class: "explain", Tier: "silver", Rank: 1, Share: 0.15, Prompt: prompt, Output: answer, MaxLength: 6000},
+			{Name: "labs", Class: "explain", Tier: "silver", Rank: 1, Share: 0.15, Prompt: prompt, Output: answer, MaxLength: 6000},
+			{Name: "farms", Class: "explain", Tier: "silver", Rank: 1, Share: 0.10, Prompt: prompt, Output: answer, MaxLength: 6000},
+			{Name: "ministry", Class: "bulk", Tier: "bronze", Rank: 2, Share: 0.20, Prompt: prompt, Output: bulk, MaxLength: 16000},
 		},
 	}
 }
@@ -197,7 +197,7 @@
 		Box:      r.IntN(boxes),
 	}
 	if c.OutputsGrow && pick == noisyCustomer && now > c.Duration/2 {
-		a.Output = min(a.Output*10, customer.Most)
+		a.Output = min(a.Output*10, customer.MaxLength)
 	}
 	return a
 }
--- a/engine/completions/worker_test.go
+++ b/engine/completions/worker_test.go
@@ -27,9 +27,9 @@
 		Models: []string{"model-1"},
 		Batch:  standin.DefaultBatchRules(),
 		OutputLength: standin.LengthDistribution{
-			Median: 5,
-			Sigma:  0.1,
-			Most:   10,
+			Median:    5,
+			Sigma:     0.1,
+			MaxLength: 10,
 		},
 		Cache: cache,
 	}
--- a/entry/box_test.go
+++ b/entry/box_test.go
@@ -78,9 +78,9 @@
 		Models: []string{modelName},
 		Batch:  standin.DefaultBatchRules(),
 		OutputLength: standin.LengthDistribution{
-			Median: 20,
-			Sigma:  0.1,
-			Most:   100,
+			Median:    20,
+			Sigma:     0.1,
+			MaxLength: 100,
 		},
 	}).HTTPServer(address)
 	go served.Spin()
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -24,7 +24,7 @@
 		DeferCleanup(c.Close)
 	})
 	answer := func() emulator.Outcome {
-		o, err := c.Answer()
+		o, err := c.ReadAnswer()
 		Expect(err).NotTo(HaveOccurred())
 		return o
 	}
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -7,26 +7,26 @@
 
 // BatchRules configure the memory, batch size and step times of one engine.
 type BatchRules struct {
-	MemoryTokens int
-	BlockTokens  int
-	MaxBatch     int
-	StepBase     time.Duration
-	StepPerSeq   time.Duration
-	PrefillToken time.Duration
-	CacheTokens  int // part of the memory reserved for cached prompt prefixes
+	MemoryTokens    int
+	BlockTokens     int
+	MaxBatch        int
+	StepBase        time.Duration
+	StepPerSeq      time.Duration
+	PrefillPerToken time.Duration
+	CacheTokens     int // part of the memory reserved for cached prompt prefixes
 }
 
 // DefaultBatchRules returns rules whose step takes 12 ms when empty and 30 ms with 60
 // sequences.
 func DefaultBatchRules() BatchRules {
 	return BatchRules{
-		MemoryTokens: 40000,
-		BlockTokens:  16,
-		MaxBatch:     256,
-		StepBase:     12 * time.Millisecond,
-		StepPerSeq:   300 * time.Microsecond,
-		PrefillToken: 20 * time.Microsecond,
-		CacheTokens:  8000,
+		MemoryTokens:    40000,
+		BlockTokens:     16,
+		MaxBatch:        256,
+		StepBase:        12 * time.Millisecond,
+		StepPerSeq:      300 * time.Microsecond,
+		PrefillPerToken: 20 * time.Microsecond,
+		CacheTokens:     8000,
 	}
 }
 
@@ -128,7 +128,7 @@
 		b.generateToken(s, &out)
 	}
 	size := len(b.running) + len(out.Finished)
-	out.Duration = b.Rules.StepBase + time.Duration(size)*b.Rules.StepPerSeq + time.Duration(prefill)*b.Rules.PrefillToken
+	out.Duration = b.Rules.StepBase + time.Duration(size)*b.Rules.StepPerSeq + time.Duration(prefill)*b.Rules.PrefillPerToken
 	return out
 }
 
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -56,7 +56,7 @@
 	fs.DurationVar(&e.Batch.StepPerSeq, "step-sequence", e.Batch.StepPerSeq, "engine: additional step `time` for each sequence")
 	fs.Float64Var(&e.OutputLength.Median, "median", 60, "engine: median output length in `tokens`")
 	fs.Float64Var(&e.OutputLength.Sigma, "spread", 0.8, "engine: `sigma` of the log-normal output length")
-	fs.IntVar(&e.OutputLength.Most, "longest", 20000, "engine: maximum output length in `tokens`")
+	fs.IntVar(&e.OutputLength.MaxLength, "longest", 20000, "engine: maximum output length in `tokens`")
 	fs.Uint64Var(&e.Seed, "seed", 1, "engine: random `seed` of the output lengths")
 	fs.DurationVar(&e.LoadLag, "load-lag", 200*time.Millisecond, "engine: `lag` of the load report")
 	fs.IntVar(&e.Cache.HeldBack, "cache-lag", 2, "engine: number of newest cache `events` not reported yet")
--- a/standin/text.go
+++ b/standin/text.go
@@ -22,13 +22,13 @@
 
 // LengthDistribution is a log-normal distribution of lengths in tokens, clamped to 1 and Most.
 type LengthDistribution struct {
-	Median float64
-	Sigma  float64
-	Most   int
+	Median    float64
+	Sigma     float64
+	MaxLength int
 }
 
 // Sample draws one length.
 func (l LengthDistribution) Sample(r *rand.Rand) int {
 	n := int(l.Median * math.Exp(l.Sigma*r.NormFloat64()))
-	return min(max(n, 1), l.Most)
+	return min(max(n, 1), l.MaxLength)
 }
