--- a/bench/engine.go
+++ b/bench/engine.go
@@ -27,38 +27,38 @@
 	report admission.Report
 }
 
-func (n *simulation) addEngine(name string) {
+func (sim *simulation) addEngine(name string) {
 	e := &simulatedEngine{
 		name:  name,
 		batch: standin.NewBatch(EngineRules()),
 	}
 	for slot := range e.shares {
 		ownership := core.NewOwnership(name, core.DefaultLeaseRules())
-		ownership.Step(n.now, core.HoldTaken{Fresh: true})
+		ownership.Step(sim.now, core.HoldTaken{Fresh: true})
 		e.shares[slot] = admission.NewShares(ownership, EngineRules().MemoryTokens, slotCount, targetStepTime)
 	}
-	n.engines[name] = e
-	n.engineNames = append(n.engineNames, name)
+	sim.engines[name] = e
+	sim.engineNames = append(sim.engineNames, name)
 }
 
 // failEngine stops an engine; its running requests are lost.
-func (n *simulation) failEngine(e *simulatedEngine) {
+func (sim *simulation) failEngine(e *simulatedEngine) {
 	e.hasFailed = true
-	for _, r := range n.requests {
-		if r.engine != e.name || n.active[r.id] == nil {
+	for _, r := range sim.requests {
+		if r.engine != e.name || sim.active[r.id] == nil {
 			continue
 		}
 		r.lost = true
-		n.finishRequest(r, false)
+		sim.finishRequest(r, false)
 	}
 }
 
 // startRequest submits a placed request to its engine.
-func (n *simulation) startRequest(r *request) {
-	e := n.engines[r.engine]
+func (sim *simulation) startRequest(r *request) {
+	e := sim.engines[r.engine]
 	if e.hasFailed {
 		r.lost = true
-		n.finishRequest(r, false)
+		sim.finishRequest(r, false)
 		return
 	}
 	r.seq = &standin.Sequence{
@@ -71,38 +71,38 @@
 	e.batch.Submit(r.seq)
 	if !e.isStepping {
 		e.isStepping = true
-		n.stepEngine(e)
+		sim.stepEngine(e)
 	}
 }
 
 // stepEngine runs one batch step of an engine and schedules its results and the next step.
-func (n *simulation) stepEngine(e *simulatedEngine) {
+func (sim *simulation) stepEngine(e *simulatedEngine) {
 	if e.hasFailed || e.batch.IsIdle() {
 		e.isStepping = false
 		return
 	}
 	s := e.batch.Step()
-	n.schedule(s.Duration, func() {
+	sim.schedule(s.Duration, func() {
 		for _, q := range s.Emitted {
-			n.recordToken(n.active[q.ID])
+			sim.recordToken(sim.active[q.ID])
 		}
 		for _, q := range s.Finished {
-			if r := n.active[q.ID]; r != nil {
+			if r := sim.active[q.ID]; r != nil {
 				r.done = true
-				n.finishRequest(r, true)
+				sim.finishRequest(r, true)
 			}
 		}
-		n.report(e, s.Duration)
-		n.stepEngine(e)
+		sim.report(e, s.Duration)
+		sim.stepEngine(e)
 	})
 }
 
 // report queues an engine's load report and delivers to the owners those that are at least
 // the report lag old.
-func (n *simulation) report(e *simulatedEngine, took time.Duration) {
-	lag := reportLag + n.testCase.ReportLag
+func (sim *simulation) report(e *simulatedEngine, took time.Duration) {
+	lag := reportLag + sim.testCase.ReportLag
 	e.pendingReports = append(e.pendingReports, timedReport{
-		at: n.now,
+		at: sim.now,
 		report: admission.Report{
 			Batch: e.batch.Running(),
 			Step:  took,
@@ -110,7 +110,7 @@
 		},
 	})
 	visible := 0
-	for visible < len(e.pendingReports) && n.now.Sub(e.pendingReports[visible].at) >= lag {
+	for visible < len(e.pendingReports) && sim.now.Sub(e.pendingReports[visible].at) >= lag {
 		visible++
 	}
 	if visible == 0 {
@@ -127,23 +127,23 @@
 // stalled.
 const stallThresholdSeconds = 0.25
 
-// recordToken records when a request's token was generated, and reports its progress to
-// its box at every tokensPerReport tokens.
-func (n *simulation) recordToken(r *request) {
+// recordToken records when a request's token was generated. It reports the request's progress
+// to its box after every tokensPerReport tokens.
+func (sim *simulation) recordToken(r *request) {
 	if r == nil {
 		return
 	}
 	if r.firstTokenAt.IsZero() {
-		r.firstTokenAt = n.now
+		r.firstTokenAt = sim.now
 	} else {
-		gap := n.now.Sub(r.lastTokenAt).Seconds()
+		gap := sim.now.Sub(r.lastTokenAt).Seconds()
 		r.tokenGaps = append(r.tokenGaps, gap)
 		r.stallSeconds += max(0, gap-stallThresholdSeconds)
 	}
-	r.lastTokenAt = n.now
+	r.lastTokenAt = sim.now
 	if r.seq.Emitted-r.reportedTokens >= tokensPerReport {
 		r.reportedTokens = r.seq.Emitted
-		n.boxes[r.arrival.Box].Step(n.now, admission.TokensMade{
+		sim.boxes[r.arrival.Box].Step(sim.now, admission.TokensMade{
 			ID:        r.id,
 			Generated: r.seq.Emitted,
 		})
@@ -151,13 +151,13 @@
 }
 
 // finishRequest ends a request and informs its box.
-func (n *simulation) finishRequest(r *request, completed bool) {
-	delete(n.active, r.id)
+func (sim *simulation) finishRequest(r *request, completed bool) {
+	delete(sim.active, r.id)
 	made := 0
 	if r.seq != nil {
 		made = r.seq.Emitted
 	}
-	n.execute(r.arrival.Box, n.boxes[r.arrival.Box].Step(n.now, admission.GenerationEnded{
+	sim.execute(r.arrival.Box, sim.boxes[r.arrival.Box].Step(sim.now, admission.GenerationEnded{
 		ID:        r.id,
 		Generated: made,
 		Whole:     completed,
--- a/bench/event_queue.go
+++ b/bench/event_queue.go
@@ -39,11 +39,11 @@
 }
 
 // schedule runs an action after a virtual time.
-func (n *simulation) schedule(d time.Duration, action func()) {
-	n.queue.lastOrder++
-	heap.Push(&n.queue, event{
-		at:     n.now.Add(d),
-		order:  n.queue.lastOrder,
+func (sim *simulation) schedule(d time.Duration, action func()) {
+	sim.queue.lastOrder++
+	heap.Push(&sim.queue, event{
+		at:     sim.now.Add(d),
+		order:  sim.queue.lastOrder,
 		action: action,
 	})
 }
--- a/bench/outcome.go
+++ b/bench/outcome.go
@@ -43,7 +43,7 @@
 	ByCustomer            map[string]float64 // goodput by customer
 	ControlBytesPerSecond float64            // per box
 	MessagesPerSecond     float64            // control messages per box
-	Computed              float64            // share of prompt tokens computed, not read from a cache
+	Computed              float64            // share of prompt tokens computed, not read from a prefix cache
 }
 
 // Tier returns the results of a tier, which are zero if it had no requests.
@@ -56,7 +56,8 @@
 	return &TierOutcome{}
 }
 
-// metTargets reports whether a generation completed within the limits.
+// metTargets reports whether a generation completed within the limits. start is the start of
+// the replay.
 func (r *request) metTargets(start time.Time) bool {
 	if !r.done || r.firstTokenAt.Sub(start.Add(r.arrival.At)) > firstTokenLimit {
 		return false
@@ -79,23 +80,23 @@
 }
 
 // outcome evaluates all requests of a replay.
-func (n *simulation) outcome(d Deployment, p Policy) *Outcome {
+func (sim *simulation) outcome(d Deployment, p Policy) *Outcome {
 	out := &Outcome{
 		Deployment: d.Name,
-		Case:       n.testCase.Name,
+		Case:       sim.testCase.Name,
 		Policy:     p.Name,
 		ByCustomer: make(map[string]float64),
 	}
 	tiers := make(map[string]*tierSamples)
 	computed, prompts := 0, 0
 	var order []string
-	for _, r := range n.requests {
+	for _, r := range sim.requests {
 		tier := r.arrival.Customer.Tier
 		if tiers[tier] == nil {
 			tiers[tier] = &tierSamples{out: TierOutcome{Tier: tier}}
 			order = append(order, tier)
 		}
-		n.addRequest(tiers[tier], r, out)
+		sim.addRequest(tiers[tier], r, out)
 		if r.seq != nil {
 			computed += r.seq.Computed
 			prompts += r.seq.Prompt
@@ -103,15 +104,15 @@
 	}
 	slices.SortFunc(order, func(a, b string) int { return rankOf(d, a) - rankOf(d, b) })
 	for _, tier := range order {
-		out.Tiers = append(out.Tiers, tiers[tier].result(n.testCase.Duration))
+		out.Tiers = append(out.Tiers, tiers[tier].result(sim.testCase.Duration))
 	}
 	for i := range out.Tiers {
 		out.Goodput += out.Tiers[i].Goodput
 	}
 	out.Computed = float64(computed) / float64(max(1, prompts))
-	seconds := n.testCase.Duration.Seconds() * float64(len(n.boxes))
-	out.ControlBytesPerSecond = float64(n.controlBytes) / seconds
-	out.MessagesPerSecond = float64(n.controlMessages) / seconds
+	seconds := sim.testCase.Duration.Seconds() * float64(len(sim.boxes))
+	out.ControlBytesPerSecond = float64(sim.controlBytes) / seconds
+	out.MessagesPerSecond = float64(sim.controlMessages) / seconds
 	return out
 }
 
@@ -125,7 +126,7 @@
 }
 
 // addRequest adds a request's figures to its tier, and its goodput to its customer.
-func (n *simulation) addRequest(g *tierSamples, r *request, out *Outcome) {
+func (sim *simulation) addRequest(g *tierSamples, r *request, out *Outcome) {
 	g.out.Requests++
 	switch {
 	case r.refused:
@@ -140,12 +141,12 @@
 	}
 	g.tokenGaps = append(g.tokenGaps, r.tokenGaps...)
 	if !r.firstTokenAt.IsZero() {
-		g.firstTokenTimes = append(g.firstTokenTimes, r.firstTokenAt.Sub(n.start.Add(r.arrival.At)).Seconds())
+		g.firstTokenTimes = append(g.firstTokenTimes, r.firstTokenAt.Sub(sim.start.Add(r.arrival.At)).Seconds())
 		g.stalls = append(g.stalls, r.stallSeconds)
 	}
-	if r.metTargets(n.start) {
+	if r.metTargets(sim.start) {
 		g.out.tokens += float64(r.seq.Emitted)
-		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Emitted) / n.testCase.Duration.Seconds()
+		out.ByCustomer[r.arrival.Customer.Name] += float64(r.seq.Emitted) / sim.testCase.Duration.Seconds()
 	}
 }
 
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -5,7 +5,7 @@
 )
 
 // Policy is an admission and placement policy to be compared; Name heads its column of the
-// table, and Apply changes the admission rules of a box.
+// table, and Apply changes the admission rules of each box.
 type Policy struct {
 	Name  string
 	Apply func(*admission.Rules, *simulation)
@@ -20,14 +20,14 @@
 		{Name: "reservation", Apply: func(r *admission.Rules, _ *simulation) { r.ReserveMaxLength = true }},
 		{Name: "dillsaddle", Apply: func(*admission.Rules, *simulation) {}},
 		{Name: "one owner asked", Apply: func(*admission.Rules, *simulation) {}, Boxes: 1},
-		{Name: "oracle", Apply: func(r *admission.Rules, n *simulation) {
-			r.KnownLength = func(id string) int { return n.active[id].arrival.Output }
+		{Name: "oracle", Apply: func(r *admission.Rules, sim *simulation) {
+			r.KnownLength = func(id string) int { return sim.active[id].arrival.Output }
 		}},
 	}
 }
 
 // roundRobin sends requests to the endpoints in turn, without regard to their memory.
-func roundRobin(r *admission.Rules, n *simulation) {
+func roundRobin(r *admission.Rules, sim *simulation) {
 	next := 0
 	r.IgnoreFit = true
 	r.Choose = func(candidates []string) string {
@@ -40,12 +40,12 @@
 }
 
 // leastReported sends a request to the endpoint that last reported the least memory in use.
-func leastReported(r *admission.Rules, n *simulation) {
+func leastReported(r *admission.Rules, sim *simulation) {
 	r.IgnoreFit = true
 	r.Choose = func(candidates []string) string {
 		best := ""
 		for _, name := range candidates {
-			if best == "" || n.engines[name].visibleReport.Used < n.engines[best].visibleReport.Used {
+			if best == "" || sim.engines[name].visibleReport.Used < sim.engines[best].visibleReport.Used {
 				best = name
 			}
 		}
--- a/bench/replay_test.go
+++ b/bench/replay_test.go
@@ -27,7 +27,7 @@
 
 var _ = Describe("decisions under load in virtual time", func() {
 	for _, d := range []bench.Deployment{bench.Buscodigo(), bench.Jordan()} {
-		It("gives the same figures in every run of "+d.Name, func() {
+		It("returns the same figures in every run of "+d.Name, func() {
 			first := replay(d, "1.3", bench.PolicyOurs)
 			Expect(replay(d, "1.3", bench.PolicyOurs)).To(Equal(first))
 		})
--- a/bench/run.go
+++ b/bench/run.go
@@ -77,108 +77,108 @@
 	if p.Boxes > 0 {
 		boxes = p.Boxes
 	}
-	n := newSimulation(c, p, boxes)
+	sim := newSimulation(c, p, boxes)
 	arrivals := d.Arrivals(c, d.SustainableRate(engineCount, EngineRules(), slotCount), boxes, seed)
 	for i := range arrivals {
 		a := &arrivals[i]
-		n.schedule(a.At, func() { n.arrive(a, i) })
+		sim.schedule(a.At, func() { sim.arrive(a, i) })
 	}
-	n.scheduleFaults()
-	for i := range n.boxes {
-		n.schedule(time.Duration(i)*leaseInterval/time.Duration(boxes), func() { n.renewLeases(i) })
+	sim.scheduleFaults()
+	for i := range sim.boxes {
+		sim.schedule(time.Duration(i)*leaseInterval/time.Duration(boxes), func() { sim.renewLeases(i) })
 	}
-	end := n.start.Add(c.Duration + drainTime)
-	for n.queue.Len() > 0 {
-		next := heap.Pop(&n.queue).(event)
+	end := sim.start.Add(c.Duration + drainTime)
+	for sim.queue.Len() > 0 {
+		next := heap.Pop(&sim.queue).(event)
 		if next.at.After(end) {
 			break
 		}
-		n.now = next.at
+		sim.now = next.at
 		next.action()
 	}
-	return n.outcome(d, p)
+	return sim.outcome(d, p)
 }
 
 // drainTime is the time after the last arrival in which admitted requests can finish.
 const drainTime = 30 * time.Second
 
 func newSimulation(testCase Case, p Policy, boxes int) *simulation {
-	n := &simulation{
+	sim := &simulation{
 		testCase: testCase,
 		start:    time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC),
 		engines:  make(map[string]*simulatedEngine),
 		active:   make(map[string]*request),
 		members:  &core.List{Version: 1},
 	}
-	n.now = n.start
+	sim.now = sim.start
 	for i := range boxes {
-		n.members.Boxes = append(n.members.Boxes, core.Member{Name: fmt.Sprintf("box-%d", i+1)})
+		sim.members.Boxes = append(sim.members.Boxes, core.Member{Name: fmt.Sprintf("box-%d", i+1)})
 	}
-	n.owners = core.NewOwners(n.members)
+	sim.owners = core.NewOwners(sim.members)
 	for i := range engineCount {
-		n.addEngine(fmt.Sprintf("engine-%d", i+1))
+		sim.addEngine(fmt.Sprintf("engine-%d", i+1))
 	}
 	for range boxes {
 		rules := admission.DefaultRules()
 		rules.MaxWaiting = func(string) int { return 100000 }
 		rules.MaxWait = 20 * time.Second
-		p.Apply(&rules, n)
+		p.Apply(&rules, sim)
 		m := admission.NewModel(admission.WithRules(rules))
-		m.Step(n.now, admission.EndpointsChanged{Names: n.engineNames})
-		n.boxes = append(n.boxes, m)
+		m.Step(sim.now, admission.EndpointsChanged{Names: sim.engineNames})
+		sim.boxes = append(sim.boxes, m)
 	}
-	return n
+	return sim
 }
 
 // scheduleFaults schedules the engine failure of the case, if any.
-func (n *simulation) scheduleFaults() {
-	if n.testCase.EngineFails {
-		n.schedule(n.testCase.Duration/2, func() { n.failEngine(n.engines[n.engineNames[0]]) })
+func (sim *simulation) scheduleFaults() {
+	if sim.testCase.EngineFails {
+		sim.schedule(sim.testCase.Duration/2, func() { sim.failEngine(sim.engines[sim.engineNames[0]]) })
 	}
 }
 
 // isCutOff reports whether the partition separates a box from an owner now.
-func (n *simulation) isCutOff(box, owner string) bool {
-	if !n.testCase.IsPartitioned {
+func (sim *simulation) isCutOff(box, owner string) bool {
+	if !sim.testCase.IsPartitioned {
 		return false
 	}
-	partitionStart := n.start.Add(n.testCase.Duration / 3)
-	if n.now.Before(partitionStart) || n.now.After(partitionStart.Add(partitionTime)) {
+	partitionStart := sim.start.Add(sim.testCase.Duration / 3)
+	if sim.now.Before(partitionStart) || sim.now.After(partitionStart.Add(partitionTime)) {
 		return false
 	}
-	firstOfSecondHalf := n.members.Boxes[len(n.members.Boxes)/2].Name
+	firstOfSecondHalf := sim.members.Boxes[len(sim.members.Boxes)/2].Name
 	return (box < firstOfSecondHalf) != (owner < firstOfSecondHalf)
 }
 
-// renewLeases requests leases from every owner, and repeats this at every lease interval.
-func (n *simulation) renewLeases(box int) {
-	n.schedule(leaseInterval, func() { n.renewLeases(box) })
-	n.requestLeases(box)
-	n.execute(box, n.boxes[box].Step(n.now, admission.Ticked{}))
+// renewLeases requests leases from every owner, and repeats this after each lease interval.
+func (sim *simulation) renewLeases(box int) {
+	sim.schedule(leaseInterval, func() { sim.renewLeases(box) })
+	sim.requestLeases(box)
+	sim.execute(box, sim.boxes[box].Step(sim.now, admission.Ticked{}))
 }
 
 // requestLeases sends a box's current demands to the owners of all owner slots.
-func (n *simulation) requestLeases(box int) {
-	m := n.boxes[box]
-	name := n.members.Boxes[box].Name
-	requestedAt := n.now
+func (sim *simulation) requestLeases(box int) {
+	m := sim.boxes[box]
+	name := sim.members.Boxes[box].Name
+	requestedAt := sim.now
 	owners := make(map[string]*wire.LeaseRequest)
-	for _, demand := range m.Demands(n.now, true) {
+	for _, demand := range m.Demands(sim.now, true) {
 		for slot := range core.SlotCount {
-			n.ask(box, name, requestedAt, demand, slot, owners)
+			sim.ask(box, name, requestedAt, demand, slot, owners)
 		}
 	}
 	for _, ask := range owners {
-		n.countMessage(ask)
+		sim.countMessage(ask)
 	}
 }
 
 // ask adds a demand to the request for a slot's owner, and schedules the grant and its
 // arrival at the box.
-func (n *simulation) ask(box int, name string, requestedAt time.Time, demand admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
-	owner := n.owners.Of(demand.Endpoint, "", slot)
-	e := n.engines[demand.Endpoint]
-	if e.hasFailed || n.isCutOff(name, owner) {
+func (sim *simulation) ask(box int, name string, requestedAt time.Time, demand admission.EndpointDemand, slot int, owners map[string]*wire.LeaseRequest) {
+	owner := sim.owners.Of(demand.Endpoint, "", slot)
+	e := sim.engines[demand.Endpoint]
+	if e.hasFailed || sim.isCutOff(name, owner) {
 		return
 	}
 	if owners[owner] == nil {
@@ -192,16 +192,16 @@
 		Running:   demand.Running,
 		Waiting:   demand.Waiting,
 	})
-	n.schedule(controlDelay, func() {
-		e.shares[slot].Ownership().Step(n.now, core.ListConfirmed{At: n.now})
-		grant := e.shares[slot].Grant(n.now, name, demand.Demand)
-		n.countMessage(wire.LeaseGrant{
+	sim.schedule(controlDelay, func() {
+		e.shares[slot].Ownership().Step(sim.now, core.ListConfirmed{At: sim.now})
+		grant := e.shares[slot].Grant(sim.now, name, demand.Demand)
+		sim.countMessage(wire.LeaseGrant{
 			Endpoint:       demand.Endpoint,
 			OtherMean:      mean,
 			OtherDeviation: deviation,
 		})
-		n.schedule(controlDelay, func() {
-			n.execute(box, n.boxes[box].Step(n.now, admission.LeaseArrived{
+		sim.schedule(controlDelay, func() {
+			sim.execute(box, sim.boxes[box].Step(sim.now, admission.LeaseArrived{
 				Slot:         slot,
 				Lease:        core.NewLease(demand.Endpoint, requestedAt, grant.TTL, grant.Tokens, grant.Slots),
 				HasOthers:    true,
@@ -215,25 +215,25 @@
 }
 
 // countMessage adds a message to the control traffic between boxes.
-func (n *simulation) countMessage(m any) {
-	n.controlBytes += wire.EncodedSize(m)
-	n.controlMessages++
+func (sim *simulation) countMessage(m any) {
+	sim.controlBytes += wire.EncodedSize(m)
+	sim.controlMessages++
 }
 
-func (n *simulation) arrive(a *Arrival, i int) {
+func (sim *simulation) arrive(a *Arrival, i int) {
 	r := &request{
 		arrival: a,
 		id:      fmt.Sprintf("r%d", i),
 	}
-	n.requests = append(n.requests, r)
-	n.active[r.id] = r
-	n.submit(r)
+	sim.requests = append(sim.requests, r)
+	sim.active[r.id] = r
+	sim.submit(r)
 }
 
 // submit passes a request to the admission of its box.
-func (n *simulation) submit(r *request) {
+func (sim *simulation) submit(r *request) {
 	a := r.arrival
-	n.execute(a.Box, n.boxes[a.Box].Step(n.now, admission.RequestArrived{Request: admission.Request{
+	sim.execute(a.Box, sim.boxes[a.Box].Step(sim.now, admission.RequestArrived{Request: admission.Request{
 		ID:           r.id,
 		Customer:     a.Customer.Name,
 		Class:        a.Customer.Class,
@@ -244,25 +244,25 @@
 		PromptTokens: a.Prompt,
 		MaxTokens:    a.Customer.MaxLength,
 		Prefix:       a.Prefix,
-		ArrivedAt:    n.start.Add(a.At),
+		ArrivedAt:    sim.start.Add(a.At),
 	}}))
 }
 
 // execute carries out the commands of a box's admission.
-func (n *simulation) execute(box int, commands []core.Command) {
+func (sim *simulation) execute(box int, commands []core.Command) {
 	for _, command := range commands {
 		switch c := command.(type) {
 		case admission.PlaceRequest:
-			r := n.active[c.ID]
+			r := sim.active[c.ID]
 			r.engine = c.Endpoint
-			n.schedule(controlDelay, func() { n.startRequest(r) })
+			sim.schedule(controlDelay, func() { sim.startRequest(r) })
 		case admission.Wake:
-			n.schedule(c.After, func() { n.execute(box, n.boxes[box].Step(n.now, admission.Ticked{})) })
+			sim.schedule(c.After, func() { sim.execute(box, sim.boxes[box].Step(sim.now, admission.Ticked{})) })
 		case admission.RenewLeases:
-			n.requestLeases(box)
+			sim.requestLeases(box)
 		case admission.RefuseRequest:
-			n.active[c.ID].refused = true
-			delete(n.active, c.ID)
+			sim.active[c.ID].refused = true
+			delete(sim.active, c.ID)
 		}
 	}
 }
--- a/bench/summary.go
+++ b/bench/summary.go
@@ -17,7 +17,7 @@
 // Summary compares the project's own policy with the baselines in one case.
 type Summary struct {
 	Case                string
-	VersusOracle        float64 // goodput relative to another policy's
+	VersusOracle        float64 // our goodput divided by the oracle's
 	VersusReservation   float64
 	VersusLeastReported float64
 	GoldSilverPreempted int     // preemptions
@@ -26,7 +26,7 @@
 	GoldStall           float64 // mean, in seconds per stream
 	ControlBytes        float64 // per second and box
 	BronzePreempted     int     // preemptions
-	Computed            float64 // share of prompt tokens computed, not read from a cache
+	Computed            float64 // share of prompt tokens computed, not read from a prefix cache
 }
 
 // noisyCase and quietCase differ only in the noisy customer's load.
@@ -36,15 +36,15 @@
 )
 
 // NoisyCustomerCost returns the share of goodput that a noisy customer costs the others of
-// its tier. The noisy customer is the first of tier.
-func NoisyCustomerCost(all []*Outcome, tier []string) float64 {
+// its tier. customers holds the tier's customers, the noisy one first.
+func NoisyCustomerCost(all []*Outcome, customers []string) float64 {
 	others := func(name string) float64 {
 		sum := 0.0
 		for _, o := range all {
 			if o.Case != name || o.Policy != PolicyOurs {
 				continue
 			}
-			for _, customer := range tier[1:] {
+			for _, customer := range customers[1:] {
 				sum += o.ByCustomer[customer]
 			}
 		}
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -100,11 +100,12 @@
 	return float64(sum) / draws
 }
 
-// usableMemoryShare leaves a part of the memory free for variation around the mean.
+// usableMemoryShare keeps part of the memory free, because usage varies around the mean.
 const usableMemoryShare = 0.9
 
 // SustainableRate returns the requests per second that a number of engines can serve. An
-// engine's slots and memory limit the number of requests that it runs at once.
+// engine's slots and memory limit the number of requests that it runs at once: a request with
+// an output of n tokens holds its prompt and, on average, n/2 tokens for n steps.
 func (d *Deployment) SustainableRate(engines int, rules standin.BatchRules, slots int) float64 {
 	output, held := 0.0, 0.0
 	for i := range d.Customers {
--- a/lab/capacity.go
+++ b/lab/capacity.go
@@ -19,7 +19,8 @@
 	retentionSeconds     = 3600.0
 )
 
-// capacityFigure is one line of the capacity table.
+// capacityFigure is one line of the capacity table: what a role spends on a task at the target
+// size, its limit if it has one, and how the value was calculated.
 type capacityFigure struct {
 	role  string
 	what  string
--- a/lab/load.go
+++ b/lab/load.go
@@ -37,17 +37,17 @@
 func init() {
 	var options loadOptions
 	fs := flag.NewFlagSet("load", flag.ContinueOnError)
-	fs.StringVar(&options.url, "url", "http://127.0.0.1:7101", "callers' `address` of an entry")
-	fs.StringVar(&options.key, "key", "demo-editor-key", "customer's `key`")
-	fs.StringVar(&options.model, "model", "complete-small", "`model` to ask for")
-	fs.Float64Var(&options.rate, "rate", 2, "streams begun a `second`")
-	fs.DurationVar(&options.duration, "lasting", 10*time.Second, "`time` during which streams are begun")
-	fs.IntVar(&options.maxTokens, "max-tokens", 400, "longest output in `tokens`")
+	fs.StringVar(&options.url, "url", "http://127.0.0.1:7101", "base `URL` of an entry's address for callers")
+	fs.StringVar(&options.key, "key", "demo-editor-key", "customer's API `key`")
+	fs.StringVar(&options.model, "model", "complete-small", "`model` to request")
+	fs.Float64Var(&options.rate, "rate", 2, "streams started per `second`")
+	fs.DurationVar(&options.duration, "lasting", 10*time.Second, "`time` during which streams are started")
+	fs.IntVar(&options.maxTokens, "max-tokens", 400, "maximum output length in `tokens`")
 	fs.Uint64Var(&options.seed, "seed", 1, "`seed` of the arrivals")
 	commands = append(commands, &ffcli.Command{
 		Name:       "load",
 		ShortUsage: "dillsaddle-lab load [flags]",
-		ShortHelp:  "bring a load to a running fleet and tell what its callers had",
+		ShortHelp:  "send load to a running fleet and print what its callers observed",
 		FlagSet:    fs,
 		Exec:       func(ctx context.Context, _ []string) error { return load(ctx, os.Stdout, &options) },
 	})
@@ -63,7 +63,7 @@
 	tokenGaps       []float64
 }
 
-// load starts streams at exponentially distributed intervals and prints what was observed.
+// load starts streams at exponentially distributed intervals and prints their results.
 func load(ctx context.Context, out io.Writer, options *loadOptions) error {
 	if options.rate <= 0 {
 		return errors.New("flag -rate must be above 0")
@@ -88,7 +88,7 @@
 }
 
 // stream sends one request and records its result.
-func (s *loadResults) stream(ctx context.Context, c *client.Client, options *loadOptions) {
+func (r *loadResults) stream(ctx context.Context, c *client.Client, options *loadOptions) {
 	req, resp := &protocol.Request{}, &protocol.Response{}
 	req.SetMethod(http.MethodPost)
 	req.SetRequestURI(options.url + "/v1/completions")
@@ -98,7 +98,7 @@
 	err := c.Do(ctx, req, resp)
 	defer func() { _ = resp.CloseBodyStream() }()
 	if err != nil || resp.StatusCode() != http.StatusOK {
-		s.recordEnd(err == nil, false)
+		r.recordEnd(err == nil, false)
 		return
 	}
 	last, completed := startedAt, false
@@ -108,41 +108,41 @@
 			completed = true
 			return nil
 		}
-		s.recordToken(now.Sub(last), last.Equal(startedAt))
+		r.recordToken(now.Sub(last), last.Equal(startedAt))
 		last = now
 		return nil
 	})
-	s.recordEnd(false, completed && err == nil)
+	r.recordEnd(false, completed && err == nil)
 }
 
-func (s *loadResults) recordToken(gap time.Duration, first bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *loadResults) recordToken(gap time.Duration, first bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if first {
-		s.firstTokenTimes = append(s.firstTokenTimes, gap.Seconds())
+		r.firstTokenTimes = append(r.firstTokenTimes, gap.Seconds())
 		return
 	}
-	s.tokenGaps = append(s.tokenGaps, gap.Seconds())
+	r.tokenGaps = append(r.tokenGaps, gap.Seconds())
 }
 
-func (s *loadResults) recordEnd(refused, completed bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *loadResults) recordEnd(refused, completed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case refused:
-		s.refused++
+		r.refused++
 	case completed:
-		s.completed++
+		r.completed++
 	default:
-		s.failed++
+		r.failed++
 	}
 }
 
-func (s *loadResults) print(out io.Writer) error {
-	slices.Sort(s.firstTokenTimes)
-	slices.Sort(s.tokenGaps)
-	_, err := fmt.Fprintf(out, "streams: %d whole, %d refused, %d failed\nfirst token: p50 %.0f ms, p95 %.0f ms\nbetween tokens: p50 %.1f ms, p95 %.1f ms, p99 %.1f ms\n",
-		s.completed, s.refused, s.failed, quantileMS(s.firstTokenTimes, 0.5), quantileMS(s.firstTokenTimes, 0.95), quantileMS(s.tokenGaps, 0.5), quantileMS(s.tokenGaps, 0.95), quantileMS(s.tokenGaps, 0.99))
+func (r *loadResults) print(out io.Writer) error {
+	slices.Sort(r.firstTokenTimes)
+	slices.Sort(r.tokenGaps)
+	_, err := fmt.Fprintf(out, "streams: %d completed, %d refused, %d failed\nfirst token: p50 %.0f ms, p95 %.0f ms\nbetween tokens: p50 %.1f ms, p95 %.1f ms, p99 %.1f ms\n",
+		r.completed, r.refused, r.failed, quantileMS(r.firstTokenTimes, 0.5), quantileMS(r.firstTokenTimes, 0.95), quantileMS(r.tokenGaps, 0.5), quantileMS(r.tokenGaps, 0.95), quantileMS(r.tokenGaps, 0.99))
 	return err
 }
 
--- a/lab/lookups.go
+++ b/lab/lookups.go
@@ -22,7 +22,7 @@
 	commands = append(commands, &ffcli.Command{
 		Name:       "lookups",
 		ShortUsage: "dillsaddle-lab lookups [flags]",
-		ShortHelp:  "measure lookups of a service whose servers are late now and then, with hedging and without",
+		ShortHelp:  "measure lookups of a service with slow servers, with and without hedging",
 		FlagSet:    fs,
 		Exec:       func(context.Context, []string) error { return lookups(os.Stdout, *programs, *duration) },
 	})
@@ -34,7 +34,7 @@
 	lookupServers = 3
 )
 
-// latencyCase is a pattern of late answers from a service's servers.
+// latencyCase is a pattern of delayed answers from a service's servers.
 type latencyCase struct {
 	name   string
 	faults standin.Faults
@@ -83,6 +83,6 @@
 }
 
 // lookupQuantileMS returns a quantile of the lookups' latencies, in milliseconds.
-func lookupQuantileMS(all *proof.Lookups, part float64) float64 {
-	return 1000 * stat.Quantile(part, stat.Empirical, all.Latencies, nil)
+func lookupQuantileMS(all *proof.Lookups, q float64) float64 {
+	return 1000 * stat.Quantile(q, stat.Empirical, all.Latencies, nil)
 }
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -14,14 +14,14 @@
 
 func init() {
 	fs := flag.NewFlagSet("measure", flag.ContinueOnError)
-	deployment := fs.String("deployment", "", "buscodigo or jordan; both if left out")
-	name := fs.String("case", "", "one case; all if left out")
+	deployment := fs.String("deployment", "", "buscodigo or jordan; empty for both")
+	name := fs.String("case", "", "name of one case; empty for all")
 	duration := fs.Duration("duration", 300*time.Second, "virtual `time` of arrivals")
-	brief := fs.Bool("brief", false, "print the distance to the aims only")
+	brief := fs.Bool("brief", false, "leave out the table of tiers")
 	commands = append(commands, &ffcli.Command{
 		Name:       "measure",
 		ShortUsage: "dillsaddle-lab measure [flags]",
-		ShortHelp:  "print the decision tables in virtual time",
+		ShortHelp:  "compare admission policies in virtual time and print the results as tables",
 		FlagSet:    fs,
 		Exec:       func(context.Context, []string) error { return measure(*deployment, *name, *duration, *brief) },
 	})
--- a/lab/plots.go
+++ b/lab/plots.go
@@ -22,7 +22,7 @@
 	commands = append(commands, &ffcli.Command{
 		Name:       "plots",
 		ShortUsage: "dillsaddle-lab plots [flags]",
-		ShortHelp:  "draw the main figures of the decision tables",
+		ShortHelp:  "plot the main results of the policy comparison",
 		FlagSet:    fs,
 		Exec:       func(context.Context, []string) error { return plots(*folder, *duration) },
 	})
--- a/lab/prove.go
+++ b/lab/prove.go
@@ -23,11 +23,11 @@
 	fs := flag.NewFlagSet("prove", flag.ContinueOnError)
 	programs := fs.String("programs", "bin", "`folder` of the programs")
 	traces := fs.String("traces", "traces", "`folder` of the recorded traces")
-	quick := fs.Bool("quick", false, "explore to CI's bounds only")
+	quick := fs.Bool("quick", false, "explore only to the smaller bounds that CI uses")
 	commands = append(commands, &ffcli.Command{
 		Name:       "prove",
 		ShortUsage: "dillsaddle-lab prove [flags]",
-		ShortHelp:  "explore, replay and bring about failures, and say which promises held",
+		ShortHelp:  "check the guarantees with models, recorded traces and failures of real processes",
 		FlagSet:    fs,
 		Exec:       func(context.Context, []string) error { return prove(*programs, *traces, !*quick) },
 	})
@@ -45,17 +45,17 @@
 
 // add records a check for some guarantees and prints its result; an empty failure means
 // that it passed.
-func (e *proofResults) add(promises []model.Promise, what, failure string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (r *proofResults) add(promises []model.Promise, what, failure string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, p := range promises {
-		e.checks[p] = append(e.checks[p], what)
+		r.checks[p] = append(r.checks[p], what)
 		if failure != "" {
-			e.failed[p] = append(e.failed[p], what+": "+failure)
+			r.failed[p] = append(r.failed[p], what+": "+failure)
 		}
 	}
 	if failure != "" {
-		fmt.Printf("fell: %s: %s\n", what, failure)
+		fmt.Printf("broken: %s: %s\n", what, failure)
 		return
 	}
 	fmt.Printf("held: %s\n", what)
@@ -64,12 +64,12 @@
 // prove runs the model explorations, the recorded traces and the scenarios with real
 // processes.
 func prove(programs, traces string, deep bool) error {
-	e := &proofResults{
+	results := &proofResults{
 		checks: make(map[model.Promise][]string),
 		failed: make(map[model.Promise][]string),
 	}
-	proveModels(e, deep)
-	if err := proveTraces(e, traces); err != nil {
+	proveModels(results, deep)
+	if err := proveTraces(results, traces); err != nil {
 		return err
 	}
 	for _, s := range proof.Scenarios() {
@@ -78,9 +78,9 @@
 		if details != "" {
 			what += " (" + details + ")"
 		}
-		e.add(s.Promises, what, errorText(err))
+		results.add(s.Promises, what, errorText(err))
 	}
-	return e.verdict()
+	return results.verdict()
 }
 
 func errorText(err error) string {
@@ -90,13 +90,13 @@
 	return err.Error()
 }
 
-func proveModels(e *proofResults, deep bool) {
+func proveModels(results *proofResults, deep bool) {
 	slots := make(chan struct{}, min(maxDeepRuns, runtime.GOMAXPROCS(0)))
 	var wait sync.WaitGroup
 	for _, c := range model.Checks() {
 		wait.Go(func() {
 			slots <- struct{}{}
-			proveModel(e, c, deep)
+			proveModel(results, c, deep)
 			<-slots
 		})
 	}
@@ -105,20 +105,20 @@
 
 // proveModel explores a model with all guards enabled, and then with each guard disabled,
 // when the exploration must find a violation.
-func proveModel(e *proofResults, c model.Check, deep bool) {
+func proveModel(results *proofResults, c model.Check, deep bool) {
 	r := c.Run(deep)
 	failure := r.Violation
 	if failure != "" {
 		failure += "\n" + model.FormatTrace(r.Trace)
 	}
-	e.add(c.Promises, "model, "+c.Name+" ("+r.String()+")", failure)
+	results.add(c.Promises, "model, "+c.Name+" ("+r.String()+")", failure)
 	for _, g := range c.Guards {
 		withoutGuard := c.Run(false, core.WithoutGuard(g))
 		failure := ""
 		if withoutGuard.Violation == "" {
 			failure = "no violation was found with the guard disabled"
 		}
-		e.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(withoutGuard.Trace)), failure)
+		results.add(c.Promises, fmt.Sprintf("model, %s, broken without %s in %d steps", c.Name, g, len(withoutGuard.Trace)), failure)
 	}
 }
 
@@ -132,20 +132,20 @@
 	"late":     {model.CompleteAnswer},
 }
 
-func proveTraces(e *proofResults, folder string) error {
+func proveTraces(results *proofResults, folder string) error {
 	files, err := filepath.Glob(filepath.Join(folder, "*", "*.jsonl"))
 	if err != nil || len(files) == 0 {
 		return errors.Errorf("no traces in %s; give the folder with -traces", folder)
 	}
 	for _, file := range files {
-		if err := proveTrace(e, file); err != nil {
+		if err := proveTrace(results, file); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func proveTrace(e *proofResults, file string) error {
+func proveTrace(results *proofResults, file string) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
@@ -162,24 +162,24 @@
 	name := filepath.Base(file)
 	for keyword, promises := range tracePromises {
 		if strings.Contains(name, keyword) {
-			e.add(promises, fmt.Sprintf("replay, %s (%d outcomes)", name, report.Expectations), failure)
+			results.add(promises, fmt.Sprintf("replay, %s (%d outcomes)", name, report.Expectations), failure)
 		}
 	}
 	return nil
 }
 
 // verdict prints the result for each guarantee and returns an error if one was broken.
-func (e *proofResults) verdict() error {
+func (r *proofResults) verdict() error {
 	failed := 0
 	for p := model.TokensOnce; p <= model.NeverOlderConfig; p++ {
 		verdict := "held"
-		detail := fmt.Sprintf("%s; %d runs: %s", model.Promises[p], len(e.checks[p]), strings.Join(e.checks[p], "; "))
+		detail := fmt.Sprintf("%s; %d runs: %s", model.Promises[p], len(r.checks[p]), strings.Join(r.checks[p], "; "))
 		switch {
-		case len(e.failed[p]) > 0:
-			verdict = "fell"
-			detail = strings.Join(e.failed[p], "; ")
+		case len(r.failed[p]) > 0:
+			verdict = "broken"
+			detail = strings.Join(r.failed[p], "; ")
 			failed++
-		case len(e.checks[p]) == 0:
+		case len(r.checks[p]) == 0:
 			verdict = "not proved"
 			detail = "nothing was run"
 		}
--- a/lab/slope.go
+++ b/lab/slope.go
@@ -39,6 +39,7 @@
 // estimate returns the fitted cost at a size.
 func (s *slope) estimate(size float64) float64 { return max(0, s.intercept+s.perUnit*size) }
 
+// printSlopes writes a table with one line per slope.
 func printSlopes(out io.Writer, all []slope) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "slope\tat sizes\tcosts\teach\tbase\tr2\tunit")
--- a/lab/slopes.go
+++ b/lab/slopes.go
@@ -16,7 +16,7 @@
 	commands = append(commands, &ffcli.Command{
 		Name:       "slopes",
 		ShortUsage: "dillsaddle-lab slopes [flags]",
-		ShortHelp:  "measure what each part costs, and work it out for the size in two years",
+		ShortHelp:  "measure the cost of each part and extrapolate it to the target size",
 		FlagSet:    fs,
 		Exec:       func(context.Context, []string) error { return slopes(*programs, *duration) },
 	})
--- a/lab/soak.go
+++ b/lab/soak.go
@@ -20,13 +20,13 @@
 	program := fs.String("program", "bin/dillsaddle-node", "`program` of a box")
 	first := fs.Uint64("first", 1, "first `seed`")
 	seeds := fs.Int("seeds", 50, "`number` of seeds")
-	jobs := fs.Int("jobs", 3, "`number` of seeds at once")
-	boxes := fs.Int("boxes", 3, "`number` of boxes of a seed, each a process; above 24 they work in several groups")
+	jobs := fs.Int("jobs", 3, "`number` of seeds to run at once")
+	boxes := fs.Int("boxes", 3, "`number` of boxes for each seed, each a process; above 24 they work in several groups")
 	folder := fs.String("logs", "run/soak", "`folder` for the boxes' logs")
 	commands = append(commands, &ffcli.Command{
 		Name:       "soak",
 		ShortUsage: "dillsaddle-lab soak [flags]",
-		ShortHelp:  "run boxes before an emulated platform under random faults, and check the promises",
+		ShortHelp:  "run boxes on an emulated platform under random faults and check the guarantees",
 		FlagSet:    fs,
 		Exec: func(context.Context, []string) error {
 			return soakSeeds(os.Stdout, *program, *folder, *first, *seeds, *jobs, soak.WithBoxes(*boxes))
--- a/model/call.go
+++ b/model/call.go
@@ -81,7 +81,7 @@
 // addSendSteps adds the possible outcomes of sending the request to an endpoint.
 func (s *callState) addSendSteps(add callAdder) {
 	run := 1
-	if _, goesOn := s.pending.(core.ContinueCall); goesOn {
+	if _, continues := s.pending.(core.ContinueCall); continues {
 		run = 0
 	}
 	if _, first := s.pending.(core.SendCall); !first {
--- a/model/check.go
+++ b/model/check.go
@@ -24,11 +24,11 @@
 // Promises describe each promise in one line.
 var Promises = map[Promise]string{
 	TokensOnce:             "each token once, in order, of one generation",
-	CompleteAnswer:         "the whole answer to one's own request",
-	NotRunMeansNotRun:      "told not run means not run",
-	AtMostOnce:             "not repeatable runs at most once",
-	NoWorkWhenLeaving:      "no new work for an endpoint that leaves",
-	PlannedStopCutsNothing: "a planned stop cuts nothing",
+	CompleteAnswer:         "the complete answer to the caller's own request",
+	NotRunMeansNotRun:      "a request reported as not run has not run",
+	AtMostOnce:             "a request that may not be repeated runs at most once",
+	NoWorkWhenLeaving:      "no new work for a leaving endpoint",
+	PlannedStopCutsNothing: "a planned stop interrupts nothing",
 	NeverOlderConfig:       "the accepted configuration, never an older one",
 }
 
@@ -39,7 +39,7 @@
 	Promises []Promise
 	Guards   []core.Guard
 	Initial  func(deep bool, options ...core.Option) State
-	States   int // the most states that the quick run explores; the deep run uses maxDeepStates
+	States   int // the maximum number of states of a quick run; a deep run has maxDeepStates
 }
 
 // maxDeepStates bounds deep explorations.
--- a/model/evacuation.go
+++ b/model/evacuation.go
@@ -88,8 +88,8 @@
 func (s *evacuationState) Key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v %d %v %v %s;", s.now, s.faults, s.moveCounts, s.moves, s.violation)
-	for _, l := range s.inFlight {
-		fmt.Fprintf(&b, "%d %s,", l.to, l.text)
+	for _, m := range s.inFlight {
+		fmt.Fprintf(&b, "%d %s,", m.to, m.text)
 	}
 	for _, inputs := range s.plans {
 		fmt.Fprintf(&b, ";%v", inputs)
@@ -119,13 +119,13 @@
 		return nil
 	}
 	return collectTransitions(s, func(add func(string, func(*evacuationState))) {
-		for i, l := range s.inFlight {
-			add("box "+fmt.Sprint(l.to)+" receives "+l.text, func(n *evacuationState) {
+		for i, m := range s.inFlight {
+			add("box "+fmt.Sprint(m.to)+" receives "+m.text, func(n *evacuationState) {
 				n.inFlight = slices.Delete(n.inFlight, i, i+1)
-				n.step(l.to, l.ev)
+				n.step(m.to, m.ev)
 			})
 			if s.faults > 0 {
-				add("fault: message lost on its way to box "+fmt.Sprint(l.to)+": "+l.text, func(n *evacuationState) {
+				add("fault: message lost on its way to box "+fmt.Sprint(m.to)+": "+m.text, func(n *evacuationState) {
 					n.faults--
 					n.inFlight = slices.Delete(n.inFlight, i, i+1)
 				})
--- a/model/explore.go
+++ b/model/explore.go
@@ -53,7 +53,7 @@
 	return text
 }
 
-// node is one state in the implicit graph that the library traverses.
+// node is one state in the implicit graph that gonum traverses.
 type node struct {
 	id     int64
 	parent int64
@@ -61,7 +61,7 @@
 	state  State
 }
 
-// ID returns the node's number, as the library requires.
+// ID implements graph.Node.
 func (n *node) ID() int64 { return n.id }
 
 type edge struct{ from, to graph.Node }
@@ -88,8 +88,8 @@
 	return fingerprint(sum[:16])
 }
 
-// From returns the successors of a state that were not reached before. The library
-// calls it once for each state, which is released afterwards to save memory.
+// From returns the successors of a state that were not reached before. gonum calls it once
+// for each state, which is released afterwards to save memory.
 func (s *stateGraph) From(id int64) graph.Nodes {
 	from := s.nodes[id]
 	if from.state == nil || s.limitReached {
@@ -109,7 +109,7 @@
 	return &nodeList{nodes: next}
 }
 
-// Edge returns the edge between two states.
+// Edge returns the edge between two states, as gonum requires.
 func (s *stateGraph) Edge(u, v int64) graph.Edge {
 	return edge{
 		from: s.nodes[u],
--- a/model/lease.go
+++ b/model/lease.go
@@ -243,7 +243,7 @@
 		}
 	}
 	if sum > leaseCapacity {
-		return fmt.Sprintf("%d of %d units of an endpoint's memory are leased", sum, leaseCapacity), true
+		return fmt.Sprintf("%d of %d tokens of an endpoint's memory are leased", sum, leaseCapacity), true
 	}
 	return "", false
 }
--- a/model/stream.go
+++ b/model/stream.go
@@ -19,12 +19,12 @@
 
 // The size of the specification of streams.
 const (
-	streamEngines = 2 // engines
+	streamEngines = 2 // number of engines
 	streamWindow  = 2 // resume window in time steps
 )
 
-// frameKind is the kind of a streamFrame; the last two are signs of a lost connection
-// and of a generation that the engine no longer has.
+// frameKind is the kind of a streamFrame. The last two stand for a lost connection and for a
+// generation that the engine no longer has.
 type frameKind string
 
 const (
--- a/proof/calls.go
+++ b/proof/calls.go
@@ -45,7 +45,7 @@
 	return resp.StatusCode(), respHeaders, bytes.Clone(resp.Body()), nil
 }
 
-// SetFaults sets the faults of a stand-in, in place of those set before.
+// SetFaults sets the faults of a fake, in place of those set before.
 func (f *Fleet) SetFaults(name string, faults standin.Faults) error {
 	body, err := json.Marshal(faults)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return err
 }
 
-// address returns the address of a stand-in, given by its name.
+// address returns the address of a fake, given by its name.
 func (f *Fleet) address(name string) netip.AddrPort {
 	switch name {
 	case "platform":
--- a/proof/claims.go
+++ b/proof/claims.go
@@ -34,7 +34,7 @@
 			Run:      ownerPaused,
 		},
 		{
-			Name:     "the service acts and answers late, crossed or not at all",
+			Name:     "a service's answers are late, mismatched, missing or refused",
 			Promises: append(promises, model.CompleteAnswer),
 			Run:      serviceFails,
 		},
--- a/proof/configs.go
+++ b/proof/configs.go
@@ -194,10 +194,10 @@
 
 // replaceBox kills all processes of a box and restarts them with empty memory.
 func (f *Fleet) replaceBox(i int) {
-	for _, part := range []string{"entry", "scheduler", "watch"} {
-		f.Signal(f.boxes[i].Name+"-"+part, syscall.SIGKILL)
+	for _, role := range []string{"entry", "scheduler", "watch"} {
+		f.Signal(f.boxes[i].Name+"-"+role, syscall.SIGKILL)
 	}
-	for _, part := range []string{"watch", "scheduler", "entry"} {
-		f.Restart(f.boxes[i].Name + "-" + part)
+	for _, role := range []string{"watch", "scheduler", "entry"} {
+		f.Restart(f.boxes[i].Name + "-" + role)
 	}
 }
--- a/proof/fleet.go
+++ b/proof/fleet.go
@@ -167,8 +167,8 @@
 func (f *Fleet) StartBox(i int) {
 	b := &f.boxes[i]
 	file := f.writeJSON(b.Name+".json", b)
-	for _, part := range []string{"watch", "scheduler", "entry"} {
-		f.startProcess(b.Name+"-"+part, "dillsaddle-"+part, file)
+	for _, role := range []string{"watch", "scheduler", "entry"} {
+		f.startProcess(b.Name+"-"+role, "dillsaddle-"+role, file)
 	}
 }
 
@@ -184,7 +184,7 @@
 	if err := c.Start(); err != nil {
 		panic(err)
 	}
-	r := &process{
+	p := &process{
 		command: c,
 		program: program,
 		file:    file,
@@ -192,28 +192,28 @@
 	}
 	go func() {
 		_ = c.Wait()
-		close(r.done)
+		close(p.done)
 	}()
-	f.processes[name] = r
+	f.processes[name] = p
 }
 
 // Signal sends a signal to a process.
 func (f *Fleet) Signal(name string, s syscall.Signal) {
 	f.mu.Lock()
-	r := f.processes[name]
+	p := f.processes[name]
 	f.mu.Unlock()
-	if r != nil {
-		_ = r.command.Process.Signal(s)
+	if p != nil {
+		_ = p.command.Process.Signal(s)
 	}
 }
 
 // WaitExit waits for a process to exit and reports whether it did within the time.
 func (f *Fleet) WaitExit(name string, within time.Duration) bool {
 	f.mu.Lock()
-	r := f.processes[name]
+	p := f.processes[name]
 	f.mu.Unlock()
 	select {
-	case <-r.done:
+	case <-p.done:
 		return true
 	case <-time.After(within):
 		return false
@@ -223,10 +223,10 @@
 // Restart waits for a process to exit and starts it again.
 func (f *Fleet) Restart(name string) {
 	f.mu.Lock()
-	r := f.processes[name]
+	p := f.processes[name]
 	f.mu.Unlock()
-	<-r.done
-	f.startProcess(name, r.program, r.file)
+	<-p.done
+	f.startProcess(name, p.program, p.file)
 }
 
 // WaitReady waits until every box is ready to serve streams.
@@ -252,9 +252,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text := ""
-	for name, r := range f.processes {
+	for name, p := range f.processes {
 		select {
-		case <-r.done:
+		case <-p.done:
 			log, _ := os.ReadFile(filepath.Join(f.dir, name+".log"))
 			text += name + ": " + string(log)
 		default:
@@ -270,12 +270,12 @@
 	if f.links != nil {
 		f.links.close()
 	}
-	for _, r := range f.processes {
-		_ = r.command.Process.Signal(syscall.SIGCONT)
-		_ = r.command.Process.Kill()
+	for _, p := range f.processes {
+		_ = p.command.Process.Signal(syscall.SIGCONT)
+		_ = p.command.Process.Kill()
 	}
-	for _, r := range f.processes {
-		<-r.done
+	for _, p := range f.processes {
+		<-p.done
 	}
 	_ = os.RemoveAll(f.dir)
 }
--- a/proof/link.go
+++ b/proof/link.go
@@ -108,8 +108,8 @@
 
 // setUpLinks creates the links, and a list and a platform address for each box.
 func (f *Fleet) setUpLinks() error {
-	w := &links{between: make(map[[2]int]*link)}
-	f.links = w
+	ls := &links{between: make(map[[2]int]*link)}
+	f.links = ls
 	for i := range f.boxes {
 		l := f.list
 		l.Boxes = slices.Clone(f.list.Boxes)
@@ -118,17 +118,17 @@
 				continue
 			}
 			c := newLink()
-			w.between[[2]int{i, j}] = c
+			ls.between[[2]int{i, j}] = c
 			for _, address := range []*netip.AddrPort{&l.Boxes[j].Scheduler, &l.Boxes[j].Watch} {
 				listener, err := c.listen(*address)
 				if err != nil {
 					return err
 				}
-				w.listeners = append(w.listeners, listener)
+				ls.listeners = append(ls.listeners, listener)
 				*address = netip.MustParseAddrPort(listener.Addr().String())
 			}
 		}
-		w.lists = append(w.lists, l)
+		ls.lists = append(ls.lists, l)
 		f.boxes[i].Platform = freeAddress()
 	}
 	return nil
@@ -167,11 +167,11 @@
 }
 
 // close closes the listeners and opens the links, so that no forwarder keeps waiting.
-func (w *links) close() {
-	for _, l := range w.listeners {
+func (ls *links) close() {
+	for _, l := range ls.listeners {
 		_ = l.Close()
 	}
-	for _, c := range w.between {
+	for _, c := range ls.between {
 		c.setBlocked(false)
 	}
 }
--- a/proof/lookups.go
+++ b/proof/lookups.go
@@ -18,7 +18,7 @@
 	shape.Servers = 3
 	shape.Hedge = true
 	return []Scenario{{
-		Name:     "a service's servers are late now and then, and late lookups go to a second one",
+		Name:     "a service's servers are sometimes slow, and slow lookups are hedged to a second one",
 		Promises: []model.Promise{model.CompleteAnswer, model.AtMostOnce},
 		Shape:    shape,
 		Run:      lookupsLate,
@@ -44,11 +44,11 @@
 
 // Lookups runs a number of callers, each of which sends one lookup after another, for a
 // period of time.
-func (f *Fleet) Lookups(callers int, lasting time.Duration) (*Lookups, error) {
+func (f *Fleet) Lookups(callers int, duration time.Duration) (*Lookups, error) {
 	out := &Lookups{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	end := time.Now().Add(lasting)
+	end := time.Now().Add(duration)
 	for i := range callers {
 		wait.Go(func() {
 			for n := 0; time.Now().Before(end); n++ {
--- a/proof/partition.go
+++ b/proof/partition.go
@@ -16,7 +16,7 @@
 	shape.Boxes = 4
 	shape.CuttableLinks = true
 	return []Scenario{{
-		Name: "the fleet is parted in two, one part without the platform, and meets again",
+		Name: "half the fleet is cut off from the platform and the other half, and the partition heals",
 		Promises: []model.Promise{
 			model.TokensOnce,
 			model.CompleteAnswer,
@@ -30,7 +30,7 @@
 }
 
 // partitionDuration exceeds every timeout between boxes, and the time after which owners
-// that are cut off lease less.
+// that are cut off reduce the share of memory that they lease.
 const partitionDuration = 8 * time.Second
 
 // partitionTest holds the callers' results before, during and after a partition.
--- a/proof/slow.go
+++ b/proof/slow.go
@@ -30,7 +30,7 @@
 
 func slowScenario() Scenario {
 	return Scenario{
-		Name:     "a caller takes nothing of its stream",
+		Name:     "a caller reads nothing of its stream",
 		Promises: []model.Promise{model.TokensOnce},
 		Shape:    slowShape(),
 		Run:      callerReadsNothing,
@@ -42,7 +42,7 @@
 const disconnectLimit = 40 * time.Second
 
 // maxUnreadBytes bounds the data buffered for a caller that reads nothing: the entry's
-// buffer, enlarged for the last event and doubled by the kernel.
+// buffer with space for the last event, doubled by the kernel.
 const maxUnreadBytes = 1 << 20
 
 // maxEntryMemory bounds the entry's resident memory in bytes.
--- a/proof/stops.go
+++ b/proof/stops.go
@@ -13,15 +13,15 @@
 
 func stopScenarios() []Scenario {
 	var all []Scenario
-	for _, part := range []string{"entry", "scheduler", "watch"} {
+	for _, role := range []string{"entry", "scheduler", "watch"} {
 		all = append(all, Scenario{
-			Name:     "a planned stop of a box's " + part + " during 24 streams, with a second signal",
+			Name:     "a box's " + role + " makes a planned stop during 24 streams, and gets a second signal",
 			Promises: []model.Promise{model.PlannedStopCutsNothing},
-			Run:      func(f *Fleet) (string, error) { return plannedStop(f, "box-1-"+part) },
+			Run:      func(f *Fleet) (string, error) { return plannedStop(f, "box-1-"+role) },
 		})
 	}
 	return append(all, Scenario{
-		Name:     "a planned stop of a claim owner, and the writes are repeated",
+		Name:     "a claim owner makes a planned stop, and the writes are repeated",
 		Promises: []model.Promise{model.PlannedStopCutsNothing, model.AtMostOnce},
 		Run:      ownerStopped,
 	})
--- a/proof/stream.go
+++ b/proof/stream.go
@@ -222,7 +222,7 @@
 // have ended. It calls begun once no stream waits for its first token any more.
 func (f *Fleet) RunStreams(count int, begun func()) []*Stream {
 	streams, wait := f.startStreams(count, func(i int) int { return i % len(f.boxes) })
-	waitUntil(streamTimeout, func() bool { return countInState(streams, streamWaiting) == 0 })
+	waitUntil(streamTimeout, func() bool { return countWithProgress(streams, streamWaiting) == 0 })
 	begun()
 	wait()
 	return streams
@@ -245,8 +245,8 @@
 	return streams, wait.Wait
 }
 
-// countInState counts the streams with the given progress.
-func countInState(streams []*Stream, p streamProgress) int {
+// countWithProgress counts the streams with the given progress.
+func countWithProgress(streams []*Stream, p streamProgress) int {
 	n := 0
 	for _, s := range streams {
 		if atomic.LoadInt32(&s.progress) == p {
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -48,7 +48,7 @@
 			Run:      engineRefuses,
 		},
 		{
-			Name:     "an endpoint leaves, and its owners' watches are paused and resume",
+			Name:     "an endpoint leaves while its owners' watch processes are paused and resumed",
 			Promises: []model.Promise{model.NoWorkWhenLeaving},
 			Run:      endpointLeaves,
 		},
@@ -142,9 +142,9 @@
 		wave, wait := f.startStreams(8, func(int) int { return 0 })
 		streams = append(streams, wave...)
 		waitUntil(streamTimeout, func() bool {
-			return countInState(wave, streamRunning) >= minRunning || countInState(wave, streamWaiting) == 0
+			return countWithProgress(wave, streamRunning) >= minRunning || countWithProgress(wave, streamWaiting) == 0
 		})
-		enoughRunning := countInState(wave, streamRunning) >= minRunning
+		enoughRunning := countWithProgress(wave, streamRunning) >= minRunning
 		if enoughRunning {
 			f.Signal("box-1-entry", syscall.SIGKILL)
 		}
@@ -180,13 +180,13 @@
 }
 
 func controlProcessesPaused(f *Fleet) (string, error) {
-	parts := []string{"box-1-scheduler", "box-2-watch", "box-3-scheduler"}
+	processes := []string{"box-1-scheduler", "box-2-watch", "box-3-scheduler"}
 	streams := f.RunStreams(streamCount, func() {
-		for _, name := range parts {
+		for _, name := range processes {
 			f.Signal(name, syscall.SIGSTOP)
 		}
 		time.Sleep(8 * time.Second)
-		for _, name := range parts {
+		for _, name := range processes {
 			f.Signal(name, syscall.SIGCONT)
 		}
 	})
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -21,9 +21,9 @@
 	crashBody = "no engine survives this"
 	// meanCrashPause is the mean time between two sends of the crashing request.
 	meanCrashPause = 400 * time.Millisecond
-	// crashThreshold is the number of engine crashes after which the request is quarantined.
-	// At most maxLateCrashes further engines may receive it later than quarantineDelay after
-	// that.
+	// crashThreshold is the number of engine crashes after which boxes quarantine the request,
+	// that is, refuse to run it. Once quarantineDelay has passed since the last of them, at most
+	// maxLateCrashes more engines may receive the request.
 	crashThreshold  = 3
 	maxLateCrashes  = 3
 	quarantineDelay = 3 * time.Second
@@ -39,25 +39,25 @@
 
 // startCrashingCaller starts the client, unless the seed has no crashing request.
 func startCrashingCaller(f *fleet, seed uint64, planned bool) *crashingCaller {
-	p := &crashingCaller{done: make(chan struct{})}
+	c := &crashingCaller{done: make(chan struct{})}
 	if seed < firstCrashSeed || planned {
-		return p
+		return c
 	}
 	r := rand.New(rand.NewPCG(seed, 7))
-	p.worker.Go(func() {
+	c.worker.Go(func() {
 		for n := 0; ; n++ {
 			select {
-			case <-p.done:
+			case <-c.done:
 				return
 			case <-time.After(time.Duration(r.Int64N(int64(2 * meanCrashPause)))):
 			}
-			p.send(f.boxes[r.IntN(len(f.boxes))], fmt.Sprintf("s%d-deadly-%d", seed, n))
+			c.send(f.boxes[r.IntN(len(f.boxes))], fmt.Sprintf("s%d-deadly-%d", seed, n))
 		}
 	})
-	return p
+	return c
 }
 
-func (p *crashingCaller) send(b *boxProcess, id string) {
+func (c *crashingCaller) send(b *boxProcess, id string) {
 	ctx, cancel := context.WithTimeout(context.Background(), callDeadline)
 	defer cancel()
 	o := emulator.NewCaller(b.settings.Front, emulator.Key).Do(ctx, emulator.Call{
@@ -67,15 +67,15 @@
 		Body:     crashBody,
 		Deadline: callDeadline,
 	})
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.outcomes = append(p.outcomes, o)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outcomes = append(c.outcomes, o)
 }
 
-func (p *crashingCaller) stop() []emulator.Outcome {
-	close(p.done)
-	p.worker.Wait()
-	return p.outcomes
+func (c *crashingCaller) stop() []emulator.Outcome {
+	close(c.done)
+	c.worker.Wait()
+	return c.outcomes
 }
 
 // replaceCrashed lists a new server in place of each that crashed during a request, as the
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -9,12 +9,12 @@
 	"dillsaddle.example/dillsaddle/platform/emulator"
 )
 
-// injector injects a sequence of faults, which may overlap. The same seed gives the same
+// injector injects a sequence of faults, some of which overlap. The same seed gives the same
 // sequence.
 type injector struct {
 	fleet           *fleet
 	r               *rand.Rand
-	planned         bool     // planned work only
+	planned         bool     // only planned work is injected
 	descriptions    []string // the injected faults, for the report
 	version         uint64
 	lastPublished   *emulator.Document
@@ -58,8 +58,8 @@
 // may end a process that is still starting; any other exit is a violation.
 func (i *injector) restartExited() {
 	for _, b := range i.fleet.boxes {
-		exitedUnasked, uptime := b.exitedUnasked()
-		if !exitedUnasked {
+		exitedUnexpectedly, uptime := b.exitedUnexpectedly()
+		if !exitedUnexpectedly {
 			continue
 		}
 		i.recordFault("%s exited by itself", b.settings.Name)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -55,9 +55,9 @@
 	*emulator.Server
 	proxy        *FaultProxy
 	service      string
-	leavingSince time.Time // when it was unlisted or listed as draining; zero before
-	disturbed    bool      // it crashed, or a fault was injected into it or its link
-	notice       emulator.StatusHeaders
+	leavingSince time.Time              // when it was unlisted or listed as draining; zero before
+	disturbed    bool                   // it crashed, or a fault was injected into it or its link
+	notice       emulator.StatusHeaders // the state headers that it adds to its answers
 }
 
 // fleet is the deployment of one run: the store, the servers and the boxes.
@@ -215,8 +215,8 @@
 	_ = b.process.Process.Signal(s)
 }
 
-// exitedUnasked reports whether the process exited without a stop or kill, and its uptime.
-func (b *boxProcess) exitedUnasked() (bool, time.Duration) {
+// exitedUnexpectedly reports whether the process exited without a stop or kill, and its uptime.
+func (b *boxProcess) exitedUnexpectedly() (bool, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.restarting {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			return
 		}
-		if t, _, _ := p.state(); t == Reset {
+		if f, _, _ := p.state(); f == Reset {
 			reset(c)
 			continue
 		}
@@ -163,14 +163,14 @@
 // be reset.
 func (p *FaultProxy) waitUntilOpen(isRequest bool) bool {
 	for {
-		t, changed, closed := p.state()
-		if closed || t == Reset {
+		f, changed, closed := p.state()
+		if closed || f == Reset {
 			return false
 		}
-		if t == Delayed {
+		if f == Delayed {
 			time.Sleep(delayTime)
 		}
-		if t != Silent && (t != OneWay || isRequest) {
+		if f != Silent && (f != OneWay || isRequest) {
 			return true
 		}
 		<-changed
@@ -180,7 +180,7 @@
 func (p *FaultProxy) write(to net.Conn, data []byte) bool {
 	for len(data) > 0 {
 		n := len(data)
-		if t, _, _ := p.state(); t == Trickled {
+		if f, _, _ := p.state(); f == Trickled {
 			n = min(n, trickleSize)
 			time.Sleep(tricklePause)
 		}
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -11,7 +11,7 @@
 	// firstRestoreSeed is the first seed whose run restores the store from a backup. Lower
 	// seeds keep their original faults.
 	firstRestoreSeed = 3000
-	maxCopyAge       = 3 * time.Second
+	maxBackupAge     = 3 * time.Second
 	maxStoreDowntime = time.Second
 	// maxRewriteDelay bounds the time until servers rewrite their entries after a restore.
 	// The entry of a server that doesn't is removed after entryLifetime.
@@ -30,44 +30,44 @@
 }
 
 func newStoreRestorer(i *injector, seed uint64) *storeRestorer {
-	d := &storeRestorer{
+	restorer := &storeRestorer{
 		injector: i,
 		r:        rand.New(rand.NewPCG(seed, 77)),
 	}
 	if seed >= firstRestoreSeed {
-		d.remainingRestores = 2
+		restorer.remainingRestores = 2
 	}
-	return d
+	return restorer
 }
 
 // step takes a backup, or restores the store from the previous one if it is recent enough.
-func (d *storeRestorer) step() {
-	if d.remainingRestores == 0 {
+func (restorer *storeRestorer) step() {
+	if restorer.remainingRestores == 0 {
 		return
 	}
-	i := d.injector
+	i := restorer.injector
 	store := i.fleet.deployment.Store
-	if d.backup == nil || time.Since(d.backupTime) > maxCopyAge {
-		d.backup = store.Snapshot()
-		d.backupTime = time.Now()
+	if restorer.backup == nil || time.Since(restorer.backupTime) > maxBackupAge {
+		restorer.backup = store.Snapshot()
+		restorer.backupTime = time.Now()
 		return
 	}
-	d.remainingRestores--
-	i.recordFault("store restored from a copy %s old", time.Since(d.backupTime).Round(time.Millisecond))
+	restorer.remainingRestores--
+	i.recordFault("store restored from a backup %s old", time.Since(restorer.backupTime).Round(time.Millisecond))
 	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
 	store.SetFault(emulator.StoreReset, 0)
-	time.Sleep(time.Duration(d.r.Int64N(int64(maxStoreDowntime))))
-	store.Restore(d.backup)
+	time.Sleep(time.Duration(restorer.r.Int64N(int64(maxStoreDowntime))))
+	store.Restore(restorer.backup)
 	store.SetFault(emulator.StoreNoFault, 0)
-	d.backup = nil
+	restorer.backup = nil
 	i.storeFaultTimes = append(i.storeFaultTimes, time.Now())
-	d.rewriteEntries()
+	restorer.rewriteEntries()
 }
 
 // rewriteEntries publishes the last configuration again and lists the servers again.
-func (d *storeRestorer) rewriteEntries() {
-	i := d.injector
-	time.Sleep(time.Duration(d.r.Int64N(int64(maxRewriteDelay))))
+func (restorer *storeRestorer) rewriteEntries() {
+	i := restorer.injector
+	time.Sleep(time.Duration(restorer.r.Int64N(int64(maxRewriteDelay))))
 	i.republish()
 	for _, s := range i.fleet.servers {
 		switch {
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// BatchRules configure the memory, batch size and step times of one engine.
+// BatchRules configure the memory, batch size and step times of one engine. A step takes
+// StepBase, and in addition StepPerSeq for each sequence and PrefillPerToken for each prompt
+// token that it computes.
 type BatchRules struct {
 	MemoryTokens    int
-	BlockTokens     int
-	MaxBatch        int
+	BlockTokens     int // memory is allocated in blocks of this size
+	MaxBatch        int // maximum number of sequences in the batch
 	StepBase        time.Duration
 	StepPerSeq      time.Duration
 	PrefillPerToken time.Duration
@@ -39,11 +41,15 @@
 	OutputLength int    // in tokens; unknown to callers
 	Emitted      int    // tokens generated so far
 	Preempted    int    // number of preemptions
-	arrival      int
-	Computed     int // prefill tokens computed, including those repeated after preemptions
+	arrival      int    // position in the order of arrival
+	Computed     int    // prefill tokens computed, including those repeated after preemptions
 }
 
-func (s *Sequence) blocks(size int) int { return (s.Prompt + s.Emitted + size) / size }
+// blocks returns the number of memory blocks that the sequence needs, including space for its
+// next token.
+func (s *Sequence) blocks(blockTokens int) int {
+	return (s.Prompt + s.Emitted + blockTokens) / blockTokens
+}
 
 // Step is the result of one batch step.
 type Step struct {
@@ -122,6 +128,7 @@
 	var out Step
 	prefill := b.admit()
 	for _, s := range slices.Clone(b.running) {
+		// An earlier sequence of this step may have preempted it.
 		if !slices.Contains(b.running, s) {
 			continue
 		}
@@ -152,6 +159,8 @@
 	return prefill
 }
 
+// generateToken adds a token to a sequence. If the memory is full, it preempts others, or the
+// sequence itself.
 func (b *Batch) generateToken(s *Sequence, out *Step) {
 	before := s.blocks(b.Rules.BlockTokens)
 	s.Emitted++
@@ -186,6 +195,8 @@
 	out.Preempted = append(out.Preempted, s)
 }
 
+// finish removes a sequence that has reached its output length. The sequence is queued if its
+// last token made the engine preempt it.
 func (b *Batch) finish(s *Sequence, out *Step) {
 	at := slices.Index(b.running, s)
 	if at >= 0 {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -120,6 +120,7 @@
 	}
 }
 
+// step runs one batch step. It returns the step's duration, and true if there was nothing to do.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -16,7 +16,7 @@
 	"github.com/cloudwego/hertz/pkg/protocol/http1/resp"
 )
 
-// completionRequest holds the fields of a completion request that the engine uses.
+// completionRequest holds the fields of a completion request that the fake engine uses.
 type completionRequest struct {
 	Model      string          `json:"model"`
 	Prompt     json.RawMessage `json:"prompt"`
@@ -173,14 +173,15 @@
 	}
 }
 
+// frameWriter writes a generation's frames to one reader.
 type frameWriter struct {
 	engine    *Engine
 	body      network.ExtWriter
 	g         *generation
-	chat      bool
+	chat      bool // frames have the format of the chat API
 	buffer    []byte
-	heldFrame []byte
-	frames    int
+	heldFrame []byte // held back by the reorder fault until the next frame
+	frames    int    // number of frames so far, those lost to faults included
 }
 
 // errCut ends a stream because of an injected fault.
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -33,37 +33,37 @@
 	return &faultState{changed: make(chan struct{})}
 }
 
-func (b *faultState) get() Faults {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.current
+func (s *faultState) get() Faults {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current
 }
 
-func (b *faultState) set(f Faults) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.current = f
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (s *faultState) set(f Faults) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.current = f
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (b *faultState) watch() (Faults, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.current, b.changed
+func (s *faultState) watch() (Faults, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.current, s.changed
 }
 
 // waitForFaults waits until no stall is injected, then sleeps for the injected delay. It returns
 // early if stop is closed during a stall.
-func (b *faultState) waitForFaults(stop <-chan struct{}) {
-	f, changed := b.watch()
+func (s *faultState) waitForFaults(stop <-chan struct{}) {
+	f, changed := s.watch()
 	for f.Stall {
 		select {
 		case <-changed:
 		case <-stop:
 			return
 		}
-		f, changed = b.watch()
+		f, changed = s.watch()
 	}
 	if f.DelayMS > 0 {
 		time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
--- a/standin/http.go
+++ b/standin/http.go
@@ -24,7 +24,7 @@
 	)
 }
 
-func (b *faultState) register(h *server.Hertz) {
+func (s *faultState) register(h *server.Hertz) {
 	h.POST("/control/fault", func(_ context.Context, c *app.RequestContext) {
 		var f Faults
 		if err := json.Unmarshal(c.Request.Body(), &f); err != nil {
@@ -34,7 +34,7 @@
 		if f.Exit {
 			os.Exit(1)
 		}
-		b.set(f)
+		s.set(f)
 		c.JSON(http.StatusOK, f)
 	})
 }
--- a/trace/event.go
+++ b/trace/event.go
@@ -38,8 +38,8 @@
 	MaxWait      time.Duration
 }
 
-// CallBegun is the first event of a call to the operators' platform. Budget is whether the retry
-// budget has room for it.
+// CallBegun is the first event of a call to the operators' platform. Budget reports whether the
+// retry budget allows another attempt.
 type CallBegun struct {
 	core.EventBase
 	Rules  core.CallRules
@@ -151,7 +151,7 @@
 			continue
 		}
 		if f.Kind() == reflect.Struct {
-			if _, mark := f.Interface().(core.EventBase); !mark {
+			if _, isBase := f.Interface().(core.EventBase); !isBase {
 				f.Set(shiftTimes(f, by))
 			}
 		}
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -81,7 +81,7 @@
 }
 
 // Event records one event of the state machine with the given name. Events that can't be encoded
-// are dropped.
+// or written are dropped.
 func (r *Recorder) Event(now time.Time, on string, ev core.Event) {
 	if r == nil {
 		return
