--- a/box/backoff_test.go
+++ b/box/backoff_test.go
@@ -111,7 +111,7 @@
 		}
 		from := time.Now().Add(inFlightTime)
 		time.Sleep(backoff - 4*inFlightTime)
-		d.List(overloaded, emulator.ModelService, "draining") // without the backoff, its run would be moved now
+		d.PutEntry(overloaded, emulator.ModelService, "draining") // without the backoff, its run would be moved now
 		time.Sleep(3 * inFlightTime)
 		Expect(len(overloaded.Arrivals(from))).To(BeNumerically("<=", maxDuringBackoff), "%v", overloaded.Arrivals(from))
 		Expect(<-ended).To(HaveField("IsComplete", true))
--- a/box/cold_test.go
+++ b/box/cold_test.go
@@ -37,7 +37,7 @@
 		s, err := d.Add(id, emulator.PlainService)
 		Expect(err).NotTo(HaveOccurred())
 		s.ColdRemaining = time.Minute
-		d.List(s, emulator.PlainService, "ready")
+		d.PutEntry(s, emulator.PlainService, "ready")
 		return s
 	}
 	It("gets no more requests in any second than allowed over all boxes", func() {
--- a/box/crash_test.go
+++ b/box/crash_test.go
@@ -43,7 +43,7 @@
 		for _, id := range d.Stopped() {
 			if !unlisted[id] {
 				unlisted[id] = true
-				d.Unlist(id)
+				d.RemoveEntry(id)
 				addEngine()
 			}
 		}
--- a/box/era_test.go
+++ b/box/era_test.go
@@ -81,7 +81,7 @@
 		for time.Since(begin) < restoreGrace-800*time.Millisecond {
 			Expect(requestsTo(s)).To(BeNumerically(">", 0))
 		}
-		d.List(s, emulator.PlainService, "ready")
+		d.PutEntry(s, emulator.PlainService, "ready")
 		time.Sleep(restoreGrace)
 		Expect(requestsTo(s)).To(BeNumerically(">", 0))
 	})
@@ -103,8 +103,8 @@
 		start()
 		waitForLists()
 		copied := d.Store.Snapshot()
-		d.List(leaving, emulator.PlainService, "draining")
-		d.Unlist("i-gone")
+		d.PutEntry(leaving, emulator.PlainService, "draining")
+		d.RemoveEntry("i-gone")
 		waitForLists()
 		restoreFrom(copied)
 		time.Sleep(propagationTime)
--- a/box/leaving_test.go
+++ b/box/leaving_test.go
@@ -44,7 +44,7 @@
 		Expect(other.Arrivals(from)).NotTo(BeEmpty())
 		By("the store recovers, with an entry written before")
 		d.Store.SetFault(emulator.StoreNoFault, 0)
-		d.List(leaving, emulator.PlainService, "ready")
+		d.PutEntry(leaving, emulator.PlainService, "ready")
 		runLoad(boxes, 2*time.Second)
 		Expect(leaving.Arrivals(from)).To(BeEmpty())
 	})
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -148,7 +148,7 @@
 			done := make(chan emulator.Outcome, 1)
 			go func() { done <- stream(fmt.Sprintf("r%d", n), "prompt") }()
 			Eventually(s.Runs).Should(HaveLen(1))
-			b.deployment.List(s, emulator.ModelService, "draining")
+			b.deployment.PutEntry(s, emulator.ModelService, "draining")
 			b.refresh()
 			s.Crash()
 			<-done
--- a/gateway/faults_test.go
+++ b/gateway/faults_test.go
@@ -180,7 +180,7 @@
 		gone, err := emulator.NewServer("s-2", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(gone.Crash)
-		b.deployment.ListAt(gone, unresponsiveAddress(), emulator.PlainService, "ready")
+		b.deployment.PutEntryAt(gone, unresponsiveAddress(), emulator.PlainService, "ready")
 		b.refresh()
 		startedAt := time.Now()
 		for i := range 8 {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -109,7 +109,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			second.Events = 12
 			b.refresh()
-			b.deployment.List(first, emulator.ModelService, "draining")
+			b.deployment.PutEntry(first, emulator.ModelService, "draining")
 			b.refresh()
 			if transferred == 0 {
 				// It stays at its engine until that crashes.
@@ -179,7 +179,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		second.Events, second.EventInterval = events, laterGap
 		b.refresh()
-		b.deployment.List(first, emulator.ModelService, "draining")
+		b.deployment.PutEntry(first, emulator.ModelService, "draining")
 		b.refresh()
 		o := <-done
 		Expect(o.Fault).To(BeEmpty())
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -157,7 +157,7 @@
 func (i *injector) drainServer() {
 	s := i.randomServer()
 	i.recordFault("%s drains", s.ID)
-	i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
+	i.fleet.deployment.PutEntryAt(s.Server, s.proxy.Address(), s.service, "draining")
 	s.leavingSince = time.Now()
 	s.announce(func(n *emulator.StatusHeaders) { n.IsLeaving = true })
 	if _, err := i.fleet.addServer(s.service); err != nil {
@@ -168,7 +168,7 @@
 func (i *injector) unlistServer() {
 	s := i.randomServer()
 	i.recordFault("%s removed from the list", s.ID)
-	i.fleet.deployment.Unlist(s.ID)
+	i.fleet.deployment.RemoveEntry(s.ID)
 	s.leavingSince = time.Now()
 	s.disturbed = true
 	if _, err := i.fleet.addServer(s.service); err != nil {
@@ -186,7 +186,7 @@
 
 // replaceServer removes a server from the list and lists a new one of the same service.
 func (i *injector) replaceServer(s *listedServer) {
-	i.fleet.deployment.Unlist(s.ID)
+	i.fleet.deployment.RemoveEntry(s.ID)
 	s.leavingSince = time.Now()
 	if _, err := i.fleet.addServer(s.service); err != nil {
 		i.recordFault("replacement server failed to start: %v", err)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -111,7 +111,7 @@
 		service: service,
 	}
 	f.deployment.AddStarted(s)
-	f.deployment.ListAt(s, proxy.Address(), service, "ready")
+	f.deployment.PutEntryAt(s, proxy.Address(), service, "ready")
 	f.servers = append(f.servers, l)
 	return l, nil
 }
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -72,11 +72,11 @@
 	for _, s := range i.fleet.servers {
 		switch {
 		case s.leavingSince.IsZero():
-			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "ready")
+			i.fleet.deployment.PutEntryAt(s.Server, s.proxy.Address(), s.service, "ready")
 		case s.notice.IsLeaving:
-			i.fleet.deployment.ListAt(s.Server, s.proxy.Address(), s.service, "draining")
+			i.fleet.deployment.PutEntryAt(s.Server, s.proxy.Address(), s.service, "draining")
 		default:
-			time.AfterFunc(entryLifetime, func() { i.fleet.deployment.Unlist(s.ID) })
+			time.AfterFunc(entryLifetime, func() { i.fleet.deployment.RemoveEntry(s.ID) })
 		}
 	}
 }
