--- a/standin/engine.go
+++ b/standin/engine.go
@@ -83,9 +83,9 @@
 
 // Order is an instruction to an engine that carries a fence.
 type Order struct {
-	Fence core.Fence `json:"fence"`
-	Do    string     `json:"do"` // load, unload or role
-	What  string     `json:"what"`
+	Fence   core.Fence `json:"fence"`
+	Action  string     `json:"do"` // load, unload or role
+	Subject string     `json:"what"`
 }
 
 // NewEngine returns an engine and starts its batch loop.
