--- a/lab/prove.go
+++ b/lab/prove.go
@@ -27,7 +27,7 @@
 	commands = append(commands, &ffcli.Command{
 		Name:       "prove",
 		ShortUsage: "dillsaddle-lab prove [flags]",
-		ShortHelp:  "check the guarantees with models, recorded traces and failures of real processes",
+		ShortHelp:  "check the promises with models, recorded traces and failures of real processes",
 		FlagSet:    fs,
 		Exec:       func(context.Context, []string) error { return prove(*programs, *traces, !*quick) },
 	})
--- a/lab/soak.go
+++ b/lab/soak.go
@@ -60,9 +60,9 @@
 		})
 	}
 	wait.Wait()
-	fmt.Fprintf(out, "%d seeds, %d with a broken promise\n", seeds, broken)
+	fmt.Fprintf(out, "%d seeds, %d with a violated guarantee\n", seeds, broken)
 	if broken > 0 {
-		return errors.Errorf("%d of %d seeds broke a promise; their logs are in %s", broken, seeds, folder)
+		return errors.Errorf("%d of %d seeds violated a guarantee; their logs are in %s", broken, seeds, folder)
 	}
 	return nil
 }
--- a/model/claim.go
+++ b/model/claim.go
@@ -77,10 +77,10 @@
 // claimMessage is a message between an entry and a claim owner.
 type claimMessage struct {
 	kind             claimMessageKind
-	request          int
-	owner            int
-	list             uint64
-	knownIncarnation core.Incarnation
+	request          int              // index of the request
+	owner            int              // index of the owner's box
+	list             uint64           // version of the list that the entry used
+	knownIncarnation core.Incarnation // the newest incarnation of the owner known to the entry
 	verdict          core.ClaimVerdict
 	ownerIncarnation core.Incarnation
 }
--- a/proof/streams.go
+++ b/proof/streams.go
@@ -156,7 +156,7 @@
 	return "", errors.Errorf("in %d waves of streams, fewer than %d ran at once, so the scenario is inconclusive", maxWaves, minRunning)
 }
 
-// reconnect continues streams that were interrupted at box 0 through the other boxes.
+// reconnect continues the streams that were interrupted at the first box through the others.
 func (f *Fleet) reconnect(streams []*Stream) (string, error) {
 	reconnected := 0
 	for i, s := range streams {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -9,7 +9,7 @@
 
 var _ = Describe("the soak", func() {
 	// The first two seeds cover planned work, and kills, pauses and link faults. The others cover
-	// one fault each, most of them one that caused a violation.
+	// one fault each; most are regressions.
 	DescribeTable("violates no guarantee with seed",
 		func(seed int) {
 			r, err := soak.Run(program, GinkgoT().TempDir(), uint64(seed))
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -81,7 +81,8 @@
 	Preempted    int           `json:"preempted"`
 }
 
-// Order is an instruction to an engine that carries a fence.
+// Order is an instruction to an engine. It carries a fence, so that the engine can reject the
+// orders of an earlier owner.
 type Order struct {
 	Fence   core.Fence `json:"fence"`
 	Action  string     `json:"do"` // load, unload or role
--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,3 +1,3 @@
-// Package trace records the events handled by a node's core, one JSON object per line, and
-// decodes them for replay.
+// Package trace records the events that the decision core of a box handles, one JSON object per
+// line, and decodes them for replay.
 package trace
--- a/trace/event.go
+++ b/trace/event.go
@@ -46,7 +46,8 @@
 	Budget bool
 }
 
-// eventTypes holds the types of the events in a trace by name.
+// eventTypes holds the types of the events in a trace by name. The names are part of the trace
+// format, so renaming a type would make older traces unreadable.
 var eventTypes = eventTypesByName(
 	HomeBegun{},
 	GenerationBegun{},
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -41,7 +41,8 @@
 	return err
 }
 
-// The names of a node's state machines in a trace; those with a slash are prefixes of an ID.
+// The names of a box's state machines in a trace; those with a slash are prefixes of an ID. They
+// are part of the trace format.
 const (
 	ClaimOwner = "home"
 	Versions   = "versions"
