--- a/model/claim.go
+++ b/model/claim.go
@@ -90,7 +90,7 @@
 	owner            *core.ClaimOwner // nil while the process is not running
 	incarnation      core.Incarnation
 	list             int  // index of the adopted list, -1 for none
-	cut              bool // cut off from the platform and the other boxes
+	isCutOff         bool // from the platform and the other boxes
 	paused           bool
 	stopping         bool
 	knownIncarnation [len(boxNames)]core.Incarnation // the newest incarnation of each owner that answered this box's entry
@@ -215,7 +215,7 @@
 	if a.owner == nil || b.owner == nil || a.paused || b.paused {
 		return false
 	}
-	return i == j || !a.cut && !b.cut
+	return i == j || !a.isCutOff && !b.isCutOff
 }
 
 // requestHandovers lets every running box request the handovers that it needs from
@@ -279,7 +279,7 @@
 	b = fmt.Appendf(b, "%v;", texts)
 	for i := range s.boxes {
 		box := &s.boxes[i]
-		b = fmt.Appendf(b, "%d,%d,%v,%v,%v,%v;", box.incarnation, box.list, box.cut, box.paused, box.stopping, box.knownIncarnation)
+		b = fmt.Appendf(b, "%d,%d,%v,%v,%v,%v;", box.incarnation, box.list, box.isCutOff, box.paused, box.stopping, box.knownIncarnation)
 		if box.owner != nil {
 			b = box.owner.Fingerprint(b, at(s.now))
 		}
--- a/model/claim_fault.go
+++ b/model/claim_fault.go
@@ -13,7 +13,7 @@
 	}
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if i != boxThird && b.owner != nil && !b.paused && !b.cut && b.list < s.published {
+		if i != boxThird && b.owner != nil && !b.paused && !b.isCutOff && b.list < s.published {
 			add(fmt.Sprintf("%s adopts list %d", boxNames[i], b.list+2), func(n *claimState) { n.adopt(i, n.boxes[i].list+1) })
 		}
 		if b.owner == nil && b.incarnation == 0 && s.lists[s.published].Member(boxNames[i]) != nil {
@@ -32,7 +32,7 @@
 	s.now++
 	for i := range s.boxes {
 		b := &s.boxes[i]
-		if b.owner == nil || b.paused || b.cut {
+		if b.owner == nil || b.paused || b.isCutOff {
 			continue
 		}
 		if i == boxThird && b.list < s.published {
@@ -69,8 +69,8 @@
 		if b.owner != nil && !b.paused && i != boxThird {
 			fault(boxNames[i]+" is paused", func(n *claimState) { n.boxes[i].paused = true })
 		}
-		if b.owner != nil && !b.cut {
-			fault(boxNames[i]+" is cut off", func(n *claimState) { n.boxes[i].cut = true })
+		if b.owner != nil && !b.isCutOff {
+			fault(boxNames[i]+" is cut off", func(n *claimState) { n.boxes[i].isCutOff = true })
 		}
 	}
 }
@@ -81,8 +81,8 @@
 		if s.boxes[i].paused {
 			add(boxNames[i]+" resumes", func(n *claimState) { n.boxes[i].paused = false })
 		}
-		if s.boxes[i].cut {
-			add(boxNames[i]+" is reachable again", func(n *claimState) { n.boxes[i].cut = false })
+		if s.boxes[i].isCutOff {
+			add(boxNames[i]+" is reachable again", func(n *claimState) { n.boxes[i].isCutOff = false })
 		}
 	}
 }
--- a/model/explore.go
+++ b/model/explore.go
@@ -64,6 +64,7 @@
 // ID implements graph.Node.
 func (n *node) ID() int64 { return n.id }
 
+// edge implements graph.Edge.
 type edge struct{ from, to graph.Node }
 
 func (e edge) From() graph.Node         { return e.from }
@@ -135,6 +136,7 @@
 	return n, true
 }
 
+// nodeList implements graph.Nodes, an iterator over nodes.
 type nodeList struct {
 	nodes []graph.Node
 	at    int
--- a/model/fence.go
+++ b/model/fence.go
@@ -22,10 +22,10 @@
 
 // fenceOwner is a box that sends orders while it is permitted to.
 type fenceOwner struct {
-	orders *core.OrderPermission
-	list   int
-	cut    bool
-	paused bool
+	orders   *core.OrderPermission
+	list     int
+	isCutOff bool
+	paused   bool
 }
 
 // fenceState holds the owners, the orders in flight, and the endpoint's fence check.
@@ -79,7 +79,7 @@
 	b := fmt.Appendf(nil, "%d;%d;%d;%v;%v;%v;%v;", s.now, s.faults, s.published, s.delayed, s.fenceCheck.Highest, s.applied, s.appliedOlder)
 	for i := range s.owners {
 		o := &s.owners[i]
-		b = fmt.Appendf(b, "%d,%v,%v;", o.list, o.cut, o.paused)
+		b = fmt.Appendf(b, "%d,%v,%v;", o.list, o.isCutOff, o.paused)
 		b = o.orders.Fingerprint(b, at(s.now))
 	}
 	return string(b)
@@ -111,7 +111,7 @@
 		add(boxNames[i]+" resumes", func(n *fenceState) { n.owners[i].paused = false })
 		return
 	}
-	if !o.cut && o.list < s.published {
+	if !o.isCutOff && o.list < s.published {
 		add(boxNames[i]+" adopts list 2", func(n *fenceState) { n.adopt(i) })
 	}
 	if o.orders.Permitted(at(s.now), s.rules.EndpointChecks) {
@@ -126,10 +126,10 @@
 	if s.faults == 0 {
 		return
 	}
-	if !o.cut {
+	if !o.isCutOff {
 		add("fault: "+boxNames[i]+" is cut off from the platform", func(n *fenceState) {
 			n.faults--
-			n.owners[i].cut = true
+			n.owners[i].isCutOff = true
 		})
 	}
 	add("fault: "+boxNames[i]+" is paused", func(n *fenceState) {
@@ -178,7 +178,7 @@
 	s.now++
 	for i := range s.owners {
 		o := &s.owners[i]
-		if !o.cut && !o.paused && o.list == s.published {
+		if !o.isCutOff && !o.paused && o.list == s.published {
 			o.orders.Step(at(s.now), core.ListConfirmed{At: at(s.now)})
 		}
 	}
--- a/model/lease.go
+++ b/model/lease.go
@@ -27,12 +27,12 @@
 
 // leaseOwner is a box that owns the endpoint or still acts as its owner.
 type leaseOwner struct {
-	ownership *core.Ownership
-	list      int // the adopted version of the list
-	cut       bool
-	paused    bool
-	dead      bool
-	leaving   bool // its list marks the endpoint as leaving
+	ownership  *core.Ownership
+	list       int // the adopted version of the list
+	isCutOff   bool
+	paused     bool
+	hasCrashed bool
+	leaving    bool // its list marks the endpoint as leaving
 }
 
 // leaseState holds the owners before and after a list change, an entry that requests
@@ -82,7 +82,7 @@
 	b := fmt.Appendf(nil, "%d;%d;%d;%d;%v;%v;", s.now, s.faults, s.published, s.leavingSince, s.paused, s.sentLate)
 	for i := range s.owners {
 		o := &s.owners[i]
-		b = fmt.Appendf(b, "%d,%v,%v,%v,%v;", o.list, o.cut, o.paused, o.dead, o.leaving)
+		b = fmt.Appendf(b, "%d,%v,%v,%v,%v;", o.list, o.isCutOff, o.paused, o.hasCrashed, o.leaving)
 		b = o.ownership.Fingerprint(b, at(s.now))
 		b = fmt.Appendf(b, "%d,%d;", s.leases[i].Tokens, s.leases[i].Until.Unix())
 	}
@@ -129,17 +129,17 @@
 		add(name+" resumes", func(n *leaseState) { n.owners[i].paused = false })
 		return
 	}
-	if o.dead {
+	if o.hasCrashed {
 		return
 	}
-	if !o.cut && o.list < s.published {
+	if !o.isCutOff && o.list < s.published {
 		add(name+" adopts list 2", func(n *leaseState) { n.adopt(i) })
 	}
 	if !s.paused {
 		add("the entry asks "+name+" for a lease", func(n *leaseState) { n.ask(i) })
 	}
-	predecessorStopped := s.owners[0].list == 2 || s.owners[0].dead
-	if i == 1 && o.list == 2 && !o.cut && predecessorStopped && !s.rules.Leaving {
+	predecessorStopped := s.owners[0].list == 2 || s.owners[0].hasCrashed
+	if i == 1 && o.list == 2 && !o.isCutOff && predecessorStopped && !s.rules.Leaving {
 		add(name+" learns that the previous owner has stopped", func(n *leaseState) {
 			n.owners[1].ownership.Step(at(n.now), core.PredecessorGone{})
 		})
@@ -193,11 +193,11 @@
 	s.now++
 	for i := range s.owners {
 		o := &s.owners[i]
-		if o.dead || o.paused {
+		if o.hasCrashed || o.paused {
 			continue
 		}
 		o.ownership.Step(at(s.now), core.HoldTicked{})
-		if o.cut {
+		if o.isCutOff {
 			continue
 		}
 		if o.list < s.published {
@@ -216,15 +216,15 @@
 	}
 	for i := range s.owners {
 		o := &s.owners[i]
-		if !o.paused && !o.dead {
+		if !o.paused && !o.hasCrashed {
 			fault(boxNames[i]+" is paused", func(n *leaseState) { n.owners[i].paused = true })
 		}
-		if !o.cut && !s.rules.Leaving {
-			fault(boxNames[i]+" is cut off from the platform and its peers", func(n *leaseState) { n.owners[i].cut = true })
+		if !o.isCutOff && !s.rules.Leaving {
+			fault(boxNames[i]+" is cut off from the platform and its peers", func(n *leaseState) { n.owners[i].isCutOff = true })
 		}
 	}
-	if !s.owners[0].dead {
-		fault(boxNames[0]+" crashes", func(n *leaseState) { n.owners[0].dead = true })
+	if !s.owners[0].hasCrashed {
+		fault(boxNames[0]+" crashes", func(n *leaseState) { n.owners[0].hasCrashed = true })
 	}
 	if !s.paused {
 		fault("the entry is paused", func(n *leaseState) { n.paused = true })
--- a/model/version.go
+++ b/model/version.go
@@ -35,7 +35,7 @@
 	highest          publication // the last publication that became active in this incarnation
 	incarnation      int
 	askedPeers       [len(boxNames)]askedPeer
-	cut              bool
+	isCutOff         bool
 	regressed        bool
 	activatedInvalid bool
 }
@@ -104,7 +104,7 @@
 	for i := range s.boxes {
 		box := &s.boxes[i]
 		b = fmt.Appendf(b, "%d/%d/%d/%s,%s,%d,%v,%v,%v,%v;", box.versions.Active, box.versions.Digest, box.versions.Rejected,
-			box.versions.State, box.join.State, s.minPeerVersion(i), box.cut, box.regressed, box.activatedInvalid, box.highest)
+			box.versions.State, box.join.State, s.minPeerVersion(i), box.isCutOff, box.regressed, box.activatedInvalid, box.highest)
 	}
 	return string(b)
 }
@@ -128,13 +128,13 @@
 
 func (s *versionState) addBoxSteps(i int, add func(string, func(*versionState))) {
 	b := &s.boxes[i]
-	if b.cut {
-		add(boxNames[i]+" is reachable again", func(n *versionState) { n.boxes[i].cut = false })
+	if b.isCutOff {
+		add(boxNames[i]+" is reachable again", func(n *versionState) { n.boxes[i].isCutOff = false })
 		return
 	}
 	add(boxNames[i]+" reads the platform", func(n *versionState) { n.boxes[i].offer(publications[n.published]) })
 	for j := range s.boxes {
-		if i != j && !s.boxes[j].cut {
+		if i != j && !s.boxes[j].isCutOff {
 			add(fmt.Sprintf("%s receives a message from %s", boxNames[i], boxNames[j]), func(n *versionState) { n.receiveVersion(i, j) })
 		}
 	}
@@ -163,8 +163,8 @@
 		})
 	}
 	for i := range s.boxes {
-		if !s.boxes[i].cut {
-			fault(boxNames[i]+" is cut off", func(n *versionState) { n.boxes[i].cut = true })
+		if !s.boxes[i].isCutOff {
+			fault(boxNames[i]+" is cut off", func(n *versionState) { n.boxes[i].isCutOff = true })
 		}
 		fault(boxNames[i]+" crashes and restarts with empty memory", func(n *versionState) { n.restart(i) })
 		for p := range s.published {
@@ -183,7 +183,7 @@
 	b.askedPeers = [len(boxNames)]askedPeer{}
 	var peers []string
 	for j := range s.boxes {
-		if i != j && !s.boxes[j].cut && !b.cut {
+		if i != j && !s.boxes[j].isCutOff && !b.isCutOff {
 			peers = append(peers, boxNames[j])
 			b.askedPeers[j] = askedPeer{
 				incarnation: s.boxes[j].incarnation,
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -14,7 +14,7 @@
 type injector struct {
 	fleet           *fleet
 	r               *rand.Rand
-	planned         bool     // only planned work is injected
+	plannedOnly     bool     // no unplanned faults are injected
 	descriptions    []string // the injected faults, for the report
 	version         uint64
 	lastPublished   *emulator.Document
@@ -24,12 +24,12 @@
 	unexpectedExits []string // violations: boxes that exited without being signalled
 }
 
-func newInjector(f *fleet, seed uint64, planned bool) *injector {
+func newInjector(f *fleet, seed uint64, plannedOnly bool) *injector {
 	return &injector{
-		fleet:   f,
-		r:       rand.New(rand.NewPCG(seed, 99)),
-		planned: planned,
-		version: 1,
+		fleet:       f,
+		r:           rand.New(rand.NewPCG(seed, 99)),
+		plannedOnly: plannedOnly,
+		version:     1,
 	}
 }
 
@@ -42,7 +42,7 @@
 	plannedWork := []func(){i.stopBox, i.drainServer, i.publishConfiguration, i.reloadBox}
 	unplanned := []func(){i.killBox, i.pauseBox, i.faultServerLink, i.faultServer, i.crashServer, i.faultStore, i.cutStoreLink, i.unlistServer, i.compactStore}
 	all := plannedWork
-	if !i.planned {
+	if !i.plannedOnly {
 		all = append(all, unplanned...)
 	}
 	all[i.r.IntN(len(all))]()
--- a/soak/run.go
+++ b/soak/run.go
@@ -198,7 +198,7 @@
 
 // checkPlannedWork checks that planned work interrupts no request that a server runs.
 func (r *Report) checkPlannedWork(i *injector, results []callResult, runs map[string][]emulator.Run) {
-	if !i.planned {
+	if !i.plannedOnly {
 		return
 	}
 	for _, s := range results {
