--- a/gateway/inbound.go
+++ b/gateway/inbound.go
@@ -40,7 +40,7 @@
 		}
 	}
 	p.allowedRegions = routing.NewAllowedRegions(p.gateway.rules.Regions, p.route, p.customer)
-	p.service = t.Service(p.route.Pick(p.inbound.ID))
+	p.service = t.Service(p.route.PickService(p.inbound.ID))
 	if p.service == nil {
 		p.refuse(http.StatusServiceUnavailable, "the route's service is not known")
 		return false
--- a/routing/table.go
+++ b/routing/table.go
@@ -81,9 +81,9 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick returns the service for one request of a route, chosen by weight. It depends only on
+// PickService returns the service for one request of a route, chosen by weight. It depends only on
 // the request's ID, so that repeated attempts use the same service.
-func (r *Route) Pick(id string) string {
+func (r *Route) PickService(id string) string {
 	total := 0
 	for _, s := range r.Split {
 		total += max(s.Weight, 0)
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -55,8 +55,8 @@
 		counts := make(map[string]int)
 		for i := range 10_000 {
 			id := strconv.Itoa(i)
-			Expect(r.Pick(id)).To(Equal(r.Pick(id)))
-			counts[r.Pick(id)]++
+			Expect(r.PickService(id)).To(Equal(r.PickService(id)))
+			counts[r.PickService(id)]++
 		}
 		Expect(counts["a"]).To(BeNumerically("~", 9000, 200))
 		Expect(counts["b"]).To(BeNumerically("~", 1000, 200))
@@ -64,6 +64,6 @@
 	})
 
 	It("without weights uses the first service", func() {
-		Expect((&routing.Route{Split: []routing.Share{{Service: "a"}}}).Pick("x")).To(Equal("a"))
+		Expect((&routing.Route{Split: []routing.Share{{Service: "a"}}}).PickService("x")).To(Equal("a"))
 	})
 })
