--- a/admission/event.go
+++ b/admission/event.go
@@ -90,9 +90,9 @@
 	After time.Duration
 }
 
-// RenewLeases is the command to renew the leases now, because a request found no room
+// WantLeases is the command to renew the leases now, because a request found no room
 // under the current ones.
-type RenewLeases struct{ core.CommandBase }
+type WantLeases struct{ core.CommandBase }
 
 // RefusalReason is the stable code of a refusal.
 type RefusalReason string
--- a/admission/model.go
+++ b/admission/model.go
@@ -205,7 +205,7 @@
 	commands = append(commands, m.dispatch(now)...)
 	if m.waiting.length > 0 && now.Sub(m.leasesRequestedAt) >= leaseRequestInterval {
 		m.leasesRequestedAt = now
-		commands = append(commands, RenewLeases{})
+		commands = append(commands, WantLeases{})
 	}
 	return commands
 }
--- a/bench/run.go
+++ b/bench/run.go
@@ -258,7 +258,7 @@
 			sim.schedule(controlDelay, func() { sim.startRequest(r) })
 		case admission.Wake:
 			sim.schedule(c.After, func() { sim.execute(box, sim.boxes[box].Step(sim.now, admission.Ticked{})) })
-		case admission.RenewLeases:
+		case admission.WantLeases:
 			sim.requestLeases(box)
 		case admission.RefuseRequest:
 			sim.active[c.ID].refused = true
--- a/core/claim.go
+++ b/core/claim.go
@@ -208,7 +208,7 @@
 }
 
 func (o *ClaimOwner) reply(e ClaimAsked, verdict ClaimVerdict, r *ClaimRecord) []Command {
-	answer := AnswerClaim{
+	answer := ClaimAnswered{
 		Attempt:    e.Attempt,
 		Verdict:    verdict,
 		ClaimOwner: o.self,
--- a/core/claim_event.go
+++ b/core/claim_event.go
@@ -52,8 +52,8 @@
 	Guard time.Duration
 }
 
-// AnswerClaim asks the shell to send the answer to a claim.
-type AnswerClaim struct {
+// ClaimAnswered asks the shell to send the answer to a claim.
+type ClaimAnswered struct {
 	CommandBase
 	Attempt    string
 	Verdict    ClaimVerdict
--- a/core/claim_history_test.go
+++ b/core/claim_history_test.go
@@ -73,7 +73,7 @@
 		key := core.ClaimKey{Customer: "c", Key: fmt.Sprintf("k%d", r.IntN(4))}
 		called := int64(i*10 - r.IntN(8))
 		asked := core.ClaimAsked{Key: key, Attempt: attempt, Asker: core.Box{Name: "box-2", Incarnation: 1}, ListVersion: 1}
-		verdict := owner.Step(now, asked)[0].(core.AnswerClaim).Verdict
+		verdict := owner.Step(now, asked)[0].(core.ClaimAnswered).Verdict
 		all = append(all, porcupine.Operation{
 			ClientId: i,
 			Input:    claimInput{key: key.Key, attempt: attempt},
--- a/core/claim_start_test.go
+++ b/core/claim_start_test.go
@@ -51,14 +51,14 @@
 func (o *owners) exchangeHandovers(now time.Time) {
 	for _, m := range o.list.Boxes {
 		for _, command := range o.owners[m.Name].Step(now, core.HandoverDue{}) {
-			if wanted, ok := command.(core.RequestHandover); ok {
+			if wanted, ok := command.(core.HandoverWanted); ok {
 				o.sendHandover(now, m.Name, wanted)
 			}
 		}
 	}
 }
 
-func (o *owners) sendHandover(now time.Time, asker string, wanted core.RequestHandover) {
+func (o *owners) sendHandover(now time.Time, asker string, wanted core.HandoverWanted) {
 	from := o.owners[wanted.From]
 	if from == nil {
 		return
@@ -68,7 +68,7 @@
 		ListVersion: wanted.ListVersion,
 	}
 	for _, command := range from.Step(now, asked) {
-		if sent, ok := command.(core.SendHandover); ok {
+		if sent, ok := command.(core.HandoverSent); ok {
 			o.owners[asker].Step(now, core.HandoverArrived{Handover: sent.Handover})
 		}
 	}
@@ -87,7 +87,7 @@
 		ListVersion: o.list.Version,
 		Timed:       timed,
 	}) {
-		if c, ok := command.(core.AnswerClaim); ok {
+		if c, ok := command.(core.ClaimAnswered); ok {
 			return c.Verdict
 		}
 	}
@@ -142,7 +142,7 @@
 					At:   now,
 				})
 				for _, command := range commands {
-					if wanted, ok := command.(core.RequestHandover); ok {
+					if wanted, ok := command.(core.HandoverWanted); ok {
 						count++
 						o.sendHandover(now, m.Name, wanted)
 					}
--- a/core/handover.go
+++ b/core/handover.go
@@ -49,14 +49,14 @@
 // Retire reports that this box stops and must hand over all records.
 type Retire struct{ EventBase }
 
-// SendHandover asks the shell to send a handover.
-type SendHandover struct {
+// HandoverSent asks the shell to send a handover.
+type HandoverSent struct {
 	CommandBase
 	Handover Handover
 }
 
-// RequestHandover asks the shell to request a handover from a box.
-type RequestHandover struct {
+// HandoverWanted asks the shell to request a handover from a box.
+type HandoverWanted struct {
 	CommandBase
 	From        string
 	ListVersion uint64
@@ -73,7 +73,7 @@
 	if e.ListVersion < o.snapshot.List.Version {
 		return nil // keys of the asker may belong to another box under the newer list
 	}
-	return []Command{SendHandover{Handover: o.buildHandover(now, e.From.Name, restarted)}}
+	return []Command{HandoverSent{Handover: o.buildHandover(now, e.From.Name, restarted)}}
 }
 
 func (o *ClaimOwner) buildHandover(now time.Time, to string, restarted bool) Handover {
@@ -172,7 +172,7 @@
 		if name == o.self.Name {
 			continue
 		}
-		commands = append(commands, SendHandover{Handover: o.buildHandover(now, name, false)})
+		commands = append(commands, HandoverSent{Handover: o.buildHandover(now, name, false)})
 	}
 	return commands
 }
--- a/core/takeover.go
+++ b/core/takeover.go
@@ -261,7 +261,7 @@
 	slices.Sort(names)
 	commands := make([]Command, 0, len(names))
 	for _, name := range names {
-		commands = append(commands, RequestHandover{
+		commands = append(commands, HandoverWanted{
 			From:        name,
 			ListVersion: o.snapshot.List.Version,
 		})
--- a/core/version.go
+++ b/core/version.go
@@ -48,8 +48,8 @@
 	From    string
 }
 
-// ActivateVersion asks the shell to activate the document of a version.
-type ActivateVersion struct {
+// PutInForce asks the shell to activate the document of a version.
+type PutInForce struct {
 	CommandBase
 	Version uint64
 }
@@ -123,7 +123,7 @@
 	v.Active = e.Version
 	v.Digest = e.Digest
 	_ = versionLifecycle.Fire(&v.State, versionAccepted)
-	return []Command{ActivateVersion{Version: e.Version}}
+	return []Command{PutInForce{Version: e.Version}}
 }
 
 func (v *Versions) reject(e VersionOffered, reason RejectReason) []Command {
--- a/entry/model.go
+++ b/entry/model.go
@@ -71,7 +71,7 @@
 			m.reply(c.ID, c)
 		case admission.Wake:
 			time.AfterFunc(c.After, func() { m.step(time.Now(), admission.Ticked{}) })
-		case admission.RenewLeases:
+		case admission.WantLeases:
 			m.requestLeases()
 		case admission.PolicyFailed:
 			policyFailures.Inc()
--- a/lab/slopes_core.go
+++ b/lab/slopes_core.go
@@ -139,7 +139,7 @@
 		From:        core.Box{Name: "box-001"},
 		ListVersion: 11,
 	}) {
-		if sent, ok := command.(core.SendHandover); ok {
+		if sent, ok := command.(core.HandoverSent); ok {
 			return float64(wire.EncodedSize(wire.HandoverTransfer{Handover: sent.Handover}))
 		}
 	}
--- a/model/claim.go
+++ b/model/claim.go
@@ -227,7 +227,7 @@
 			continue
 		}
 		for _, command := range b.owner.Step(at(s.now), core.HandoverDue{}) {
-			if wanted, ok := command.(core.RequestHandover); ok {
+			if wanted, ok := command.(core.HandoverWanted); ok {
 				s.transferClaims(slices.Index(boxNames[:], wanted.From), i, wanted.ListVersion)
 			}
 		}
@@ -247,7 +247,7 @@
 		ListVersion: version,
 	}
 	for _, command := range s.boxes[from].owner.Step(at(s.now), asked) {
-		if sent, ok := command.(core.SendHandover); ok {
+		if sent, ok := command.(core.HandoverSent); ok {
 			s.boxes[to].owner.Step(at(s.now), core.HandoverArrived{Handover: sent.Handover})
 		}
 	}
--- a/model/claim_fault.go
+++ b/model/claim_fault.go
@@ -112,7 +112,7 @@
 // retire makes the owner hand over all its claims to the successors that it reaches.
 func (s *claimState) retire() {
 	for _, command := range s.boxes[boxOwner].owner.Step(at(s.now), core.Retire{}) {
-		sent, ok := command.(core.SendHandover)
+		sent, ok := command.(core.HandoverSent)
 		if !ok {
 			continue
 		}
--- a/model/claim_request.go
+++ b/model/claim_request.go
@@ -167,7 +167,7 @@
 		Timed:       s.rules.Timed,
 		KeyAge:      time.Duration(s.now-s.firstUsed[s.keyOf(m.request)]) * timeStep,
 	}) {
-		if a, ok := command.(core.AnswerClaim); ok {
+		if a, ok := command.(core.ClaimAnswered); ok {
 			answer.verdict = a.Verdict
 			answer.ownerIncarnation = a.ClaimOwner.Incarnation
 		}
--- a/model/version.go
+++ b/model/version.go
@@ -80,7 +80,7 @@
 		Accepted: p.valid,
 		Digest:   p.digest,
 	}) {
-		if _, ok := command.(core.ActivateVersion); !ok {
+		if _, ok := command.(core.PutInForce); !ok {
 			continue
 		}
 		b.activatedInvalid = b.activatedInvalid || !p.valid
--- a/scheduler/claims.go
+++ b/scheduler/claims.go
@@ -17,9 +17,9 @@
 	commands := s.applyClaimEvent(ev)
 	for _, command := range commands {
 		switch c := command.(type) {
-		case core.RequestHandover:
+		case core.HandoverWanted:
 			go s.requestHandover(ctx, c)
-		case core.SendHandover:
+		case core.HandoverSent:
 			if _, isRequest := ev.(core.HandoverAsked); !isRequest {
 				go s.sendHandover(ctx, c.Handover)
 			}
@@ -48,7 +48,7 @@
 		Timed:       q.Timed,
 		KeyAge:      time.Since(q.KeyTime),
 	}) {
-		if c, ok := command.(core.AnswerClaim); ok {
+		if c, ok := command.(core.ClaimAnswered); ok {
 			claimVerdicts(string(c.Verdict)).Inc()
 			return wire.ClaimAnswer{
 				Verdict:    c.Verdict,
@@ -78,7 +78,7 @@
 		From:        q.From,
 		ListVersion: q.ListVersion,
 	}) {
-		if c, ok := command.(core.SendHandover); ok {
+		if c, ok := command.(core.HandoverSent); ok {
 			return wire.HandoverTransfer{Handover: c.Handover}, nil
 		}
 	}
@@ -98,7 +98,7 @@
 	s.stepClaims(ctx, core.HandoverArrived{Handover: q.Handover})
 }
 
-func (s *Scheduler) requestHandover(ctx context.Context, c core.RequestHandover) {
+func (s *Scheduler) requestHandover(ctx context.Context, c core.HandoverWanted) {
 	list := s.state.View().List
 	m := list.Member(c.From)
 	if m == nil {
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -61,7 +61,7 @@
 func (s *Scheduler) sendFinalHandovers() {
 	var wait sync.WaitGroup
 	for _, command := range s.applyClaimEvent(core.Retire{}) {
-		if c, ok := command.(core.SendHandover); ok {
+		if c, ok := command.(core.HandoverSent); ok {
 			wait.Go(func() { s.sendHandover(context.Background(), c.Handover) })
 		}
 	}
--- a/watch/state.go
+++ b/watch/state.go
@@ -113,7 +113,7 @@
 	}
 	for _, command := range s.versions.Step(ev) {
 		switch c := command.(type) {
-		case core.ActivateVersion:
+		case core.PutInForce:
 			s.document = d
 			configVersion.Set(float64(c.Version))
 			s.log.Info("configuration activated", zap.Uint64("version", c.Version))
