--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -41,7 +41,8 @@
 	return err
 }
 
-// The names of a node's state machines in a trace; those with a slash are prefixes of an ID.
+// The names of a box's state machines in a trace; those with a slash are prefixes of an ID. They
+// are part of the trace format.
 const (
 	ClaimOwner = "home"
 	Versions   = "versions"
@@ -81,7 +82,7 @@
 }
 
 // Event records one event of the state machine with the given name. Events that can't be encoded
-// are dropped.
+// or written are dropped.
 func (r *Recorder) Event(now time.Time, on string, ev core.Event) {
 	if r == nil {
 		return
