--- a/core/call_event.go
+++ b/core/call_event.go
@@ -78,7 +78,7 @@
 	Reason Reason
 }
 
-// CancelCall asks the shell to cancel the run, since the caller is gone.
+// CancelCall asks the shell to cancel the run, since the caller has disconnected.
 type CancelCall struct{ CommandBase }
 
 // RefuseCall asks the shell to respond with an error to the caller.
--- a/gateway/crash.go
+++ b/gateway/crash.go
@@ -35,7 +35,7 @@
 	firstEventAt time.Time // zero before the first event
 }
 
-// currentRun returns the request's send that is under way.
+// currentRun returns the request's send that is in progress.
 func (p *proxiedRequest) currentRun() run {
 	return run{
 		endpoint:     p.endpoint,
--- a/gateway/event_order.go
+++ b/gateway/event_order.go
@@ -13,7 +13,7 @@
 )
 
 // eventOrder checks the order of a stream's events across a continuation from a copy. IDs
-// must rise; after the seam between the two runs they must continue with the same step.
+// must rise; where another run continues the stream, they must continue with the same step.
 type eventOrder struct {
 	last        int64
 	step        int64
@@ -22,7 +22,8 @@
 }
 
 // classify returns an event's position by its ID. IDs that are not numbers can't be
-// compared: their events count as in order, but as a gap after a seam.
+// compared: their events count as in order, but as a gap after another run has continued
+// the stream.
 func (o *eventOrder) classify(id string) eventPosition {
 	number, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -160,7 +160,7 @@
 	return g
 }
 
-// Active returns the number of requests under way.
+// Active returns the number of requests in progress.
 func (g *Gateway) Active() int { return int(g.activeRequests.Load()) }
 
 // ServeHTTP proxies one request.
--- a/gateway/proxied_request.go
+++ b/gateway/proxied_request.go
@@ -103,7 +103,7 @@
 	return p.gateway.takeRetry(service)
 }
 
-// finish marks the request as finished, for moves that are under way.
+// finish marks the request as finished, for moves that are in progress.
 func (p *proxiedRequest) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -177,7 +177,7 @@
 }
 
 // handleBreak handles a stream that broke off. It looks for a copy to continue from: that of
-// a move under way, or the backup.
+// a move in progress, or the backup.
 func (p *proxiedRequest) handleBreak(err error) core.Event {
 	p.reportBreak(time.Now())
 	if h := p.awaitHandover(); h != nil && p.headSent {
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -56,7 +56,7 @@
 		Entry("a failure of the endpoint", losses.AwaitingFirst, losses.EndpointFailed, false, placed, failed),
 		Entry("a box that ended", losses.InProgress, losses.BoxCrashed, false, placed),
 		Entry("a box without a configuration", losses.BeforeSend, losses.NoConfigLoaded, false, unconfigured),
-		Entry("a pause during a move", losses.BetweenEvents, losses.PauseAtSeam, true, placed, continued, stuttering),
+		Entry("a pause during a move", losses.BetweenEvents, losses.PauseWhileMoving, true, placed, continued, stuttering),
 		Entry("a pause at the engine", losses.BetweenEvents, losses.PauseAtEngine, true, placed, stuttering),
 	)
 
--- a/losses/request.go
+++ b/losses/request.go
@@ -41,7 +41,7 @@
 	DeadlineExceeded   Cause = "deadline exceeded"
 	BoxCrashed         Cause = "box ended during the request"
 	SlowFirst          Cause = "first event or answer late"
-	PauseAtSeam        Cause = "pause while moving to another engine"
+	PauseWhileMoving   Cause = "pause while moving to another engine"
 	PauseAtEngine      Cause = "pause at the engine" // it preempted the run or processed long prompts
 	RefusedByGateway   Cause = "refused by the box"
 )
@@ -207,7 +207,7 @@
 	if r.outcome.Event == "streamed" && r.outcome.PauseAfter != "" && r.outcome.LongestPause > minStutter {
 		l.Moment, l.Cause = BetweenEvents, PauseAtEngine
 		if r.seams[r.outcome.PauseAfter] {
-			l.Cause = PauseAtSeam
+			l.Cause = PauseWhileMoving
 		}
 	}
 	return l, true
--- a/routing/revision.go
+++ b/routing/revision.go
@@ -3,8 +3,8 @@
 import "github.com/pkg/errors"
 
 // Revision orders the states of the store. It combines the store's era, which rises each
-// time the store is restored from an older copy, with the revision number within the era,
-// which is then reused. A store without eras has era 0.
+// time the store is restored from an older backup, with the revision number within the era;
+// numbers are reused after such a restore. A store without eras has era 0.
 type Revision uint64
 
 // The bits of a Revision: 16 for the era and 48 for the number.
@@ -25,7 +25,7 @@
 	return Revision(era<<numberBits | number), nil
 }
 
-// Era returns how often the store has been restored from an older copy.
+// Era returns how often the store has been restored from an older backup.
 func (r Revision) Era() uint64 { return uint64(r) >> numberBits }
 
 // Number returns the revision number within the era.
